--- a/forward/doubts.go
+++ b/forward/doubts.go
@@ -5,21 +5,21 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/outcome"
-	"github.com/hibiscusspur/hibiscusspur/policy/doubt"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
+	"github.com/hibiscusspur/hibiscusspur/policy/suspicion"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// doubts are the engines at which requests of any gateway failed a moment ago. It joins policy/doubt to clocks and is
+// doubts are the engines at which requests of any gateway failed a moment ago. It joins policy/suspicion to clocks and is
 // safe for concurrent use.
 type doubts struct {
 	mu      sync.Mutex
-	tracker *doubt.Tracker
+	tracker *suspicion.Tracker
 	// news are engines that the other gateways are to be told of.
 	news []string
 }
 
-func newDoubts(router string) *doubts { return &doubts{tracker: doubt.New(router)} }
+func newDoubts(router string) *doubts { return &doubts{tracker: suspicion.New(router)} }
 
 // failed notes a failure seen here and reports whether the other gateways are to be told.
 func (d *doubts) failed(id string) bool {
--- a/policy/doubt/doubt.go
+++ b/policy/suspicion/suspicion.go
@@ -1,4 +1,4 @@
-// Package doubt tells which engines to avoid for a moment, by the failures that all routers saw there.
+// Package suspicion tells which engines to avoid for a moment, by the failures that all routers saw there.
 //
 // Load pattern: a server loses its power, is cut off, or fails two requests of five, and stays in the list for the
 // seconds until its lease lapses or its health check fails. Dozens of routers send it a request each, and each learns
@@ -10,7 +10,7 @@
 // failures everywhere; what it tells is shared out among all that it names, and an own success outweighs it.
 //
 // A Tracker is deterministic, takes the time from its caller, and is not safe for concurrent use.
-package doubt
+package suspicion
 
 import (
 	"math"
--- a/policy/doubt/doubt_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -1,4 +1,4 @@
-package doubt_test
+package suspicion_test
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/doubt"
+	"github.com/hibiscusspur/hibiscusspur/policy/suspicion"
 )
 
 // start is when the tests begin.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestOneFailureIsForgottenWithinSeconds(t *testing.T) {
-	d := doubt.New("r")
+	d := suspicion.New("r")
 	assert.Check(t, !d.Doubtful("e", start))
 	d.Told("other", "e", start)
 	assert.Check(t, d.Doubtful("e", start.Add(100*time.Millisecond)))
@@ -24,7 +24,7 @@
 }
 
 func TestWhatOneRouterTellsOfAnEngineCountsOnceASecond(t *testing.T) {
-	once, often := doubt.New("r"), doubt.New("r")
+	once, often := suspicion.New("r"), suspicion.New("r")
 	once.Told("other", "e", start)
 	for range 30 {
 		often.Told("other", "e", start)
@@ -36,7 +36,7 @@
 }
 
 func TestFailuresAreNewsOnceASecond(t *testing.T) {
-	d := doubt.New("r")
+	d := suspicion.New("r")
 	assert.Check(t, d.Failed("e", start))
 	assert.Check(t, !d.Failed("e", start.Add(500*time.Millisecond)))
 	assert.Check(t, d.Failed("f", start.Add(500*time.Millisecond)))
@@ -44,7 +44,7 @@
 }
 
 func TestSuccessesOutweighWhatIsTold(t *testing.T) {
-	d := doubt.New("r")
+	d := suspicion.New("r")
 	d.Told("other", "e", start)
 	d.Succeeded("e")
 	d.Succeeded("e")
@@ -54,7 +54,7 @@
 // TestRoutersThatAreCutOffAreNotBelieved is a router that can reach no engine any more and says so of all. The others
 // can, and go on using all.
 func TestRoutersThatAreCutOffAreNotBelieved(t *testing.T) {
-	d := doubt.New("r")
+	d := suspicion.New("r")
 	for s := range 10 {
 		for e := range 20 {
 			d.Told("cut off", fmt.Sprint("e", e), start.Add(time.Duration(s)*time.Second))
@@ -91,9 +91,9 @@
 
 func (p play) run(seed uint64) (failed int, sent int) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	var routers []*doubt.Tracker
+	var routers []*suspicion.Tracker
 	for i := range p.routers {
-		routers = append(routers, doubt.New(fmt.Sprint("r", i)))
+		routers = append(routers, suspicion.New(fmt.Sprint("r", i)))
 	}
 	type ending struct {
 		router int
@@ -132,7 +132,7 @@
 	return failed, sent
 }
 
-func (p play) choose(d *doubt.Tracker, r *rand.Rand, now time.Time) int {
+func (p play) choose(d *suspicion.Tracker, r *rand.Rand, now time.Time) int {
 	for {
 		if e := r.IntN(p.engines); !d.Doubtful(fmt.Sprint("e", e), now) {
 			return e
@@ -174,7 +174,7 @@
 func TestEnginesThatAreWellAgainAreUsed(t *testing.T) {
 	var in int
 	for r := range 30 {
-		d := doubt.New(fmt.Sprint("r", r))
+		d := suspicion.New(fmt.Sprint("r", r))
 		for other := range 29 {
 			d.Told(fmt.Sprint("other", other), "e", start)
 		}
