--- a/forward/rests.go
+++ b/forward/rests.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/rest"
+	"github.com/hibiscusspur/hibiscusspur/policy/cooldown"
 )
 
-// rests are servers that have asked this router for rest. It joins policy/rest to clocks and is safe for concurrent use.
+// rests are servers that have asked this router for rest. It joins policy/cooldown to clocks and is safe for concurrent use.
 type rests struct {
 	// count is the number of rests that are kept, so that the others need not be looked at.
 	count atomic.Int64
 
 	mu    sync.Mutex
-	rests *rest.Rests
+	rests *cooldown.Rests
 }
 
-func newRests() *rests { return &rests{rests: rest.New()} }
+func newRests() *rests { return &rests{rests: cooldown.New()} }
 
 // asked notes that a server has asked for rest now.
 func (r *rests) asked(id string, rest time.Duration) {
--- a/policy/rest/rest.go
+++ b/policy/cooldown/cooldown.go
@@ -1,4 +1,4 @@
-// Package rest keeps one router away from servers that have asked it for rest.
+// Package cooldown keeps one router away from servers that have asked it for rest.
 //
 // Load pattern: two of nine engines turn most of what reaches them away for a quarter of a minute, and say with each
 // refusal for how long they want nothing from the router that asked. Their memory is free meanwhile, so that whoever goes by
@@ -8,7 +8,7 @@
 // Each refusal holds for its own time, whatever later ones say, and for its router alone.
 //
 // Rests takes the time from its caller and is not safe for concurrent use.
-package rest
+package cooldown
 
 import (
 	"maps"
--- a/policy/rest/rest_test.go
+++ b/policy/cooldown/cooldown_test.go
@@ -1,4 +1,4 @@
-package rest_test
+package cooldown_test
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/rest"
+	"github.com/hibiscusspur/hibiscusspur/policy/cooldown"
 )
 
 var start = time.Unix(1000, 0)
@@ -15,7 +15,7 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 func TestRests(t *testing.T) {
-	r := rest.New()
+	r := cooldown.New()
 	assert.Equal(t, r.Left("a", start), time.Duration(0))
 	r.Asked("a", 3*time.Second, start)
 	r.Asked("a", time.Second, at(time.Second))
@@ -41,8 +41,8 @@
 	)
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 	play := func(heeds bool) (refused, inRest int) {
-		r, rng := rest.New(), rand.New(rand.NewPCG(1, 2))
-		asked := rest.New()
+		r, rng := cooldown.New(), rand.New(rand.NewPCG(1, 2))
+		asked := cooldown.New()
 		for now := start; now.Before(at(day)); now = now.Add(time.Second / perSecond) {
 			id := names[rng.IntN(engines)]
 			for heeds && r.Left(id, now) > 0 {
