--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -21,7 +21,7 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
 	"github.com/hibiscusspur/hibiscusspur/policy/outlier"
 	"github.com/hibiscusspur/hibiscusspur/policy/overload"
-	"github.com/hibiscusspur/hibiscusspur/policy/reading"
+	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
 	"github.com/hibiscusspur/hibiscusspur/policy/retrybudget"
 	"github.com/hibiscusspur/hibiscusspur/policy/stages"
 	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
@@ -88,7 +88,7 @@
 	// returners tells who has come back, by route.
 	returners map[string]*waiting.Returners
 	// readers are the engines that read prompts, engines those that generate.
-	readers *reading.Pool
+	readers *prefillpool.Pool
 	engines *engines
 	// arriving is the rate of prompts, in tokens per second.
 	arriving stages.Mean
@@ -170,7 +170,7 @@
 	if !ok {
 		s = &service{
 			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waiting.Returners{},
-			readers: reading.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
+			readers: prefillpool.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
 		}
 		f.services[name] = s
 	}
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -5,7 +5,7 @@
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
-	"github.com/hibiscusspur/hibiscusspur/policy/reading"
+	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
 	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
 )
 
@@ -25,8 +25,8 @@
 }
 
 // readingConfig is the same for who reads prompts.
-func readingConfig(off mechanism.Set) reading.Config {
-	c := reading.DefaultConfig()
+func readingConfig(off mechanism.Set) prefillpool.Config {
+	c := prefillpool.DefaultConfig()
 	if off.Has(mechanism.SelfRead) {
 		c.Self = 0
 	}
--- a/forward/prefill.go
+++ b/forward/prefill.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/outcome"
-	"github.com/hibiscusspur/hibiscusspur/policy/reading"
+	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
@@ -61,10 +61,10 @@
 
 // choosePrefill returns the engine that is to read the prompt, or none when the decode engine
 // of the lease had better read it.
-func (f *Forwarder) choosePrefill(j *job, l *lease, tried []string) (reading.Choice, bool) {
+func (f *Forwarder) choosePrefill(j *job, l *lease, tried []string) (prefillpool.Choice, bool) {
 	servers := f.View.Servers(j.service)
 	s := f.service(j.service)
-	ask := reading.Ask{
+	ask := prefillpool.Ask{
 		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, Crowd: s.engines.crowd(l.server.ID), Exclude: tried,
 		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.doubts.doubtful, Closed: f.closed,
 	}
@@ -74,7 +74,7 @@
 }
 
 // read sends the prompt to one prefill engine.
-func (f *Forwarder) read(ctx context.Context, j *job, c reading.Choice) (Export, error) {
+func (f *Forwarder) read(ctx context.Context, j *job, c prefillpool.Choice) (Export, error) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.Limit)
 	defer cancel()
@@ -91,7 +91,7 @@
 	return export, err
 }
 
-func (f *Forwarder) readingBegins(j *job, c reading.Choice) {
+func (f *Forwarder) readingBegins(j *job, c prefillpool.Choice) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	s.engines.noteReading(c.Server.ID, s.readers.OwnAt(c.Server.ID))
 }
 
-func (f *Forwarder) readingEnds(j *job, c reading.Choice, ok bool, took time.Duration) {
+func (f *Forwarder) readingEnds(j *job, c prefillpool.Choice, ok bool, took time.Duration) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/policy/reading/reading.go
+++ b/policy/prefillpool/prefillpool.go
@@ -1,4 +1,4 @@
-// Package reading chooses who reads a prompt: the prefill engine that will have read it
+// Package prefillpool chooses who reads a prompt: the prefill engine that will have read it
 // first, or the decode engine that will generate the answer.
 //
 // Load pattern: prompts arrive four times as fast as usual for a second or two, at several
@@ -16,7 +16,7 @@
 //
 // A Pool is deterministic, takes the time from its caller, and is not safe for concurrent
 // use.
-package reading
+package prefillpool
 
 import (
 	"math"
--- a/policy/reading/reading_test.go
+++ b/policy/prefillpool/prefillpool_test.go
@@ -1,4 +1,4 @@
-package reading_test
+package prefillpool_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/reading"
+	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
@@ -26,26 +26,26 @@
 func TestPick(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		set  func(p *reading.Pool)
-		ask  reading.Ask
+		set  func(p *prefillpool.Pool)
+		ask  prefillpool.Ask
 		want string
 	}{
-		{"the own zone", func(*reading.Pool) {}, reading.Ask{Tokens: 5000, Zone: "z2", Crowd: 1}, "b"},
-		{"the shorter line", func(p *reading.Pool) { p.Begin("a", 5000) }, reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "b"},
-		{"lines of other routers count", func(p *reading.Pool) { p.SetOthers("b", 9000) }, reading.Ask{Tokens: 5000, Zone: "z2", Crowd: 1}, "a"},
-		{"excluded", func(*reading.Pool) {}, reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Exclude: []string{"a"}}, "b"},
-		{"exports can't be fetched", func(p *reading.Pool) { p.Shun("a", start) }, reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "b"},
-		{"long lines: an empty decode engine reads it", lines(12_000), reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 0}, ""},
-		{"long lines: a full decode engine doesn't", lines(12_000), reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "a"},
-		{"very long lines: a full one does", lines(60_000), reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, ""},
-		{"no memory left at one", func(p *reading.Pool) { p.SetOthers("a", 24_000) }, reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 28_000}, "b"},
-		{"no memory left", lines(24_000), reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 28_000}, ""},
-		{"larger than the memory, and alone", func(*reading.Pool) {}, reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 4000}, "a"},
-		{"none is left", func(*reading.Pool) {}, reading.Ask{Tokens: 5000, Zone: "z1", Exclude: []string{"a", "b"}}, ""},
+		{"the own zone", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z2", Crowd: 1}, "b"},
+		{"the shorter line", func(p *prefillpool.Pool) { p.Begin("a", 5000) }, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "b"},
+		{"lines of other routers count", func(p *prefillpool.Pool) { p.SetOthers("b", 9000) }, prefillpool.Ask{Tokens: 5000, Zone: "z2", Crowd: 1}, "a"},
+		{"excluded", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Exclude: []string{"a"}}, "b"},
+		{"exports can't be fetched", func(p *prefillpool.Pool) { p.Shun("a", start) }, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "b"},
+		{"long lines: an empty decode engine reads it", lines(12_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 0}, ""},
+		{"long lines: a full decode engine doesn't", lines(12_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "a"},
+		{"very long lines: a full one does", lines(60_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, ""},
+		{"no memory left at one", func(p *prefillpool.Pool) { p.SetOthers("a", 24_000) }, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 28_000}, "b"},
+		{"no memory left", lines(24_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 28_000}, ""},
+		{"larger than the memory, and alone", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 4000}, "a"},
+		{"none is left", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z1", Exclude: []string{"a", "b"}}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := reading.New(reading.DefaultConfig(), "edge-1")
-			p.Pick(servers, reading.Ask{Tokens: 1, Crowd: 1}, start)
+			p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
+			p.Pick(servers, prefillpool.Ask{Tokens: 1, Crowd: 1}, start)
 			c.set(p)
 			got, ok := p.Pick(servers, c.ask, ms(1))
 			assert.Equal(t, ok, c.want != "")
@@ -55,8 +55,8 @@
 }
 
 // lines puts that many tokens before both engines.
-func lines(tokens int) func(p *reading.Pool) {
-	return func(p *reading.Pool) {
+func lines(tokens int) func(p *prefillpool.Pool) {
+	return func(p *prefillpool.Pool) {
 		p.SetOthers("a", tokens)
 		p.SetOthers("b", tokens)
 	}
@@ -65,19 +65,19 @@
 // TestLimitGrowsWithTheLine: a prompt that has to wait behind others is not given up as if its
 // engine were mute.
 func TestLimitGrowsWithTheLine(t *testing.T) {
-	p := reading.New(reading.DefaultConfig(), "edge-1")
-	idle, _ := p.Pick(servers, reading.Ask{Tokens: 5000, Crowd: 1}, start)
+	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
+	idle, _ := p.Pick(servers, prefillpool.Ask{Tokens: 5000, Crowd: 1}, start)
 	assert.Equal(t, idle.Limit, 600*time.Millisecond)
 	lines(40_000)(p)
-	busy, ok := p.Pick(servers, reading.Ask{Tokens: 5000, Crowd: 1}, start)
+	busy, ok := p.Pick(servers, prefillpool.Ask{Tokens: 5000, Crowd: 1}, start)
 	assert.Assert(t, ok)
 	assert.Assert(t, busy.Limit >= 3*busy.Expected && busy.Expected >= 900*time.Millisecond, "%v, %v", busy.Limit, busy.Expected)
 }
 
 // TestSlowEngine: one that turned slow gets fewer prompts, and is tried again in time.
 func TestSlowEngine(t *testing.T) {
-	p := reading.New(reading.DefaultConfig(), "edge-1")
-	ask := reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}
+	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
+	ask := prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}
 	for i := range 3 {
 		c, _ := p.Pick(servers[:1], ask, ms(i))
 		p.Begin("a", 5000)
@@ -108,12 +108,12 @@
 	list := []registry.Server{
 		{ID: "a", Stage: registry.Prefill}, {ID: "b", Stage: registry.Prefill}, {ID: "c", Stage: registry.Prefill},
 	}
-	pools := make([]*reading.Pool, routers)
+	pools := make([]*prefillpool.Pool, routers)
 	for i := range pools {
-		pools[i] = reading.New(reading.DefaultConfig(), fmt.Sprint("edge-", i))
+		pools[i] = prefillpool.New(prefillpool.DefaultConfig(), fmt.Sprint("edge-", i))
 	}
 	type sent struct {
-		choice reading.Choice
+		choice prefillpool.Choice
 		tokens int
 		end    time.Time
 		at     time.Time
@@ -149,7 +149,7 @@
 			continue
 		}
 		router, tokens := rng.IntN(routers), 2500+rng.IntN(5400)
-		c, ok := pools[router].Pick(list, reading.Ask{Tokens: tokens, Crowd: 1}, now)
+		c, ok := pools[router].Pick(list, prefillpool.Ask{Tokens: tokens, Crowd: 1}, now)
 		if !ok {
 			count++
 			continue
@@ -171,22 +171,22 @@
 
 // TestToldBeforeSeen: lines that others told of count from the first look at an engine on.
 func TestToldBeforeSeen(t *testing.T) {
-	p := reading.New(reading.DefaultConfig(), "edge-1")
+	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
 	p.SetOthers("a", 30_000)
-	got, ok := p.Pick(servers, reading.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, start)
+	got, ok := p.Pick(servers, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, start)
 	assert.Assert(t, ok)
 	assert.Equal(t, got.Server.ID, "b")
 }
 
 // TestNeverSelf: with the mechanism off, no line is too long.
 func TestNeverSelf(t *testing.T) {
-	cfg := reading.DefaultConfig()
+	cfg := prefillpool.DefaultConfig()
 	cfg.Self = 0
-	p := reading.New(cfg, "edge-1")
+	p := prefillpool.New(cfg, "edge-1")
 	lines(1_000_000)(p)
-	_, ok := p.Pick(servers, reading.Ask{Tokens: 5000}, start)
+	_, ok := p.Pick(servers, prefillpool.Ask{Tokens: 5000}, start)
 	assert.Assert(t, ok)
-	_, ok = p.Pick(servers, reading.Ask{Tokens: 5000, Exclude: []string{"a", "b"}}, start)
+	_, ok = p.Pick(servers, prefillpool.Ask{Tokens: 5000, Exclude: []string{"a", "b"}}, start)
 	assert.Assert(t, !ok, "none is left")
 }
 
@@ -201,8 +201,8 @@
 	}
 	sent := map[string]int{}
 	for i := range routers {
-		p := reading.New(reading.DefaultConfig(), fmt.Sprint("edge-hall-a-", i))
-		c, ok := p.Pick(list, reading.Ask{Tokens: prompt, Zone: "z1", Crowd: 1, Memory: memory}, start)
+		p := prefillpool.New(prefillpool.DefaultConfig(), fmt.Sprint("edge-hall-a-", i))
+		c, ok := p.Pick(list, prefillpool.Ask{Tokens: prompt, Zone: "z1", Crowd: 1, Memory: memory}, start)
 		assert.Assert(t, ok)
 		sent[c.Server.ID] += prompt
 	}
