--- a/forward/engines.go
+++ b/forward/engines.go
@@ -9,14 +9,14 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
 	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
 // engines joins the policies that place and queue requests for one service's decode
 // engines to goroutines and timers. It is safe for concurrent use.
 type engines struct {
-	terms waiting.Terms
+	terms waitqueue.Terms
 	off   mechanism.Set
 	// zone is that of this process.
 	zone string
@@ -30,9 +30,9 @@
 	doubtful func(id string) bool
 	// closed reports whether an engine is to be sent nothing now, by what it said.
 	closed func(id string) bool
-	line   waiting.Line
+	line   waitqueue.Line
 	// turns are where waiting requests learn which engine to ask.
-	turns map[*waiting.Waiter]turn
+	turns map[*waitqueue.Waiter]turn
 	// lengths is what was learned of the lengths of runs, by route.
 	lengths map[string]*runlength.Learner
 	// retry is set while a timer will look at the line again.
@@ -66,7 +66,7 @@
 		terms:  waitingTerms(off),
 		off:    off,
 		memory: kvmemory.New(memoryConfig(off), seed),
-		turns:  map[*waiting.Waiter]turn{}, lengths: map[string]*runlength.Learner{},
+		turns:  map[*waitqueue.Waiter]turn{}, lengths: map[string]*runlength.Learner{},
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // hopeless reports whether a request is to be turned away without waiting.
-func (e *engines) hopeless(w *waiting.Waiter, hold time.Duration, now time.Time) bool {
+func (e *engines) hopeless(w *waitqueue.Waiter, hold time.Duration, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if hold <= 0 || e.line.Len() == 0 {
@@ -150,7 +150,7 @@
 
 // await waits until the request's turn at an engine comes. The engine's memory is then
 // taken for the run, until refused, failed or release is called.
-func (e *engines) await(ctx context.Context, w *waiting.Waiter, t turn, capacity, slots int) (string, bool) {
+func (e *engines) await(ctx context.Context, w *waitqueue.Waiter, t turn, capacity, slots int) (string, bool) {
 	e.mu.Lock()
 	e.sync(e.list(), capacity, slots)
 	engine := make(chan string, 1)
@@ -197,7 +197,7 @@
 	now := time.Now()
 	for {
 		var id string
-		w := e.line.Next(func(w *waiting.Waiter) bool {
+		w := e.line.Next(func(w *waitqueue.Waiter) bool {
 			var ok bool
 			t := e.turns[w]
 			id, ok = e.memory.Pick(kvmemory.Ask{
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -24,7 +24,7 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
 	"github.com/hibiscusspur/hibiscusspur/policy/retrybudget"
 	"github.com/hibiscusspur/hibiscusspur/policy/stages"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
@@ -86,7 +86,7 @@
 	// limits is how many calls each server of a plain service gets.
 	limits *overload.Limiter
 	// returners tells who has come back, by route.
-	returners map[string]*waiting.Returners
+	returners map[string]*waitqueue.Returners
 	// readers are the engines that read prompts, engines those that generate.
 	readers *prefillpool.Pool
 	engines *engines
@@ -169,7 +169,7 @@
 	s, ok := f.services[name]
 	if !ok {
 		s = &service{
-			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waiting.Returners{},
+			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waitqueue.Returners{},
 			readers: prefillpool.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
 		}
 		f.services[name] = s
@@ -286,7 +286,7 @@
 func (s *service) returned(j *job) bool {
 	r, ok := s.returners[j.route.Name]
 	if !ok {
-		r = &waiting.Returners{}
+		r = &waitqueue.Returners{}
 		s.returners[j.route.Name] = r
 	}
 	return r.Returned(j.meta.Patience)
@@ -325,7 +325,7 @@
 			continue
 		}
 		s.engines.forget(table.Has)
-		maps.DeleteFunc(s.returners, func(name string, _ *waiting.Returners) bool { return !table.Has(name) })
+		maps.DeleteFunc(s.returners, func(name string, _ *waitqueue.Returners) bool { return !table.Has(name) })
 	}
 }
 
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -6,7 +6,7 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
 	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
 // memoryConfig is how decode engines are chosen without the mechanisms that are off.
@@ -34,8 +34,8 @@
 }
 
 // waitingTerms is the same for requests that wait.
-func waitingTerms(off mechanism.Set) waiting.Terms {
-	t := waiting.DefaultTerms()
+func waitingTerms(off mechanism.Set) waitqueue.Terms {
+	t := waitqueue.DefaultTerms()
 	if off.Has(mechanism.LateWait) {
 		t.LateWait = 0
 	}
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
@@ -95,8 +95,8 @@
 }
 
 // newWaiter is the request's turn in the line.
-func (j *job) newWaiter(terms waiting.Terms) *waiting.Waiter {
-	return &waiting.Waiter{
+func (j *job) newWaiter(terms waitqueue.Terms) *waitqueue.Waiter {
+	return &waitqueue.Waiter{
 		Need: j.need(), Arrived: j.arrived, Late: j.late, Priority: j.priority(),
 		Until: terms.Until(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.late),
 	}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -10,7 +10,7 @@
 
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
@@ -22,7 +22,7 @@
 	// lastEvent is the last event that the client has.
 	lastEvent string
 	// waiter is the request's turn in the line for memory; nil before it first waits.
-	waiter *waiting.Waiter
+	waiter *waitqueue.Waiter
 	// run is what placement knows of it; nil as long.
 	run *kvmemory.Run
 	// kept is the KV cache of an attempt whose run was refused or not sent, for the next one.
--- a/forward/types.go
+++ b/forward/types.go
@@ -2,7 +2,7 @@
 // resumed where the route allows it, and answered once.
 //
 // The package decides nothing by itself that depends on load: who waits and which
-// engine is asked is in policy/waiting and policy/kvmemory, which server a plain call
+// engine is asked is in policy/waitqueue and policy/kvmemory, which server a plain call
 // goes to in policy/outlier, how much may be repeated in policy/retrybudget. How a
 // request looks on the wire is the Codec's.
 package forward
--- a/policy/kvmemory/crowd_load_test.go
+++ b/policy/kvmemory/crowd_load_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
 // What a request of the replay takes, as on the users' large deployment: 759 tokens in the mean, one each
@@ -91,7 +91,7 @@
 	prompt, total, hint int
 	router              int
 	first               time.Time
-	waiter              *waiting.Waiter
+	waiter              *waitqueue.Waiter
 	run                 *kvmemory.Run
 	engine              string
 	// event is when the first event comes; done is what was generated.
--- a/policy/kvmemory/crowd_test.go
+++ b/policy/kvmemory/crowd_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
 // crowd is a replay of many routers before many engines: each has its own line and pool, hears of the others'
@@ -19,9 +19,9 @@
 	site
 	rng     *rand.Rand
 	pools   []*kvmemory.Pool
-	lines   []*waiting.Line
+	lines   []*waitqueue.Line
 	lengths []map[string]*runlength.Learner
-	terms   waiting.Terms
+	terms   waitqueue.Terms
 	// frees is the memory that a router expects to become free for it while a run lasts, in tokens; nobody is
 	// turned away at once without it. atOnce counts those who were.
 	frees  func(p *kvmemory.Pool, now time.Time) float64
@@ -33,7 +33,7 @@
 	ages    *ages
 	looks   map[time.Time][]*visit
 	all     []*visit
-	waiting map[*waiting.Waiter]*visit
+	waiting map[*waitqueue.Waiter]*visit
 	running []*visit
 	comes   map[time.Time][]*visit
 	tells   map[time.Time][]string
@@ -47,8 +47,8 @@
 
 func newCrowd(s site, cfg kvmemory.Config) *crowd {
 	c := &crowd{
-		site: s, rng: rand.New(rand.NewPCG(s.seed, 7)), terms: waiting.DefaultTerms(),
-		waiting: map[*waiting.Waiter]*visit{}, comes: map[time.Time][]*visit{}, tells: map[time.Time][]string{},
+		site: s, rng: rand.New(rand.NewPCG(s.seed, 7)), terms: waitqueue.DefaultTerms(),
+		waiting: map[*waitqueue.Waiter]*visit{}, comes: map[time.Time][]*visit{}, tells: map[time.Time][]string{},
 		used: map[string]float64{}, arrived: map[string]int{}, looks: map[time.Time][]*visit{},
 	}
 	list := make([]kvmemory.Server, s.engines)
@@ -60,7 +60,7 @@
 		p := kvmemory.New(cfg, fmt.Sprintf("edge-%d", i))
 		p.Sync(list)
 		p.SetRouters(s.routers)
-		c.pools, c.lines = append(c.pools, p), append(c.lines, &waiting.Line{})
+		c.pools, c.lines = append(c.pools, p), append(c.lines, &waitqueue.Line{})
 		c.lengths = append(c.lengths, map[string]*runlength.Learner{})
 	}
 	c.all = s.visits(c.rng)
@@ -92,7 +92,7 @@
 // arrive puts a request into the line of its router.
 func (c *crowd) arrive(v *visit, now time.Time) {
 	late, left := now != v.first, crowdPatience-now.Sub(v.first)
-	v.waiter = &waiting.Waiter{
+	v.waiter = &waitqueue.Waiter{
 		Need: v.prompt + v.hint, Arrived: now, Late: late,
 		Until: c.terms.Until(now, crowdObjective, left, v.prompt, late),
 	}
@@ -124,7 +124,7 @@
 	p := c.pools[i]
 	for {
 		var id string
-		w := c.lines[i].Next(func(w *waiting.Waiter) bool {
+		w := c.lines[i].Next(func(w *waitqueue.Waiter) bool {
 			var ok bool
 			id, ok = p.Pick(kvmemory.Ask{Run: c.waiting[w].run, Late: w.Late}, now)
 			return ok
--- a/policy/waiting/patience.go
+++ b/policy/waitqueue/patience.go
@@ -1,4 +1,4 @@
-package waiting
+package waitqueue
 
 import "time"
 
--- a/policy/waiting/waiting.go
+++ b/policy/waitqueue/waitqueue.go
@@ -1,4 +1,4 @@
-// Package waiting is the line of requests for which no engine has room.
+// Package waitqueue is the line of requests for which no engine has room.
 //
 // Load pattern: for some seconds requests arrive about twice as fast as memory is
 // freed. An answer is worth most to its caller when it begins within the route's
@@ -10,7 +10,7 @@
 //
 // A Line is deterministic and takes the time from its caller. It is not safe for
 // concurrent use.
-package waiting
+package waitqueue
 
 import (
 	"slices"
--- a/policy/waiting/waiting_test.go
+++ b/policy/waitqueue/waitqueue_test.go
@@ -1,4 +1,4 @@
-package waiting_test
+package waitqueue_test
 
 import (
 	"math/rand/v2"
@@ -8,38 +8,38 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
 var start = time.Unix(1000, 0)
 
 func ms(n int) time.Time { return start.Add(time.Duration(n) * time.Millisecond) }
 
-func any(*waiting.Waiter) bool { return true }
+func any(*waitqueue.Waiter) bool { return true }
 
-func upTo(n int) func(*waiting.Waiter) bool {
-	return func(w *waiting.Waiter) bool { return w.Need <= n }
+func upTo(n int) func(*waitqueue.Waiter) bool {
+	return func(w *waitqueue.Waiter) bool { return w.Need <= n }
 }
 
 func TestOrder(t *testing.T) {
-	urgent := &waiting.Waiter{Arrived: ms(30), Priority: 0}
-	first := &waiting.Waiter{Arrived: ms(10), Priority: 1}
-	second := &waiting.Waiter{Arrived: ms(20), Priority: 1}
-	returned := &waiting.Waiter{Arrived: ms(0), Priority: 0, Late: true}
-	var l waiting.Line
-	for _, w := range []*waiting.Waiter{returned, second, urgent, first} {
+	urgent := &waitqueue.Waiter{Arrived: ms(30), Priority: 0}
+	first := &waitqueue.Waiter{Arrived: ms(10), Priority: 1}
+	second := &waitqueue.Waiter{Arrived: ms(20), Priority: 1}
+	returned := &waitqueue.Waiter{Arrived: ms(0), Priority: 0, Late: true}
+	var l waitqueue.Line
+	for _, w := range []*waitqueue.Waiter{returned, second, urgent, first} {
 		l.Add(w)
 	}
-	for _, want := range []*waiting.Waiter{urgent, first, second, returned} {
+	for _, want := range []*waitqueue.Waiter{urgent, first, second, returned} {
 		assert.Equal(t, l.Next(any, time.Second, ms(40)), want)
 	}
 	assert.Assert(t, l.Next(any, time.Second, ms(40)) == nil)
 }
 
 func TestLargeRequestIsPassedForAWhileOnly(t *testing.T) {
-	var l waiting.Line
-	large := &waiting.Waiter{Need: 10_000, Arrived: ms(0)}
-	small := &waiting.Waiter{Need: 3000, Arrived: ms(10)}
+	var l waitqueue.Line
+	large := &waitqueue.Waiter{Need: 10_000, Arrived: ms(0)}
+	small := &waitqueue.Waiter{Need: 3000, Arrived: ms(10)}
 	l.Add(large)
 	l.Add(small)
 	assert.Assert(t, l.Next(upTo(5000), 300*time.Millisecond, ms(301)) == nil, "memory is kept for the large one")
@@ -48,8 +48,8 @@
 }
 
 func TestRemove(t *testing.T) {
-	var l waiting.Line
-	w := &waiting.Waiter{Need: 7}
+	var l waitqueue.Line
+	w := &waitqueue.Waiter{Need: 7}
 	l.Add(w)
 	assert.Equal(t, l.Ahead(w), 7)
 	assert.Assert(t, l.Remove(w))
@@ -58,7 +58,7 @@
 }
 
 func TestUntil(t *testing.T) {
-	terms := waiting.DefaultTerms()
+	terms := waitqueue.DefaultTerms()
 	for _, c := range []struct {
 		name            string
 		objective, left time.Duration
@@ -82,7 +82,7 @@
 // TestReturned: those that were turned away are told from those that come for the first time,
 // by what they say themselves.
 func TestReturned(t *testing.T) {
-	var r waiting.Returners
+	var r waitqueue.Returners
 	for _, c := range []struct {
 		patience int
 		want     bool
@@ -99,7 +99,7 @@
 }
 
 func TestAgain(t *testing.T) {
-	terms := waiting.DefaultTerms()
+	terms := waitqueue.DefaultTerms()
 	for _, c := range []struct{ until, now, deadline, want int }{
 		{600, 3000, 14_000, 4000},
 		{600, 100, 14_000, 1100},
@@ -111,14 +111,14 @@
 }
 
 func TestComeBack(t *testing.T) {
-	terms := waiting.DefaultTerms()
+	terms := waitqueue.DefaultTerms()
 	assert.Equal(t, terms.ComeBack(14*time.Second, 0), terms.BackMin)
 	assert.Assert(t, terms.ComeBack(14*time.Second, 0.999) > 4500*time.Millisecond)
 	assert.Equal(t, terms.ComeBack(6*time.Second, 0.5), 2*time.Second, "a third of the time left")
 }
 
 func TestHopeless(t *testing.T) {
-	terms := waiting.DefaultTerms()
+	terms := waitqueue.DefaultTerms()
 	for _, c := range []struct {
 		ahead int
 		rate  float64
@@ -137,7 +137,7 @@
 
 // replayed is a request of a replayed burst.
 type replayed struct {
-	waiting.Waiter
+	waitqueue.Waiter
 	at   time.Time
 	runs time.Duration
 	// late is set once it came back; u is its chance.
@@ -164,7 +164,7 @@
 		for range arrivals(rng, now) {
 			tokens := 100 + rng.IntN(1300)
 			out = append(out, &replayed{
-				Waiter: waiting.Waiter{Need: 2500 + rng.IntN(5400) + tokens},
+				Waiter: waitqueue.Waiter{Need: 2500 + rng.IntN(5400) + tokens},
 				at:     now, u: rng.Float64(),
 				runs: 300*time.Millisecond + time.Duration(tokens)*4300*time.Microsecond,
 			})
@@ -175,12 +175,12 @@
 
 // replay drives one router before 12 engines' memory through the day. Until says how long a
 // request waits, and back when one that is turned away comes back (zero for never).
-func replay(order func(l *waiting.Line, fits func(*waiting.Waiter) bool, now time.Time) *waiting.Waiter,
+func replay(order func(l *waitqueue.Line, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter,
 	until func(r *replayed) time.Time, back func(r *replayed) time.Duration) end {
-	var l waiting.Line
+	var l waitqueue.Line
 	var e end
 	used := 0
-	byWaiter := map[*waiting.Waiter]*replayed{}
+	byWaiter := map[*waitqueue.Waiter]*replayed{}
 	var inLine []*replayed
 	ends := map[time.Time][]int{}
 	comes := map[time.Time][]*replayed{}
@@ -202,7 +202,7 @@
 			enter(r, now)
 		}
 		for {
-			w := order(&l, func(w *waiting.Waiter) bool { return used+w.Need <= memory }, now)
+			w := order(&l, func(w *waitqueue.Waiter) bool { return used+w.Need <= memory }, now)
 			if w == nil {
 				break
 			}
@@ -250,20 +250,20 @@
 	return n
 }
 
-func inOrder(l *waiting.Line, fits func(*waiting.Waiter) bool, now time.Time) *waiting.Waiter {
+func inOrder(l *waitqueue.Line, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
 	return l.Next(fits, 300*time.Millisecond, now)
 }
 
 // TestBursts compares the policy with a line in order of arrival that everybody stands in
 // until served, on the same load: many more are answered in time, and nearly all in the end.
 func TestBursts(t *testing.T) {
-	terms := waiting.DefaultTerms()
+	terms := waitqueue.DefaultTerms()
 	ours := replay(inOrder,
 		func(r *replayed) time.Time {
 			return terms.Until(r.Arrived, objective, patience-4*time.Second, r.Need, r.late)
 		},
 		func(r *replayed) time.Duration { return terms.ComeBack(patience, r.u) })
-	line := replay(func(l *waiting.Line, fits func(*waiting.Waiter) bool, now time.Time) *waiting.Waiter {
+	line := replay(func(l *waitqueue.Line, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
 		return l.Next(fits, 0, now)
 	},
 		func(r *replayed) time.Time { return r.Arrived.Add(patience) },
