--- a/cmd/hibiscusspur/gateway.go
+++ b/cmd/hibiscusspur/gateway.go
@@ -17,7 +17,7 @@
 	"github.com/hibiscusspur/hibiscusspur/holdback"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/platform"
-	"github.com/hibiscusspur/hibiscusspur/policy/currency"
+	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
 	"github.com/hibiscusspur/hibiscusspur/policy/retrybudget"
 	"github.com/hibiscusspur/hibiscusspur/upstream"
@@ -105,9 +105,9 @@
 }
 
 // keyBounds is for how long a configuration is trusted that is not proved to be the newest.
-func keyBounds(set platform.Settings) currency.Bounds {
+func keyBounds(set platform.Settings) freshness.Bounds {
 	if !set.FailClosed {
-		return currency.Bounds{}
+		return freshness.Bounds{}
 	}
-	return currency.Bounds{Revoke: set.Revoke}
+	return freshness.Bounds{Revoke: set.Revoke}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,7 +20,7 @@
 	"github.com/hibiscusspur/hibiscusspur/kernel"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/peer"
-	"github.com/hibiscusspur/hibiscusspur/policy/currency"
+	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
 	"github.com/hibiscusspur/hibiscusspur/policy/retrybudget"
 	"github.com/hibiscusspur/hibiscusspur/registry"
@@ -63,7 +63,7 @@
 	Retry         retrybudget.Limits
 	// Keys bounds for how long requests with keys are served under a configuration that is not proved to be
 	// the newest.
-	Keys currency.Bounds
+	Keys freshness.Bounds
 	// Off are the mechanisms that are switched off.
 	Off mechanism.Set
 }
--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -7,7 +7,7 @@
 
 	"github.com/hibiscusspur/hibiscusspur/clock"
 	"github.com/hibiscusspur/hibiscusspur/event"
-	"github.com/hibiscusspur/hibiscusspur/policy/currency"
+	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 )
 
 const (
@@ -30,19 +30,19 @@
 type proofs struct {
 	// now is a clock that goes on while the VM is suspended.
 	now    func() time.Duration
-	bounds currency.Bounds
+	bounds freshness.Bounds
 	// due is sent to when a request waits for a proof.
 	due chan struct{}
 
 	mu     sync.Mutex
-	ledger currency.Ledger
+	ledger freshness.Ledger
 	// row is where the store holds version, which was read here; zero if that is not known.
 	version, row int64
 	// changed is closed at the next proof.
 	changed chan struct{}
 }
 
-func newProofs(b currency.Bounds, now func() time.Duration) *proofs {
+func newProofs(b freshness.Bounds, now func() time.Duration) *proofs {
 	if now == nil {
 		now = clock.Uptime
 	}
@@ -64,12 +64,12 @@
 	if version >= p.version {
 		p.version, p.row = version, row
 	}
-	p.ledger.Prove(currency.Proof{Version: version, At: asked})
+	p.ledger.Prove(freshness.Proof{Version: version, At: asked})
 	p.wakeAll()
 }
 
 // prove takes a proof.
-func (p *proofs) prove(proof currency.Proof) {
+func (p *proofs) prove(proof freshness.Proof) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ledger.Prove(proof)
@@ -108,7 +108,7 @@
 
 // lately reports whether a key that is not known here is unknown; it waits a moment for a proof to tell.
 func (p *proofs) lately(ctx context.Context) bool {
-	return p.await(ctx, func(age time.Duration, known bool) bool { return known && age < currency.UnknownAfter })
+	return p.await(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownAfter })
 }
 
 // await reports whether enough is proved, now or within proofWait.
@@ -209,7 +209,7 @@
 			return err
 		}
 		if current {
-			s.proofs.prove(currency.Proof{Version: version, At: asked})
+			s.proofs.prove(freshness.Proof{Version: version, At: asked})
 			return nil
 		}
 		asked = s.proofs.now()
@@ -255,5 +255,5 @@
 
 // TakeProof implements peer.Beliefs.
 func (s *Service) TakeProof(version int64, at time.Duration) {
-	s.proofs.prove(currency.Proof{Version: version, At: at})
+	s.proofs.prove(freshness.Proof{Version: version, At: at})
 }
--- a/gateway/proofs_test.go
+++ b/gateway/proofs_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/currency"
+	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 	"github.com/hibiscusspur/hibiscusspur/route"
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &keyedFleet{store: newKeyedStore()}
-		f.fleet = newFleetWith(ctx, keyedGateways, 0, Settings{Keys: currency.Bounds{Revoke: revoke}}, func(int) Store {
+		f.fleet = newFleetWith(ctx, keyedGateways, 0, Settings{Keys: freshness.Bounds{Revoke: revoke}}, func(int) Store {
 			o := &storeOf{s: f.store}
 			f.stores = append(f.stores, o)
 			return o
@@ -293,7 +293,7 @@
 func TestNoProofNoService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		epoch := time.Now()
-		p := newProofs(currency.Bounds{Revoke: revoke}, func() time.Duration { return time.Since(epoch) })
+		p := newProofs(freshness.Bounds{Revoke: revoke}, func() time.Duration { return time.Since(epoch) })
 		assert.Assert(t, !p.trusted(t.Context()))
 		assert.Equal(t, time.Since(epoch), proofWait)
 		p.inForce(1)
--- a/policy/currency/currency.go
+++ b/policy/freshness/freshness.go
@@ -1,4 +1,4 @@
-// Package currency decides how old a configuration may be under which requests with keys are served.
+// Package freshness decides how old a configuration may be under which requests with keys are served.
 //
 // Load pattern: a key is taken away while some gateways are cut off from the platform's store, from each
 // other, or frozen. From a bound after the change on no gateway may run a request with that key, and none
@@ -12,7 +12,7 @@
 //
 // A Ledger takes the time from its caller: a clock that goes on while the VM is suspended. It is not safe
 // for concurrent use.
-package currency
+package freshness
 
 import "time"
 
--- a/policy/currency/currency_test.go
+++ b/policy/freshness/freshness_test.go
@@ -1,4 +1,4 @@
-package currency_test
+package freshness_test
 
 import (
 	"testing"
@@ -6,32 +6,32 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/currency"
+	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 )
 
 const second = time.Second
 
 func TestAge(t *testing.T) {
-	var l currency.Ledger
+	var l freshness.Ledger
 	_, known := l.Age(0)
 	assert.Assert(t, !known, "nothing is proved yet")
 	l.InForce(3)
 	_, known = l.Age(0)
 	assert.Assert(t, !known, "a table alone proves nothing: it may have been replaced since")
 
-	l.Prove(currency.Proof{Version: 3, At: 2 * second})
+	l.Prove(freshness.Proof{Version: 3, At: 2 * second})
 	age, known := l.Age(5 * second)
 	assert.Assert(t, known)
 	assert.Equal(t, age, 3*second)
 
-	l.Prove(currency.Proof{Version: 4, At: 4 * second})
+	l.Prove(freshness.Proof{Version: 4, At: 4 * second})
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, 3*second, "a newer version is known of, and not in force here")
 	l.InForce(4)
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second)
 
-	l.Prove(currency.Proof{Version: 4, At: 3 * second})
+	l.Prove(freshness.Proof{Version: 4, At: 3 * second})
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second, "an older proof changes nothing")
 	l.InForce(9)
@@ -39,13 +39,13 @@
 	assert.Equal(t, age, second, "what was changed until the proof is in a later version too")
 	newest, ok := l.Newest()
 	assert.Assert(t, ok)
-	assert.Equal(t, newest, currency.Proof{Version: 4, At: 4 * second})
+	assert.Equal(t, newest, freshness.Proof{Version: 4, At: 4 * second})
 }
 
 func TestTrusted(t *testing.T) {
-	closed := currency.Bounds{Revoke: 5 * second}
+	closed := freshness.Bounds{Revoke: 5 * second}
 	for _, c := range []struct {
-		bounds currency.Bounds
+		bounds freshness.Bounds
 		age    time.Duration
 		known  bool
 		want   bool
@@ -54,19 +54,19 @@
 		{closed, 4700 * time.Millisecond, true, true},
 		{closed, 4750 * time.Millisecond, true, false},
 		{closed, 0, false, false},
-		{currency.Bounds{}, time.Hour, true, true},
-		{currency.Bounds{}, 0, false, true},
-		{currency.Bounds{Revoke: 100 * time.Millisecond}, 0, true, false},
+		{freshness.Bounds{}, time.Hour, true, true},
+		{freshness.Bounds{}, 0, false, true},
+		{freshness.Bounds{Revoke: 100 * time.Millisecond}, 0, true, false},
 	} {
 		assert.Equal(t, c.bounds.Trusted(c.age, c.known), c.want, "%+v", c)
 	}
 }
 
 func BenchmarkAge(b *testing.B) {
-	var l currency.Ledger
+	var l freshness.Ledger
 	l.InForce(3)
-	l.Prove(currency.Proof{Version: 3, At: 1})
-	bounds := currency.Bounds{Revoke: 5 * second}
+	l.Prove(freshness.Proof{Version: 3, At: 1})
+	bounds := freshness.Bounds{Revoke: 5 * second}
 	b.ReportAllocs()
 	for b.Loop() {
 		if age, known := l.Age(2); !bounds.Trusted(age, known) {
--- a/policy/currency/model_test.go
+++ b/policy/freshness/model_test.go
@@ -1,10 +1,10 @@
-package currency_test
+package freshness_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/currency"
+	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 )
 
 // The model: a store whose configuration changes, and gateways that ask it, ask each other, and start again, each with
@@ -28,7 +28,7 @@
 }
 
 type modelGateway struct {
-	ledger currency.Ledger
+	ledger freshness.Ledger
 	// version is in force.
 	version int8
 	ask     asked
@@ -105,13 +105,13 @@
 		g.ledger.InForce(int64(a.version))
 	}
 	if a.proved > 0 {
-		g.ledger.Prove(currency.Proof{Version: int64(a.proved), At: ticks(a.at - a.age)})
+		g.ledger.Prove(freshness.Proof{Version: int64(a.proved), At: ticks(a.at - a.age)})
 	}
 }
 
 // wrong is a gateway that trusts a configuration in which a change is missing that was accepted too long ago.
 func (m *model) wrong() (int, bool) {
-	bounds := currency.Bounds{Revoke: ticks(modelRevoke)}
+	bounds := freshness.Bounds{Revoke: ticks(modelRevoke)}
 	for i := range m.gateways {
 		g := &m.gateways[i]
 		if !bounds.Trusted(g.ledger.Age(ticks(m.now))) {
