--- a/forward/engines.go
+++ b/forward/engines.go
@@ -8,7 +8,7 @@
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
@@ -34,7 +34,7 @@
 	// turns are where waiting requests learn which engine to ask.
 	turns map[*waitqueue.Waiter]turn
 	// lengths is what was learned of the lengths of runs, by route.
-	lengths map[string]*runlength.Learner
+	lengths map[string]*outputlength.Learner
 	// retry is set while a timer will look at the line again.
 	retry bool
 	// short is when a request last waited for memory.
@@ -66,7 +66,7 @@
 		terms:  waitingTerms(off),
 		off:    off,
 		memory: kvmemory.New(memoryConfig(off), seed),
-		turns:  map[*waitqueue.Waiter]turn{}, lengths: map[string]*runlength.Learner{},
+		turns:  map[*waitqueue.Waiter]turn{}, lengths: map[string]*outputlength.Learner{},
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 	l, ok := e.lengths[routeName]
 	if !ok {
-		l = runlength.New()
+		l = outputlength.New()
 		e.lengths[routeName] = l
 	}
 	length := l.Begin(m.LengthHint, m.MaxTokens)
@@ -127,7 +127,7 @@
 func (e *engines) forget(keep func(routeName string) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	maps.DeleteFunc(e.lengths, func(name string, _ *runlength.Learner) bool { return !keep(name) })
+	maps.DeleteFunc(e.lengths, func(name string, _ *outputlength.Learner) bool { return !keep(name) })
 }
 
 // finished notes that a run has come to its own end.
--- a/policy/kvmemory/crowd_test.go
+++ b/policy/kvmemory/crowd_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
@@ -20,7 +20,7 @@
 	rng     *rand.Rand
 	pools   []*kvmemory.Pool
 	lines   []*waitqueue.Line
-	lengths []map[string]*runlength.Learner
+	lengths []map[string]*outputlength.Learner
 	terms   waitqueue.Terms
 	// frees is the memory that a router expects to become free for it while a run lasts, in tokens; nobody is
 	// turned away at once without it. atOnce counts those who were.
@@ -61,7 +61,7 @@
 		p.Sync(list)
 		p.SetRouters(s.routers)
 		c.pools, c.lines = append(c.pools, p), append(c.lines, &waitqueue.Line{})
-		c.lengths = append(c.lengths, map[string]*runlength.Learner{})
+		c.lengths = append(c.lengths, map[string]*outputlength.Learner{})
 	}
 	c.all = s.visits(c.rng)
 	for _, v := range c.all {
@@ -98,7 +98,7 @@
 	}
 	l := c.lengths[v.router]
 	if l[v.kind.name] == nil {
-		l[v.kind.name] = runlength.New()
+		l[v.kind.name] = outputlength.New()
 	}
 	v.run = &kvmemory.Run{Need: v.waiter.Need, Prompt: v.prompt, Length: l[v.kind.name].Begin(v.hint, crowdMost)}
 	if c.hopeless(v, now) {
--- a/policy/kvmemory/forecast_test.go
+++ b/policy/kvmemory/forecast_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // told is the load of one run of 5,000 prompt tokens and about 4,000 generated ones.
 func told(t *testing.T) kvmemory.Load {
 	t.Helper()
 	p := pool("g", 1)
-	r := &kvmemory.Run{Need: 9000, Prompt: 5000, Length: runlength.New().Begin(4000, 9360)}
+	r := &kvmemory.Run{Need: 9000, Prompt: 5000, Length: outputlength.New().Begin(4000, 9360)}
 	id, ok := p.Pick(kvmemory.Ask{Run: r}, start)
 	assert.Assert(t, ok)
 	p.Take(id, r)
@@ -55,11 +55,11 @@
 	for tenth := 1; tenth <= 9; tenth++ {
 		p := pool("g", 1)
 		prompt := tenth * capacity / 10
-		r := &kvmemory.Run{Need: prompt + hint, Prompt: prompt, Length: runlength.New().Begin(hint, most)}
+		r := &kvmemory.Run{Need: prompt + hint, Prompt: prompt, Length: outputlength.New().Begin(hint, most)}
 		id, ok := p.Pick(kvmemory.Ask{Run: r}, start)
 		assert.Assert(t, ok, "%d tenths of an engine's memory", tenth)
 		p.Take(id, r)
-		over := &kvmemory.Run{Need: capacity - prompt, Prompt: capacity - prompt, Length: runlength.New().Begin(hint, most)}
+		over := &kvmemory.Run{Need: capacity - prompt, Prompt: capacity - prompt, Length: outputlength.New().Begin(hint, most)}
 		_, ok = p.Pick(kvmemory.Ask{Run: over}, start)
 		assert.Assert(t, !ok, "what is left beside %d tenths is known", tenth)
 	}
--- a/policy/kvmemory/peak_test.go
+++ b/policy/kvmemory/peak_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // The load that is replayed: prompts of some 5,000 tokens whose answers are as long again, so
@@ -32,7 +32,7 @@
 // growing is one request of the replay.
 type growing struct {
 	run           *kvmemory.Run
-	length        *runlength.Run
+	length        *outputlength.Run
 	prompt, total int
 	arrived       time.Time
 	done          float64
@@ -40,21 +40,25 @@
 }
 
 // sizing says what placement knows of a request's memory.
-type sizing func(l *runlength.Learner, g *growing, hint int) *kvmemory.Run
+type sizing func(l *outputlength.Learner, g *growing, hint int) *kvmemory.Run
 
-func byForecast(l *runlength.Learner, g *growing, hint int) *kvmemory.Run {
+func byForecast(l *outputlength.Learner, g *growing, hint int) *kvmemory.Run {
 	g.length = l.Begin(hint, peakMost)
 	return &kvmemory.Run{Need: g.prompt + hint, Prompt: g.prompt, Length: g.length}
 }
 
-func byHint(_ *runlength.Learner, g *growing, hint int) *kvmemory.Run {
+func byHint(_ *outputlength.Learner, g *growing, hint int) *kvmemory.Run {
 	return run(g.prompt + max(hint, peakMost*boolInt(hint == 0)))
 }
 
-func byMost(_ *runlength.Learner, g *growing, _ int) *kvmemory.Run { return run(g.prompt + peakMost) }
+func byMost(_ *outputlength.Learner, g *growing, _ int) *kvmemory.Run {
+	return run(g.prompt + peakMost)
+}
 
 // byOracle knows the lengths, but adds up what runs hold at their ends.
-func byOracle(_ *runlength.Learner, g *growing, _ int) *kvmemory.Run { return run(g.prompt + g.total) }
+func byOracle(_ *outputlength.Learner, g *growing, _ int) *kvmemory.Run {
+	return run(g.prompt + g.total)
+}
 
 func boolInt(b bool) int {
 	if b {
@@ -83,7 +87,7 @@
 		list[i].Capacity, list[i].Slots = peakMemory, peakSlots
 	}
 	p.Sync(list)
-	l := runlength.New()
+	l := outputlength.New()
 	var waiting, running []*growing
 	var out replayed
 	for now := start; now.Before(start.Add(peakDay)); now = now.Add(tick) {
--- a/policy/kvmemory/pick_bench_test.go
+++ b/policy/kvmemory/pick_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // BenchmarkPick is a choice among 350 engines, of each of which one run of this router and ten
@@ -18,7 +18,7 @@
 		list[i] = kvmemory.Server{ID: fmt.Sprintf("i-%03d", i), Zone: "z1", Capacity: 100_000, Slots: 48}
 	}
 	p.Sync(list)
-	l := runlength.New()
+	l := outputlength.New()
 	for _, s := range list {
 		p.Take(s.ID, &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)})
 		others := held(50_000)
--- a/policy/kvmemory/run.go
+++ b/policy/kvmemory/run.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // Run is one request that needs memory of an engine. All but Generated belongs to the lock
@@ -16,7 +16,7 @@
 	// Prompt is the length of its prompt, in tokens, and Length what is known of how much it
 	// generates. Without Length it holds Need from the start to its end.
 	Prompt int
-	Length *runlength.Run
+	Length *outputlength.Run
 	// Room is the memory, in tokens, that was thought to stay free at its engine's fullest
 	// moment when it was placed.
 	Room int
--- a/policy/runlength/runlength.go
+++ b/policy/outputlength/outputlength.go
@@ -1,4 +1,4 @@
-// Package runlength learns how many tokens runs generate, as a distribution and not as one
+// Package outputlength learns how many tokens runs generate, as a distribution and not as one
 // number.
 //
 // Load pattern: a caller's hint is right at the median and wrong by a factor of two for a
@@ -13,7 +13,7 @@
 // before they end.
 //
 // A Learner is deterministic and not safe for concurrent use.
-package runlength
+package outputlength
 
 import "math"
 
--- a/policy/runlength/runlength_test.go
+++ b/policy/outputlength/outputlength_test.go
@@ -1,4 +1,4 @@
-package runlength_test
+package outputlength_test
 
 import (
 	"math"
@@ -7,13 +7,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 const most = 10_000
 
 // feed lets n runs end at times times their hint, with a spread of sigma.
-func feed(l *runlength.Learner, rng *rand.Rand, n int, times, sigma float64) {
+func feed(l *outputlength.Learner, rng *rand.Rand, n int, times, sigma float64) {
 	for range n {
 		hint := 200 + rng.IntN(2000)
 		length := min(int(float64(hint)*times*math.Exp(sigma*rng.NormFloat64())), most)
@@ -42,7 +42,7 @@
 		{"hints are four times too high", 100, 0.25, 1000, 200, 320},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := runlength.New()
+			l := outputlength.New()
 			feed(l, rand.New(rand.NewPCG(1, 2)), c.runs, c.times, 0.3)
 			got := l.Begin(c.hint, most).Expect()
 			assert.Assert(t, got >= c.low && got <= c.high, "%d", got)
@@ -53,7 +53,7 @@
 // TestWorkloadChanges: two hundred runs after answers became three times as long, that is
 // what is expected.
 func TestWorkloadChanges(t *testing.T) {
-	l := runlength.New()
+	l := outputlength.New()
 	rng := rand.New(rand.NewPCG(3, 4))
 	feed(l, rng, 300, 1, 0.3)
 	before := l.Begin(1000, most).Expect()
@@ -65,7 +65,7 @@
 // TestRunsInProgressTell: long runs that have not ended yet count up to where they came. A
 // mean over those that ended would be that of the short ones.
 func TestRunsInProgressTell(t *testing.T) {
-	l := runlength.New()
+	l := outputlength.New()
 	for i := range 60 {
 		r := l.Begin(1000, most)
 		if i%3 == 0 {
@@ -81,7 +81,7 @@
 
 // TestLasts is a distribution: it falls from one to zero, and what has been reached is sure.
 func TestLasts(t *testing.T) {
-	l := runlength.New()
+	l := outputlength.New()
 	feed(l, rand.New(rand.NewPCG(5, 6)), 50, 1, 0.5)
 	r := l.Begin(1000, most)
 	r.Progress(700)
@@ -100,7 +100,7 @@
 // TestLastsIsRight: of many runs, as many outlast a length as was said when they were half way
 // there.
 func TestLastsIsRight(t *testing.T) {
-	l := runlength.New()
+	l := outputlength.New()
 	rng := rand.New(rand.NewPCG(7, 8))
 	feed(l, rng, 400, 1, 0.5)
 	var said, saw float64
