--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,7 +13,7 @@
 )
 
 // attempt is one try at a request on one placement, through the sidecars of its servers.
-// It implements life.Attempt; only the start of the decode counts as a run.
+// It implements lifecycle.Attempt; only the start of the decode counts as a run.
 type attempt struct {
 	s   *Service
 	r   *request
@@ -42,7 +42,7 @@
 	return a
 }
 
-// Reserve implements life.Attempt. A baseline reserves only once the prompt was read.
+// Reserve implements lifecycle.Attempt. A baseline reserves only once the prompt was read.
 func (a *attempt) Reserve(ctx context.Context) (outcome.Outcome, bool) {
 	if !a.s.set.Policy.Reserve {
 		return outcome.Outcome{}, true
@@ -50,7 +50,7 @@
 	return a.reserve(ctx)
 }
 
-// Answer implements life.Attempt.
+// Answer implements lifecycle.Attempt.
 func (a *attempt) Answer(ctx context.Context) outcome.Outcome {
 	if !a.s.set.Policy.Reserve {
 		if o, ok := a.reserve(ctx); !ok {
@@ -69,7 +69,7 @@
 	return endingAt(o, at, a.worked || a.started)
 }
 
-// Release implements life.Attempt: it tells both sidecars that the attempt is over. What
+// Release implements lifecycle.Attempt: it tells both sidecars that the attempt is over. What
 // they still hold for it is given up, and nothing of it needs to be kept or sent again.
 func (a *attempt) Release() {
 	defer a.decode.close()
@@ -118,7 +118,7 @@
 	return admission.DefaultMaxWait
 }
 
-// Prefill implements life.Attempt. The KV cache is exported, unless the decode server
+// Prefill implements lifecycle.Attempt. The KV cache is exported, unless the decode server
 // reads the prompt.
 func (a *attempt) Prefill(ctx context.Context) (outcome.Outcome, bool) {
 	if a.sv.prefill == nil {
--- a/entry/request.go
+++ b/entry/request.go
@@ -6,7 +6,7 @@
 
 	"github.com/hibiscusspur/hibiscusspur/contract"
 	"github.com/hibiscusspur/hibiscusspur/event"
-	"github.com/hibiscusspur/hibiscusspur/life"
+	"github.com/hibiscusspur/hibiscusspur/lifecycle"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
@@ -68,10 +68,10 @@
 // execute runs r to its one end, over as many attempts as are allowed.
 func (s *Service) execute(ctx context.Context, r *request) outcome.Outcome {
 	t := s.retrier.tracker(r.customer, r.class.Unrepeatable, r.deadline)
-	return life.Run(ctx, &course{s: s, r: r, tracker: t})
+	return lifecycle.Run(ctx, &course{s: s, r: r, tracker: t})
 }
 
-// course is a request over all its attempts. It implements life.Request.
+// course is a request over all its attempts. It implements lifecycle.Request.
 type course struct {
 	s       *Service
 	r       *request
@@ -80,7 +80,7 @@
 	attempts uint32
 }
 
-// Place implements life.Request. Before another attempt the contract is looked at again.
+// Place implements lifecycle.Request. Before another attempt the contract is looked at again.
 func (c *course) Place(context.Context) (*attempt, outcome.Outcome, bool) {
 	if c.attempts > 0 {
 		if o, ok := c.s.resolve(c.r); !ok {
@@ -95,7 +95,7 @@
 	return newAttempt(c.s, c.r, c.attempts, sv), outcome.Outcome{}, true
 }
 
-// Ended implements life.Request.
+// Ended implements lifecycle.Request.
 func (c *course) Ended(ctx context.Context, a *attempt, o outcome.Outcome) (outcome.Outcome, bool) {
 	final, again := c.tracker.ended(ctx, a.ending(o), a.sv.expected, c.r.received)
 	if again {
--- a/forward/call.go
+++ b/forward/call.go
@@ -37,14 +37,14 @@
 // call is a request of a plain service over all its attempts.
 type call struct{ course }
 
-// callAttempt is one try of a call at one server. It implements life.Attempt; a server of
+// callAttempt is one try of a call at one server. It implements lifecycle.Attempt; a server of
 // a plain service needs nothing reserved and reads no prompt ahead.
 type callAttempt struct {
 	c      *call
 	server registry.Server
 }
 
-// Place implements life.Request.
+// Place implements lifecycle.Request.
 func (c *call) Place(context.Context) (*callAttempt, outcome.Outcome, bool) {
 	s, why := c.f.choose(c.j, c.tried)
 	if why != "" {
@@ -54,22 +54,22 @@
 	return &callAttempt{c: c, server: s}, outcome.Outcome{}, true
 }
 
-// Ended implements life.Request.
+// Ended implements lifecycle.Request.
 func (c *call) Ended(ctx context.Context, _ *callAttempt, o outcome.Outcome) (outcome.Outcome, bool) {
 	return c.ended(ctx, o)
 }
 
-// Reserve implements life.Attempt.
+// Reserve implements lifecycle.Attempt.
 func (a *callAttempt) Reserve(context.Context) (outcome.Outcome, bool) {
 	return outcome.Outcome{}, true
 }
 
-// Prefill implements life.Attempt.
+// Prefill implements lifecycle.Attempt.
 func (a *callAttempt) Prefill(context.Context) (outcome.Outcome, bool) {
 	return outcome.Outcome{}, true
 }
 
-// Answer implements life.Attempt.
+// Answer implements lifecycle.Attempt.
 func (a *callAttempt) Answer(ctx context.Context) outcome.Outcome {
 	f, j := a.c.f, a.c.j
 	got, err := f.ask(ctx, j, a.server)
@@ -87,7 +87,7 @@
 	return j.unanswered(reason)
 }
 
-// Release implements life.Attempt.
+// Release implements lifecycle.Attempt.
 func (a *callAttempt) Release() {}
 
 func (f *Forwarder) explain(ctx context.Context, err error) outcome.Reason {
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -15,7 +15,7 @@
 	"github.com/phuslu/log"
 
 	"github.com/hibiscusspur/hibiscusspur/httpserver"
-	"github.com/hibiscusspur/hibiscusspur/life"
+	"github.com/hibiscusspur/hibiscusspur/lifecycle"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
@@ -203,12 +203,12 @@
 		f.streams.Add(1)
 		defer f.streams.Add(-1)
 		r := &stream{course: course{f: f, j: j}, lastEvent: j.meta.LastEventID}
-		r.finish(life.Run(ctx, r))
+		r.finish(lifecycle.Run(ctx, r))
 		f.freeExport(j, r.takeKept())
 		return
 	}
 	c := &call{course{f: f, j: j}}
-	c.finish(life.Run(ctx, c))
+	c.finish(lifecycle.Run(ctx, c))
 }
 
 // streams reports whether the request needs a prefill and a decode engine.
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -28,7 +28,7 @@
 	refused bool
 }
 
-// Place implements life.Request: it waits in the line until a decode engine is thought to
+// Place implements lifecycle.Request: it waits in the line until a decode engine is thought to
 // have room.
 func (r *stream) Place(ctx context.Context) (*streamAttempt, outcome.Outcome, bool) {
 	f, j := r.f, r.j
@@ -102,7 +102,7 @@
 	}
 }
 
-// Reserve implements life.Attempt: the engine itself grants the memory, since other
+// Reserve implements lifecycle.Attempt: the engine itself grants the memory, since other
 // gateways place requests on it too.
 func (a *streamAttempt) Reserve(ctx context.Context) (outcome.Outcome, bool) {
 	f, j, l := a.r.f, a.r.j, a.lease
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -44,7 +44,7 @@
 	return min(j.meta.LengthHint, j.meta.MaxTokens)
 }
 
-// streamAttempt is one try of a stream at one decode engine. It implements life.Attempt.
+// streamAttempt is one try of a stream at one decode engine. It implements lifecycle.Attempt.
 type streamAttempt struct {
 	r *stream
 	// lease is the room at the engine; nil when the engine did not grant it.
@@ -53,7 +53,7 @@
 	export *source
 }
 
-// Ended implements life.Request. An engine that grants nothing costs no repeat, since
+// Ended implements lifecycle.Request. An engine that grants nothing costs no repeat, since
 // nothing of the request was sent to it. After a run that broke the stream waits for room
 // anew.
 func (r *stream) Ended(ctx context.Context, a *streamAttempt, o outcome.Outcome) (outcome.Outcome, bool) {
@@ -68,7 +68,7 @@
 	return final, again
 }
 
-// Prefill implements life.Attempt.
+// Prefill implements lifecycle.Attempt.
 func (a *streamAttempt) Prefill(ctx context.Context) (outcome.Outcome, bool) {
 	f, j := a.r.f, a.r.j
 	if a.export = a.r.takeKept(); a.export != nil {
@@ -86,7 +86,7 @@
 	return outcome.Outcome{}, true
 }
 
-// Answer implements life.Attempt: the engine of the lease generates the tokens.
+// Answer implements lifecycle.Attempt: the engine of the lease generates the tokens.
 func (a *streamAttempt) Answer(ctx context.Context) outcome.Outcome {
 	f, j := a.r.f, a.r.j
 	run, end := f.attempts.begin(ctx, a.lease.server.ID)
@@ -183,7 +183,7 @@
 	return j.unanswered(outcome.EngineError)
 }
 
-// Release implements life.Attempt.
+// Release implements lifecycle.Attempt.
 func (a *streamAttempt) Release() {
 	if a.lease != nil {
 		a.r.f.giveBack(a.r.j, a.lease)
--- a/life/life.go
+++ b/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package life is the course of one request from its first placement to its one end,
+// Package lifecycle is the course of one request from its first placement to its one end,
 // whichever interface brought it. Servers are chosen, room for the whole run is reserved,
 // the prompt is read, the answer is generated; when that ends short of the whole answer,
 // the request's policy says whether there is another attempt.
@@ -6,7 +6,7 @@
 // The package knows no transport. The entry reaches engines through their sidecars, the
 // gateway over HTTP; each brings its Attempt, and both get the same order of steps, the
 // same care for what an attempt holds, and exactly one outcome.
-package life
+package lifecycle
 
 import (
 	"context"
--- a/life/life_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package life_test
+package lifecycle_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/life"
+	"github.com/hibiscusspur/hibiscusspur/lifecycle"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
@@ -86,7 +86,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := &request{scripts: c.scripts, most: c.most}
-			end := life.Run(context.Background(), r)
+			end := lifecycle.Run(context.Background(), r)
 			assert.Equal(t, end, c.end)
 			assert.Equal(t, strings.Join(r.calls, " "), c.calls)
 		})
@@ -115,5 +115,5 @@
 		assert.Equal(t, recover(), "invariant")
 		assert.Equal(t, strings.Join(r.calls, " "), "reserve prefill release")
 	}()
-	life.Run(context.Background(), brokenRequest{r})
+	lifecycle.Run(context.Background(), brokenRequest{r})
 }
