--- a/cmd/hibiscusspur/held.go
+++ b/cmd/hibiscusspur/held.go
@@ -12,7 +12,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/spf13/cobra"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/holdback"
 	"github.com/hibiscusspur/hibiscusspur/operator"
 	"github.com/hibiscusspur/hibiscusspur/platform"
@@ -38,7 +38,7 @@
 		&cobra.Command{
 			Use: "release DIGEST", Short: "Have all gateways let a request through", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				if _, err := content.Parse(args[0]); err != nil {
+				if _, err := fingerprint.Parse(args[0]); err != nil {
 					return merry.Appendf(operator.ErrInput, "DIGEST: %v", err)
 				}
 				return d.with(cmd.Context(), func(ctx context.Context, t store.Table) error { return holdback.Release(ctx, t, args[0]) })
--- a/cmd/hibiscusspur/held_test.go
+++ b/cmd/hibiscusspur/held_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/holdback"
 	"github.com/hibiscusspur/hibiscusspur/operator"
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
@@ -18,7 +18,7 @@
 // TestHeld: an operator lists what gateways hold back and lets one request through.
 func TestHeld(t *testing.T) {
 	s := site.NewStore(t)
-	key := content.Of(content.Request{Target: "/deadly"}).String()
+	key := fingerprint.Of(fingerprint.Request{Target: "/deadly"}).String()
 	value, err := json.Marshal(holdback.Row{Begun: time.Unix(1_000_000, 0).UTC(), ForSeconds: 600, Servers: []string{"i-1", "i-2"}})
 	assert.NilError(t, err)
 	s.Put(holdback.TableName, key, value)
--- a/content/content.go
+++ b/fingerprint/fingerprint.go
@@ -1,6 +1,6 @@
-// Package content tells whether two requests ask the same, whatever connection they come on
+// Package fingerprint tells whether two requests ask the same, whatever connection they come on
 // and whatever ID their client gave them.
-package content
+package fingerprint
 
 import (
 	"crypto/sha256"
--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/hibiscusspur/hibiscusspur/apikey"
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/peer"
@@ -358,7 +358,7 @@
 	const secondKey = "second-key-of-a"
 	w := plain(t)
 	w.withTenants(t, tenant("a", ownKey, secondKey), tenant("b", otherKey))
-	deadly := content.Of(content.Request{Caller: "a", Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
+	deadly := fingerprint.Of(fingerprint.Request{Caller: "a", Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
 	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 60_000, ForMs: 60_000}}}, "another gateway")
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+ownKey).status, 503)
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+secondKey).status, 503)
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
 	"github.com/hibiscusspur/hibiscusspur/event"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/httpserver"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
@@ -54,7 +54,7 @@
 	// reserved are servers with limits to which the request may be sent once, since it was counted there already.
 	reserved []string
 	// content is the digest of the request once it was asked for.
-	content *content.Digest
+	content *fingerprint.Digest
 	// heard is when a server was last sent the request, or sent something of its answer.
 	heard time.Time
 	// started is set once the head of the answer went to the client, status is its status.
@@ -204,9 +204,9 @@
 }
 
 // digest is the digest of what the request asks.
-func (j *job) digest() content.Digest {
+func (j *job) digest() fingerprint.Digest {
 	if j.content == nil {
-		d := content.Of(content.Request{
+		d := fingerprint.Of(fingerprint.Request{
 			Caller: j.meta.Caller, Method: j.r.Method, Host: hostOf(j.r), Target: j.target(), Body: j.body,
 		})
 		j.content = &d
--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/peer"
@@ -110,7 +110,7 @@
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, "/draft/patient/1") }()
 	w.log.Wait(t, false, func(c site.Call) bool { return c.Kind == site.Hold })
-	d := content.Of(content.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
+	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
 	now := time.Now()
 	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 60_000, ForMs: 60_000}}}, "g2")
 	for _, id := range []string{"d1", "d2"} {
@@ -201,7 +201,7 @@
 // come. It is refused at once, not at the end of its time, and told for how long it is held.
 func TestHeldRequestStopsWaiting(t *testing.T) {
 	w, done := waitsForEngine(t)
-	d := content.Of(content.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
+	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
 	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 500_000, ForMs: 500_000}}}, "g2")
 	got := <-done
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -218,7 +218,7 @@
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, "/safe/1") }()
 	w.log.Wait(t, false, func(c site.Call) bool { return c.Server == "p1" })
-	d := content.Of(content.Request{Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
+	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
 	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 60_000, ForMs: 60_000}}}, "g2")
 	w.servers["p1"].Crash()
 	assert.Equal(t, (<-done).status, http.StatusBadGateway, "it may have run")
--- a/forward/types.go
+++ b/forward/types.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/apikey"
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 	"github.com/hibiscusspur/hibiscusspur/route"
@@ -126,11 +126,11 @@
 	// Watches reports whether any request is suspect or held, so that the others need not be looked at.
 	Watches() bool
 	// Held reports for how long a request is held back still.
-	Held(d content.Digest) (time.Duration, bool)
+	Held(d fingerprint.Digest) (time.Duration, bool)
 	// Ended takes the requests that were in progress at a server that ended.
 	Ended(server string, broken []quarantine.Broken)
 	// Answered notes that a server answered a request with success.
-	Answered(d content.Digest)
+	Answered(d fingerprint.Digest)
 }
 
 // View is what the process believes of configuration and servers. It must be safe for
--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -14,8 +14,8 @@
 
 	"github.com/phuslu/log"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
 	"github.com/hibiscusspur/hibiscusspur/event"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 )
@@ -39,13 +39,13 @@
 	ledger *quarantine.Ledger
 	// sightings, releases and holds are what began here a moment ago, to be told.
 	sightings []sighting
-	releases  map[content.Digest]time.Time
-	holds     map[content.Digest]time.Time
+	releases  map[fingerprint.Digest]time.Time
+	holds     map[fingerprint.Digest]time.Time
 	// deciding is set while a timer will look for decisions.
 	deciding bool
 	// kept are the holds in the store, and those that are to be removed from there.
-	kept map[content.Digest]keptHold
-	drop map[content.Digest]time.Time
+	kept map[fingerprint.Digest]keptHold
+	drop map[fingerprint.Digest]time.Time
 }
 
 type sighting struct {
@@ -57,8 +57,8 @@
 func New(l *log.Logger, m *metrics.Set, off bool) *Guard {
 	g := &Guard{
 		log: l, met: m, off: off, news: make(chan struct{}, 1), unkept: make(chan struct{}, 1), ledger: quarantine.New(),
-		releases: map[content.Digest]time.Time{}, holds: map[content.Digest]time.Time{},
-		kept: map[content.Digest]keptHold{}, drop: map[content.Digest]time.Time{},
+		releases: map[fingerprint.Digest]time.Time{}, holds: map[fingerprint.Digest]time.Time{},
+		kept: map[fingerprint.Digest]keptHold{}, drop: map[fingerprint.Digest]time.Time{},
 	}
 	m.GaugeFunc(metrics.RequestsHeld, g.count)
 	return g
@@ -78,7 +78,7 @@
 }
 
 // Held reports for how long a request is held still.
-func (g *Guard) Held(d content.Digest) (time.Duration, bool) {
+func (g *Guard) Held(d fingerprint.Digest) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Held(d, time.Now())
@@ -103,7 +103,7 @@
 }
 
 // Answered notes that a server answered a request of this process with success.
-func (g *Guard) Answered(d content.Digest) {
+func (g *Guard) Answered(d fingerprint.Digest) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,7 +127,7 @@
 	now := time.Now()
 	g.ledger.Expire(now)
 	g.forgetTold(now, toldFor)
-	maps.DeleteFunc(g.drop, func(_ content.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
+	maps.DeleteFunc(g.drop, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
 }
 
 // toldFor is how long what began here is kept to be told, whatever the pace of reports.
@@ -164,12 +164,12 @@
 	wake(g.unkept)
 }
 
-func (g *Guard) released(d content.Digest, from string) {
+func (g *Guard) released(d fingerprint.Digest, from string) {
 	event.RequestReleased.Log(g.log).Str("content", d.String()).Str("from", from).Msg("")
 }
 
 // sawEnd reports whether a request of this process was in progress at one of the ends. The caller holds mu.
-func (g *Guard) sawEnd(d content.Digest) bool {
+func (g *Guard) sawEnd(d fingerprint.Digest) bool {
 	return slices.ContainsFunc(g.sightings, func(s sighting) bool { return s.Content == d })
 }
 
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -12,7 +12,7 @@
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/peer"
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
@@ -21,8 +21,8 @@
 )
 
 var (
-	deadly   = content.Of(content.Request{Target: "/deadly"})
-	harmless = content.Of(content.Request{Target: "/harmless"})
+	deadly   = fingerprint.Of(fingerprint.Request{Target: "/deadly"})
+	harmless = fingerprint.Of(fingerprint.Request{Target: "/harmless"})
 )
 
 func newGuard(off bool) *Guard {
@@ -40,7 +40,7 @@
 	}
 }
 
-func held(g *Guard, d content.Digest) bool {
+func held(g *Guard, d fingerprint.Digest) bool {
 	_, ok := g.Held(d)
 	return ok
 }
@@ -110,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
 		for i := range 300 {
-			g.Ended(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: content.Of(content.Request{Target: fmt.Sprint(i)})}})
+			g.Ended(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
 		}
 		r := g.Report(time.Minute)
 		assert.Equal(t, len(r.GetSightings()), toldSightings)
@@ -255,8 +255,8 @@
 		table := &rowTable{Table: memory.New(memory.Options{}).Table(), rows: []store.Row{
 			{Key: "no digest", Value: row(now, 60), Version: 1},
 			{Key: harmless.String(), Value: []byte("{"), Version: 2},
-			{Key: content.Of(content.Request{Target: "long"}).String(), Value: row(now, 1e9), Version: 3},
-			{Key: content.Of(content.Request{Target: "negative"}).String(), Value: row(now, -1), Version: 4},
+			{Key: fingerprint.Of(fingerprint.Request{Target: "long"}).String(), Value: row(now, 1e9), Version: 3},
+			{Key: fingerprint.Of(fingerprint.Request{Target: "negative"}).String(), Value: row(now, -1), Version: 4},
 			{Key: deadly.String(), Value: row(now.Add(time.Hour), 60), Version: 5},
 		}}
 		read(t, g, table)
--- a/holdback/keep.go
+++ b/holdback/keep.go
@@ -6,8 +6,8 @@
 	"errors"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
 	"github.com/hibiscusspur/hibiscusspur/event"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
@@ -57,7 +57,7 @@
 
 // hold is the hold of a row. It is kept by the time of day, since no other clock outlasts a process; times of day
 // of VMs differ by seconds, and a hold lasts no longer than it says whatever they are.
-func (r Row) hold(d content.Digest, now time.Time) (quarantine.Hold, error) {
+func (r Row) hold(d fingerprint.Digest, now time.Time) (quarantine.Hold, error) {
 	whole := time.Duration(r.ForSeconds * float64(time.Second))
 	if whole <= 0 || whole > quarantine.MaxHold {
 		return quarantine.Hold{}, errors.New("for_s is out of range")
@@ -134,7 +134,7 @@
 		}
 	}
 	for _, key := range removed {
-		d, err := content.Parse(key)
+		d, err := fingerprint.Parse(key)
 		if err != nil {
 			continue // It was not taken either.
 		}
@@ -149,7 +149,7 @@
 
 // takeRow takes one row. The caller holds mu.
 func (g *Guard) takeRow(r store.Row, now time.Time) error {
-	d, err := content.Parse(r.Key)
+	d, err := fingerprint.Parse(r.Key)
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 // change is one change of the table.
 type change struct {
 	store.Txn
-	content content.Digest
+	content fingerprint.Digest
 	hold    quarantine.Hold
 }
 
--- a/holdback/kept.go
+++ b/holdback/kept.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
@@ -60,7 +60,7 @@
 
 // Release removes the hold of a request, so that all gateways let it through. ErrNotHeld means that there is none.
 func Release(ctx context.Context, t store.Table, digest string) error {
-	d, err := content.Parse(digest)
+	d, err := fingerprint.Parse(digest)
 	if err != nil {
 		return err
 	}
--- a/holdback/tell.go
+++ b/holdback/tell.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 	"github.com/hibiscusspur/hibiscusspur/peer"
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 )
@@ -46,7 +46,7 @@
 // forgetTold drops what was told for long enough. The caller holds mu.
 func (g *Guard) forgetTold(now time.Time, within time.Duration) {
 	g.sightings = slices.DeleteFunc(g.sightings, func(s sighting) bool { return now.Sub(s.at) >= within })
-	old := func(_ content.Digest, at time.Time) bool { return now.Sub(at) >= within }
+	old := func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= within }
 	maps.DeleteFunc(g.releases, old)
 	maps.DeleteFunc(g.holds, old)
 }
@@ -120,7 +120,7 @@
 }
 
 // takeRelease takes a release from elsewhere, and reports whether it changed anything. The caller holds mu.
-func (g *Guard) takeRelease(d content.Digest, at time.Time, from string) bool {
+func (g *Guard) takeRelease(d fingerprint.Digest, at time.Time, from string) bool {
 	_, held := g.ledger.Held(d, time.Now())
 	changed := g.ledger.Clear(d, at)
 	if _, still := g.ledger.Held(d, time.Now()); held && !still {
@@ -130,7 +130,7 @@
 }
 
 // digestOf is the digest that b holds; ok is false if it holds none.
-func digestOf(b []byte) (d content.Digest, ok bool) {
+func digestOf(b []byte) (d fingerprint.Digest, ok bool) {
 	return d, copy(d[:], b) == len(b) && len(b) == len(d)
 }
 
--- a/policy/quarantine/decide.go
+++ b/policy/quarantine/decide.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
 // Decide begins the holds that are due and returns them, and when to decide again; zero if nothing waits.
@@ -36,7 +36,7 @@
 
 // candidate is a request under which enough servers have ended.
 type candidate struct {
-	content content.Digest
+	content fingerprint.Digest
 	ends    int
 	// generated is what all its runs had generated, reached when the last end came that was needed.
 	generated int
@@ -71,7 +71,7 @@
 }
 
 // needs is the number of ends that begin a hold: one is enough for a request that was held a while ago.
-func (l *Ledger) needs(d content.Digest, now time.Time) int {
+func (l *Ledger) needs(d fingerprint.Digest, now time.Time) int {
 	if h, ok := l.holds[d]; ok && h.forgotten().After(now) {
 		return 1
 	}
--- a/policy/quarantine/ends.go
+++ b/policy/quarantine/ends.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // Broken is an attempt whose server broke it off.
 type Broken struct {
-	Content content.Digest
+	Content fingerprint.Digest
 	// Generated is the number of tokens that had come.
 	Generated int
 	at        time.Time
--- a/policy/quarantine/ends_test.go
+++ b/policy/quarantine/ends_test.go
@@ -6,13 +6,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
 var (
 	start = time.Unix(1_000_000, 0)
-	one   = content.Of(content.Request{Target: "/one"})
-	two   = content.Of(content.Request{Target: "/two"})
+	one   = fingerprint.Of(fingerprint.Request{Target: "/one"})
+	two   = fingerprint.Of(fingerprint.Request{Target: "/two"})
 )
 
 // TestEnds: attempts that broke count once their server is found to have ended, whichever is learned first,
--- a/policy/quarantine/ledger.go
+++ b/policy/quarantine/ledger.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
 const (
@@ -30,7 +30,7 @@
 
 // Sighting tells that a request was in progress at a server that ended.
 type Sighting struct {
-	Content content.Digest
+	Content fingerprint.Digest
 	Server  string
 	// Generated is the number of tokens that had come from it.
 	Generated int
@@ -38,7 +38,7 @@
 
 // Hold is the decision to send a request to no server.
 type Hold struct {
-	Content content.Digest
+	Content fingerprint.Digest
 	// Until is when the hold ends. Another end within as long a time begins the next one at once.
 	Until time.Time
 	// For is the whole time of the hold.
@@ -53,10 +53,10 @@
 
 // Ledger is what is known of ends of servers and of the requests under them.
 type Ledger struct {
-	suspects map[content.Digest]*suspect
-	holds    map[content.Digest]Hold
+	suspects map[fingerprint.Digest]*suspect
+	holds    map[fingerprint.Digest]Hold
 	// cleared is when requests were last answered by a server, or let through by an operator.
-	cleared map[content.Digest]time.Time
+	cleared map[fingerprint.Digest]time.Time
 	// explained are the servers that ended under requests that are or were held, and when. They explain nothing about
 	// other requests, also after the hold: else what ran beside it would be held in its place.
 	explained map[string]time.Time
@@ -84,7 +84,7 @@
 // New returns an empty Ledger.
 func New() *Ledger {
 	return &Ledger{
-		suspects: map[content.Digest]*suspect{}, holds: map[content.Digest]Hold{}, cleared: map[content.Digest]time.Time{},
+		suspects: map[fingerprint.Digest]*suspect{}, holds: map[fingerprint.Digest]Hold{}, cleared: map[fingerprint.Digest]time.Time{},
 		explained: map[string]time.Time{},
 	}
 }
@@ -93,7 +93,7 @@
 func (l *Ledger) Watches() bool { return len(l.suspects)+len(l.holds) > 0 }
 
 // Held reports for how long a request is held still; not at all if ok is false.
-func (l *Ledger) Held(d content.Digest, now time.Time) (left time.Duration, ok bool) {
+func (l *Ledger) Held(d fingerprint.Digest, now time.Time) (left time.Duration, ok bool) {
 	left = l.holds[d].Until.Sub(now)
 	return left, left > 0
 }
@@ -126,7 +126,7 @@
 	if len(l.suspects) < maxSuspects {
 		return
 	}
-	oldest := slices.SortedFunc(maps.Keys(l.suspects), func(a, b content.Digest) int {
+	oldest := slices.SortedFunc(maps.Keys(l.suspects), func(a, b fingerprint.Digest) int {
 		return l.suspects[a].last.Compare(l.suspects[b].last)
 	})
 	for _, d := range oldest[:maxSuspects/10] {
@@ -136,7 +136,7 @@
 
 // Clear notes that a server answered a request at some time, or that an operator wants it let through. It
 // reports whether that changed anything: ends and a hold from before count no more.
-func (l *Ledger) Clear(d content.Digest, at time.Time) bool {
+func (l *Ledger) Clear(d fingerprint.Digest, at time.Time) bool {
 	x, h := l.suspects[d], l.holds[d]
 	if x == nil && h.For == 0 {
 		return false
@@ -193,7 +193,7 @@
 }
 
 // Ends are the servers that ended under a request.
-func (l *Ledger) Ends(d content.Digest) []string {
+func (l *Ledger) Ends(d fingerprint.Digest) []string {
 	x := l.suspects[d]
 	if x == nil {
 		return nil
@@ -214,9 +214,9 @@
 			delete(l.suspects, d)
 		}
 	}
-	maps.DeleteFunc(l.holds, func(_ content.Digest, h Hold) bool { return !h.forgotten().After(now) })
+	maps.DeleteFunc(l.holds, func(_ fingerprint.Digest, h Hold) bool { return !h.forgotten().After(now) })
 	maps.DeleteFunc(l.explained, func(_ string, at time.Time) bool { return now.Sub(at) >= SightingLife })
-	maps.DeleteFunc(l.cleared, func(_ content.Digest, at time.Time) bool { return now.Sub(at) >= SightingLife })
+	maps.DeleteFunc(l.cleared, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= SightingLife })
 }
 
 func later(a, b time.Time) time.Time {
--- a/policy/quarantine/ledger_test.go
+++ b/policy/quarantine/ledger_test.go
@@ -9,17 +9,17 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/hibiscusspur/hibiscusspur/content"
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
 func at(seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func named(name string) content.Digest { return content.Of(content.Request{Target: name}) }
+func named(name string) fingerprint.Digest { return fingerprint.Of(fingerprint.Request{Target: name}) }
 
 // suspected reports whether a server has ended under a request.
-func (l *Ledger) suspected(d content.Digest) bool { return l.suspects[d] != nil }
+func (l *Ledger) suspected(d fingerprint.Digest) bool { return l.suspects[d] != nil }
 
 // decided has a Ledger decide at each moment that it asks for until then, and returns what it held.
 func decided(l *Ledger, until time.Time) []Hold {
