--- a/cmd/hibiscusspur/access.go
+++ b/cmd/hibiscusspur/access.go
@@ -81,7 +81,7 @@
 		proof = fmt.Sprintf("proved to be the newest %d ms ago", a.ProofAgeMs)
 	}
 	_, _ = fmt.Fprintf(out, "%s: configuration %d, %s; requests with keys are %s; %d gateways are not heard\n",
-		a.VM, a.Version, proof, map[bool]string{true: "served", false: "refused"}[a.Trusted], a.Silent)
+		a.VM, a.Version, proof, map[bool]string{true: "served", false: "refused"}[a.Trusted], a.Unresponsive)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "CUSTOMER\tKEYS\tUNIT\tRATE/S\tBURST\tLEFT\tSHARE\tUSED HERE\tDEMAND HERE/S")
 	for _, c := range a.Customers {
--- a/cmd/hibiscusspur/access_test.go
+++ b/cmd/hibiscusspur/access_test.go
@@ -19,7 +19,7 @@
 // TestAccess: an operator sees whom a gateway serves and whom it turned away.
 func TestAccess(t *testing.T) {
 	want := gateway.Access{
-		VM: "edge-1", Version: 7, ProofAgeMs: 830, Trusted: true, Silent: 2,
+		VM: "edge-1", Version: 7, ProofAgeMs: 830, Trusted: true, Unresponsive: 2,
 		Customers: []gateway.CustomerAccess{{Name: "a", Keys: 2, Unit: "tokens", Rate: 1000, Burst: 1500, Left: 250, Share: 0.5, Used: 9000, DemandPerS: 12.5}},
 		Refused:   map[outcome.Reason]int64{outcome.RateLimited: 3},
 		Refusals:  []forward.Refusal{{Request: "id-1", Customer: "a", Route: "r", Reason: outcome.RateLimited}},
--- a/cmd/hibiscusspur/gateway.go
+++ b/cmd/hibiscusspur/gateway.go
@@ -98,9 +98,9 @@
 		Datagrams: set.Ports[0],
 		Metrics:   net.JoinHostPort(set.IP, strconv.Itoa(set.Ports[0])),
 		Drain:     set.Drain, Notice: gateway.DefaultNotice,
-		Retry: retrybudget.Limits{Ratio: set.Retry.Ratio, Window: set.Retry.Window, Slack: set.Retry.Slack},
-		Keys:  keyBounds(set),
-		Off:   off,
+		Retry:     retrybudget.Limits{Ratio: set.Retry.Ratio, Window: set.Retry.Window, Slack: set.Retry.Slack},
+		Freshness: keyBounds(set),
+		Off:       off,
 	}
 }
 
--- a/gateway/access.go
+++ b/gateway/access.go
@@ -24,9 +24,9 @@
 	// set while requests with keys are served under it.
 	ProofAgeMs int64 `json:"proof_age_ms"`
 	Trusted    bool  `json:"trusted"`
-	// Silent is the number of other gateways that are not heard.
-	Silent    int64            `json:"silent_gateways"`
-	Customers []CustomerAccess `json:"customers"`
+	// Unresponsive is the number of other gateways that do not report.
+	Unresponsive int64            `json:"silent_gateways"`
+	Customers    []CustomerAccess `json:"customers"`
 	// Refused counts requests by reason since the start, Refusals are the last of them.
 	Refused  map[outcome.Reason]int64 `json:"refused"`
 	Refusals []forward.Refusal        `json:"refusals"`
@@ -50,7 +50,7 @@
 
 func (s *Service) access() Access {
 	a := Access{
-		VM: s.set.VM, Version: max(s.view.version(), 0), ProofAgeMs: s.proofAge(), Silent: s.quotas.silentNow(),
+		VM: s.set.VM, Version: max(s.view.version(), 0), ProofAgeMs: s.proofAge(), Unresponsive: s.quotas.silentNow(),
 		Customers: []CustomerAccess{}, Refused: map[outcome.Reason]int64{}, Refusals: s.fwd.Refusals(),
 	}
 	a.Trusted = !s.keyed() || s.proofs.bounds.Trusted(s.proofs.age())
--- a/gateway/access_test.go
+++ b/gateway/access_test.go
@@ -48,7 +48,7 @@
 
 // TestAccessWithoutKeys: a gateway whose configuration asks for no keys trusts it, however old it is.
 func TestAccessWithoutKeys(t *testing.T) {
-	s := New(Settings{VM: "g", Keys: freshness.Bounds{Revoke: revoke}}, testDeps())
+	s := New(Settings{VM: "g", Freshness: freshness.Bounds{Revoke: revoke}}, testDeps())
 	a := s.access()
 	assert.Assert(t, a.Trusted)
 	assert.Equal(t, a.ProofAgeMs, int64(-1))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,9 +61,9 @@
 	// after readiness has ended, until the balancer has noticed.
 	Drain, Notice time.Duration
 	Retry         retrybudget.Limits
-	// Keys bounds for how long requests with keys are served under a configuration that is not proved to be
+	// Freshness bounds for how long requests with keys are served under a configuration that is not proved to be
 	// the newest.
-	Keys freshness.Bounds
+	Freshness freshness.Bounds
 	// Off are the mechanisms that are switched off.
 	Off mechanism.Set
 }
@@ -160,7 +160,7 @@
 	s := &Service{
 		set: set, log: d.Log, batch: d.Batch, met: d.Metrics, store: d.Store, pool: d.Pool,
 		orders: d.Orders, lease: d.Lease,
-		view: newView(), watch: httpserver.NewWatcher(), proofs: newProofs(set.Keys, d.Clock),
+		view: newView(), watch: httpserver.NewWatcher(), proofs: newProofs(set.Freshness, d.Clock),
 	}
 	s.view.proofs = s.proofs
 	s.quotas = newQuotas(d.Log, time.Now())
--- a/gateway/proofs_test.go
+++ b/gateway/proofs_test.go
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &keyedFleet{store: newKeyedStore()}
-		f.fleet = newFleetWith(ctx, keyedGateways, 0, Settings{Keys: freshness.Bounds{Revoke: revoke}}, func(int) Store {
+		f.fleet = newFleetWith(ctx, keyedGateways, 0, Settings{Freshness: freshness.Bounds{Revoke: revoke}}, func(int) Store {
 			o := &storeOf{s: f.store}
 			f.stores = append(f.stores, o)
 			return o
