--- a/gateway/access.go
+++ b/gateway/access.go
@@ -11,51 +11,52 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/limit"
 )
 
-// AccessPath is where a gateway tells, beside its metrics, whom it serves.
+// AccessPath is the path, next to the metrics, at which a gateway serves its Access.
 const AccessPath = "/access"
 
-// Access is whom a gateway serves: its customers, how old its configuration is proved to be, and whom it turned away.
-// It holds no keys.
+// Access describes whom a gateway serves: its customers, how recently its configuration was proved to be the newest,
+// and which requests it rejected. It holds no keys.
 type Access struct {
 	VM string `json:"vm"`
 	// Version is that of the configuration in force; zero if there is none.
 	Version int64 `json:"version"`
-	// ProofAgeMs is how long ago it was proved to be the newest; -1 if it never was, or no keys are asked for. Trusted is
-	// set while requests with keys are served under it.
+	// ProofAgeMs is how long ago the configuration was proved to be the newest; -1 if it never was, or if no keys are
+	// required. Trusted is set while requests with keys are served under it.
 	ProofAgeMs int64 `json:"proof_age_ms"`
 	Trusted    bool  `json:"trusted"`
 	// Unresponsive is the number of other gateways that do not report.
 	Unresponsive int64            `json:"silent_gateways"`
 	Customers    []CustomerAccess `json:"customers"`
-	// Refused counts requests by reason since the start, Refusals are the last of them.
+	// Refused counts the rejected requests by reason since the start, Refusals are the latest of them.
 	Refused  map[outcome.Reason]int64 `json:"refused"`
 	Refusals []forward.Refusal        `json:"refusals"`
 }
 
-// CustomerAccess is what one customer may use, and uses.
+// CustomerAccess is the quota of one customer and its use.
 type CustomerAccess struct {
 	Name string `json:"name"`
 	Keys int    `json:"keys"`
-	// Unit is what the others count; Rate is zero where there is no bound.
+	// Unit is the unit of the other fields; Rate is zero where there is no bound.
 	Unit  string  `json:"unit"`
 	Rate  float64 `json:"rate_per_s"`
 	Burst float64 `json:"burst"`
-	// Left is what is left of the quota for this gateway and those that it hears, Share the part of it that these may use.
+	// Left is what remains of the quota for this gateway and those that report to it, Share the part of the quota
+	// that these may use.
 	Left  float64 `json:"left"`
 	Share float64 `json:"share"`
-	// Used is what was admitted here since the start, DemandPerS what is asked for here.
+	// Used is what was admitted here since the start, DemandPerS the demand at this gateway.
 	Used       float64 `json:"used_here"`
 	DemandPerS float64 `json:"demand_here_per_s"`
 }
 
 func (s *Service) access() Access {
 	a := Access{
-		VM: s.set.VM, Version: max(s.view.version(), 0), ProofAgeMs: s.proofAge(), Unresponsive: s.quotas.silentNow(),
+		VM: s.settings.VM, Version: max(s.view.version(), 0), ProofAgeMs: s.proofAge(), Unresponsive: s.quotas.unresponsiveGateways(),
 		Customers: []CustomerAccess{}, Refused: map[outcome.Reason]int64{}, Refusals: s.fwd.Refusals(),
 	}
-	a.Trusted = !s.keyed() || s.proofs.bounds.Trusted(s.proofs.age())
+	a.Trusted = !s.requiresKeys() || s.proofs.bounds.Trusted(s.proofs.age())
 	for _, r := range forward.AccessReasons {
-		a.Refused[r] = s.met.Counter(metrics.RefusedPrefix + string(r)).Count()
+		a.Refused[r] = s.metrics.Counter(metrics.RefusedPrefix + string(r)).Count()
 	}
 	if t := s.view.Table(); t != nil && t.Tenants != nil {
 		states := s.quotas.states()
@@ -73,7 +74,7 @@
 	}
 }
 
-func (s *Service) answerAccess(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleAccess(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(s.access()); err != nil {
 		event.Library.Log(s.log).Str("path", AccessPath).Err(err).Msg("")
--- a/gateway/access_test.go
+++ b/gateway/access_test.go
@@ -13,22 +13,22 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// TestAccessTellsNoKey: what a gateway tells of its customers holds neither keys nor their hashes.
-func TestAccessTellsNoKey(t *testing.T) {
-	withKeyedFleet(t, func(t *testing.T, f *keyedFleet) {
+// TestAccessExposesNoKey: the access report of a gateway holds neither customers' keys nor their hashes.
+func TestAccessExposesNoKey(t *testing.T) {
+	withKeyedCluster(t, func(t *testing.T, cl *keyedCluster) {
 		const key = "secret-key"
 		tenants, err := route.NewTenants([]route.Tenant{
 			{Name: "a", Keys: []apikey.Hash{apikey.Of(key)}, Quota: route.Quota{Unit: route.Tokens, Rate: 1000, Burst: 2000}},
 			{Name: "unbounded"},
 		})
 		assert.NilError(t, err)
-		s := f.gateways[0]
-		s.takeTable(&route.Table{Version: 9, Tenants: tenants}, nil, fromStore)
+		s := cl.gateways[0]
+		s.installTable(&route.Table{Version: 9, Tenants: tenants}, nil, fromStore)
 		_, ok := s.quotas.Take("a", route.Quota{Rate: 1000, Burst: 2000}, 500)
 		assert.Assert(t, ok)
 
 		w := httptest.NewRecorder()
-		s.answerAccess(w, nil)
+		s.handleAccess(w, nil)
 		body := w.Body.String()
 		assert.Assert(t, !strings.Contains(body, key) && !strings.Contains(body, apikey.Of(key).String()), body)
 		var a Access
@@ -46,7 +46,7 @@
 	})
 }
 
-// TestAccessWithoutKeys: a gateway whose configuration asks for no keys trusts it, however old it is.
+// TestAccessWithoutKeys: a gateway whose configuration requires no keys trusts it at any age.
 func TestAccessWithoutKeys(t *testing.T) {
 	s := New(Settings{VM: "g", Freshness: freshness.Bounds{Revoke: revoke}}, testDeps())
 	a := s.access()
--- a/gateway/changes.go
+++ b/gateway/changes.go
@@ -7,91 +7,91 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// serversTold is a list of servers as one gateway tells another: the whole list when base
-// is zero, otherwise what has changed since the version base.
-type serversTold struct {
+// serversUpdate is a server list as one gateway reports it to another: the whole list when base is zero, otherwise
+// the changes since the version base.
+type serversUpdate struct {
 	base, version int64
 	servers       []registry.Server
-	// removed are instances. One that has started again is not among them: its later start, among
-	// servers, takes the place of the earlier one.
+	// removed are instances. An instance that has restarted is not among them: its later incarnation, among servers,
+	// replaces the earlier one.
 	removed []string
 }
 
-// change is one step of the list of servers, from one version of the store to another.
-type change struct {
+// listChange is one change of the server list, from one version of the store to another.
+type listChange struct {
 	from, to int64
-	// set are servers that are new or have changed; removed are instances.
-	set     []registry.Server
+	// updated are servers that are new or have changed; removed are instances.
+	updated []registry.Server
 	removed []string
 }
 
-// changes are the last steps of the list of servers. A gateway that knows one of their
-// versions is told what came after it: at a thousand servers the list has some 65 kB, and
-// every change goes from all gateways to all.
-type changes struct {
-	steps []change
+// listHistory holds the latest changes of the server list. A gateway that has one of their versions is sent only the
+// later changes: a list of a thousand servers has some 65 kB, and every change is sent from every gateway to every
+// other.
+type listHistory struct {
+	changes []listChange
 }
 
-// changesKept is the number of steps that are kept; while servers of a service are replaced
-// one after the other, a step comes every half second, and peers are told within seconds.
-const changesKept = 32
+// maxHistory is the number of changes that are kept. While the servers of a service are replaced one after the other,
+// there is a change every half second, and peers receive it within seconds.
+const maxHistory = 32
 
-// add notes the step from one list to the next.
-func (c *changes) add(from, to int64, before, after []registry.Server) {
-	step := change{from: from, to: to}
+// add records the change from one list to the next.
+func (h *listHistory) add(from, to int64, before, after []registry.Server) {
+	change := listChange{from: from, to: to}
 	old := byInstance(before)
 	for _, s := range after {
 		if old[s.Instance()] != s {
-			step.set = append(step.set, s)
+			change.updated = append(change.updated, s)
 		}
 		delete(old, s.Instance())
 	}
-	step.removed = slices.Sorted(maps.Keys(old))
-	c.steps = append(c.steps, step)
-	if len(c.steps) > changesKept {
-		c.steps = slices.Delete(c.steps, 0, len(c.steps)-changesKept)
+	change.removed = slices.Sorted(maps.Keys(old))
+	h.changes = append(h.changes, change)
+	if len(h.changes) > maxHistory {
+		h.changes = slices.Delete(h.changes, 0, len(h.changes)-maxHistory)
 	}
 }
 
-// since sums up what has changed since a version; false if that is not known any more.
-func (c *changes) since(version int64) (serversTold, bool) {
-	i := slices.IndexFunc(c.steps, func(s change) bool { return s.from == version })
+// since merges the changes after a version; false if that version is no longer in the history.
+func (h *listHistory) since(version int64) (serversUpdate, bool) {
+	i := slices.IndexFunc(h.changes, func(change listChange) bool { return change.from == version })
 	if i < 0 {
-		return serversTold{}, false
+		return serversUpdate{}, false
 	}
-	set, removed := map[string]registry.Server{}, map[string]bool{}
-	out := serversTold{base: version}
-	for _, step := range c.steps[i:] {
-		out.version = step.to
-		for _, s := range step.set {
-			set[s.Instance()] = s
+	updated, removed := map[string]registry.Server{}, map[string]bool{}
+	out := serversUpdate{base: version}
+	for _, change := range h.changes[i:] {
+		out.version = change.to
+		for _, s := range change.updated {
+			updated[s.Instance()] = s
 			delete(removed, s.Instance())
 		}
-		for _, instance := range step.removed {
-			delete(set, instance)
+		for _, instance := range change.removed {
+			delete(updated, instance)
 			removed[instance] = true
 		}
 	}
-	for _, instance := range slices.Sorted(maps.Keys(set)) {
-		out.servers = append(out.servers, set[instance])
+	for _, instance := range slices.Sorted(maps.Keys(updated)) {
+		out.servers = append(out.servers, updated[instance])
 	}
 	out.removed = slices.Sorted(maps.Keys(removed))
 	return out, true
 }
 
-// over is the whole list that told makes of a list of the version base.
-func (t serversTold) over(list []registry.Server) []registry.Server {
+// applyTo returns the whole list that results from applying the update to a list of the version base.
+func (u serversUpdate) applyTo(list []registry.Server) []registry.Server {
 	whole := byInstance(list)
-	for _, s := range t.servers {
+	for _, s := range u.servers {
 		whole[s.Instance()] = s
 	}
-	for _, instance := range t.removed {
+	for _, instance := range u.removed {
 		delete(whole, instance)
 	}
 	return slices.Collect(maps.Values(whole))
 }
 
-// byInstance keys a list, which has one start of each instance at most.
+// byInstance indexes a list by instance; a list holds at most one incarnation of each.
 func byInstance(list []registry.Server) map[string]registry.Server {
 	out := make(map[string]registry.Server, len(list))
 	for _, s := range list {
--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -20,93 +20,95 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// Model servers ended one after the other, nine to twelve of nine in a quarter of a minute, and the rulings of
-// others that ran there broke off with them. Each time one of the streams that broke had generated nothing yet,
-// of one route and with one size of prompt, under another ID: "attempt at a server failed", "stage":"decode",
-// "reason":"engine_lost", "sends":1, "error":"unexpected EOF", and then "request answered", "status":502,
-// "prompt":2233, "generated":0. It was the same request, sent anew to any gateway, and no gateway knew it again:
-// nothing that was kept of a request outlived its answer, and nothing of it was told to other gateways. Each end bears
-// the same digest, "server ended with requests in progress", "how":"refused", "contents":["6cb76123717eba12..."],
-// and the repeats of gateways are not to blame, since "sends" is 1 in all. By the users' record it was sent to servers
-// seven times more after three had ended under it; three are allowed, from three seconds after the third end on.
+// The failure: one request crashed the model servers one after the other, nine to twelve of nine in a quarter of a
+// minute, and the streams of others that ran there broke off with them. Each time one of the broken streams had
+// generated nothing yet, had the same route and prompt size, and another ID: "attempt at a server failed",
+// "stage":"decode", "reason":"engine_lost", "sends":1, "error":"unexpected EOF", and then "request answered",
+// "status":502, "prompt":2233, "generated":0. Clients had sent the same request again, to any gateway, and no gateway
+// recognized it: no state of a request outlived its answer or was reported to other gateways. Each termination was
+// logged with the same digest, "server ended with requests in progress", "how":"refused",
+// "contents":["6cb76123717eba12..."]. Retries by gateways were not the cause, since "sends" is 1 in all. By the
+// users' record the request was sent to servers seven times more after three had terminated under it; three are
+// allowed, from three seconds after the third termination on.
 
 const (
-	// deadly is the body of the request that crashes servers.
-	deadly = "a question that no server survives"
-	// mayEnd is how many servers the users let one request end before it has to be known, and moreSends in how
-	// many sends it may reach servers after that.
-	mayEnd, moreSends = 3, 3
-	// contact is the time after which processes that are in touch have to know what one of them knows.
-	contact = 3 * time.Second
+	// crashingBody is the body of the request that crashes servers.
+	crashingBody = "a question that no server survives"
+	// allowedCrashes is how many servers the users allow one request to crash before it has to be recognized,
+	// allowedSends how many times it may be sent to servers after that.
+	allowedCrashes, allowedSends = 3, 3
+	// propagationTime is the time after which connected gateways have to share what one of them observed.
+	propagationTime = 3 * time.Second
 )
 
-// fleet is engines that crash under the deadly request. For each one that ends another starts, under another name
-// and at another address. Entries of those that ended stay, as they do for some seconds on the users' platform.
-type fleet struct {
+// cluster is a set of engines that crash under the crashing request. Each one that terminates is replaced by another
+// with another name and address. Entries of terminated engines stay, as they do for some seconds on the users'
+// platform.
+type cluster struct {
 	t     *testing.T
 	store *site.Store
 	calls *site.Log
 
 	mu sync.Mutex
-	// started and ended count decode engines, newest is the one that lives.
-	started, ended int
-	newest         *site.Server
-	// behave is how decode engines answer everything else.
-	behave site.Behaviour
+	// started and replaced count decode engines, current is the running one.
+	started, replaced int
+	current           *site.Server
+	// behaviour is how decode engines answer all other requests.
+	behaviour site.Behaviour
 }
 
-// newFleet starts one engine of each stage.
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, store: site.NewStore(t), calls: site.NewLog(), behave: site.Silent}
-	e := site.NewServer(t, "pre", f.calls).Entry("llm", "ready")
+// newCluster starts one engine of each stage.
+func newCluster(t *testing.T) *cluster {
+	cl := &cluster{t: t, store: site.NewStore(t), calls: site.NewLog(), behaviour: site.Silent}
+	e := site.NewServer(t, "pre", cl.calls).Entry("llm", "ready")
 	e.Stage = "prefill"
-	f.store.Put("servers", "pre", e.Encode())
-	f.add()
-	f.store.Put("op", "config", []byte(`{"version":3,
+	cl.store.Put("servers", "pre", e.Encode())
+	cl.addEngine()
+	cl.store.Put("op", "config", []byte(`{"version":3,
 		"routes":[{"name":"r","host":"h","prefix":"/s/","kind":"stream","timeout_ms":30000,"slo_ms":500,"attempts":1,"service":"llm"}],
 		"services":[{"name":"llm","engine":{"slots":48,"kv_capacity":50000,"hold_ms":2000}}]}`))
-	return f
+	return cl
 }
 
-func (f *fleet) add() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.started++
-	s := site.NewServer(f.t, fmt.Sprint("dec-", f.started), f.calls)
-	s.Behave(f.behave)
-	s.EndUnder(deadly, f.crashed)
-	f.newest = s
+func (cl *cluster) addEngine() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.started++
+	s := site.NewServer(cl.t, fmt.Sprint("dec-", cl.started), cl.calls)
+	s.Behave(cl.behaviour)
+	s.EndUnder(crashingBody, cl.replaceCrashed)
+	cl.current = s
 	e := s.Entry("llm", "ready")
 	e.Stage, e.Slots = "decode", 48
-	f.store.Put("servers", s.ID, e.Encode())
+	cl.store.Put("servers", s.ID, e.Encode())
 }
 
-func (f *fleet) crashed(*site.Server) {
-	f.add()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ended++
+func (cl *cluster) replaceCrashed(*site.Server) {
+	cl.addEngine()
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.replaced++
 }
 
-// ends is the number of engines that have ended and were followed by another.
-func (f *fleet) ends() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.ended
+// crashes returns the number of engines that have terminated and were replaced.
+func (cl *cluster) crashes() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.replaced
 }
 
-// well has engines answer everything but the deadly request whole.
-func (f *fleet) well() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.behave = site.Answer
-	f.newest.Behave(site.Answer)
+// answerOthers has engines answer everything but the crashing request completely.
+func (cl *cluster) answerOthers() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.behaviour = site.Answer
+	cl.current.Behave(site.Answer)
 }
 
-// reached is the number of requests with a body that reached engines.
-func (f *fleet) reached(body string) int {
+// requestsReached returns the number of requests with a body that reached engines.
+func (cl *cluster) requestsReached(body string) int {
 	ids := map[string]bool{}
-	for _, c := range f.calls.Calls() {
+	for _, c := range cl.calls.Calls() {
 		if c.Body == body {
 			ids[c.ID] = true
 		}
@@ -114,10 +116,10 @@
 	return len(ids)
 }
 
-// stream sends a stream and returns its answer; the caller closes it.
+// stream sends a streaming request and returns its answer; the caller closes it.
 func (p *process) stream(t *testing.T, id, body string) *http.Response {
 	t.Helper()
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.set.Callers+"/s/1", strings.NewReader(body))
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.settings.Callers+"/s/1", strings.NewReader(body))
 	assert.NilError(t, err)
 	r.Host = "h"
 	r.Header.Set(site.RequestID, id)
@@ -128,169 +130,170 @@
 	return res
 }
 
-// startGateways starts three that know each other.
+// startGateways starts three gateways that know each other.
 func startGateways(t *testing.T, store *site.Store) []*process {
 	a := start(t, store, "g1")
-	b := start(t, store, "g2", a.set.Control)
-	c := start(t, store, "g3", a.set.Control, b.set.Control)
+	b := start(t, store, "g2", a.settings.Control)
+	c := start(t, store, "g3", a.settings.Control, b.settings.Control)
 	list := []*process{a, b, c}
 	for _, p := range list {
-		p.ready(t, http.StatusOK)
+		p.waitReady(t, http.StatusOK)
 	}
 	return list
 }
 
-// harmless begins a stream of somebody else, once the gateway has an engine for it.
-func (f *fleet) harmless(p *process, id string) io.ReadCloser {
-	f.t.Helper()
+// startHarmless starts another client's stream once the gateway has an engine for it.
+func (cl *cluster) startHarmless(p *process, id string) io.ReadCloser {
+	cl.t.Helper()
 	var body io.ReadCloser
-	until(f.t, "an engine", func() bool {
-		res := p.stream(f.t, id, "a harmless question")
+	waitUntil(cl.t, "an engine", func() bool {
+		res := p.stream(cl.t, id, "a harmless question")
 		body = res.Body
 		if res.StatusCode != http.StatusOK {
-			assert.NilError(f.t, body.Close())
+			assert.NilError(cl.t, body.Close())
 		}
 		return res.StatusCode == http.StatusOK
 	})
 	return body
 }
 
-// strike sends the deadly request once, beside streams of somebody else that have begun at the same engine by way
-// of the same gateway and of another one, and returns the status that it got.
-func (f *fleet) strike(gateways []*process, n int) int {
-	f.t.Helper()
+// sendCrashing sends the crashing request once, next to other clients' streams that are in progress at the same
+// engine, one through the same gateway and one through another, and returns its status.
+func (cl *cluster) sendCrashing(gateways []*process, n int) int {
+	cl.t.Helper()
 	p, q := gateways[n%len(gateways)], gateways[(n+1)%len(gateways)]
-	others := []io.ReadCloser{f.harmless(p, fmt.Sprint("near-", n)), f.harmless(q, fmt.Sprint("far-", n))}
-	before := f.reached(deadly)
-	res := p.stream(f.t, fmt.Sprint("deadly-", n), deadly)
+	others := []io.ReadCloser{cl.startHarmless(p, fmt.Sprint("near-", n)), cl.startHarmless(q, fmt.Sprint("far-", n))}
+	before := cl.requestsReached(crashingBody)
+	res := p.stream(cl.t, fmt.Sprint("deadly-", n), crashingBody)
 	_, _ = io.Copy(io.Discard, res.Body)
-	assert.NilError(f.t, res.Body.Close())
-	crashed := f.reached(deadly) > before
+	assert.NilError(cl.t, res.Body.Close())
+	crashed := cl.requestsReached(crashingBody) > before
 	if crashed {
-		until(f.t, "the next engine", func() bool { return f.ends() == f.reached(deadly) })
+		waitUntil(cl.t, "the next engine", func() bool { return cl.crashes() == cl.requestsReached(crashingBody) })
 	}
 	for _, body := range others {
 		if crashed {
 			_, err := io.ReadAll(body)
-			assert.Assert(f.t, err != nil, "the other streams broke off")
+			assert.Assert(cl.t, err != nil, "the other streams break off")
 		}
-		assert.NilError(f.t, body.Close())
+		assert.NilError(cl.t, body.Close())
 	}
 	return res.StatusCode
 }
 
-// TestRequestThatCrashesServers: after three servers have ended under one request and the gateways had the time to
-// hear of it, it reaches servers three times more at most, at whichever gateway it comes. A stream that ran
-// beside it at each of these servers is served when it comes again.
+// TestRequestThatCrashesServers: after three servers have terminated under one request and the gateways had the time
+// to report it to each other, the request reaches servers three times more at most, whichever gateway it is sent to.
+// A stream that ran next to it at each of these servers is served when it is retried.
 func TestRequestThatCrashesServers(t *testing.T) {
-	f := newFleet(t)
-	gateways := startGateways(t, f.store)
+	cl := newCluster(t)
+	gateways := startGateways(t, cl.store)
 	var statuses []int
 	n := 0
-	for ; f.ends() < mayEnd; n++ {
-		statuses = append(statuses, f.strike(gateways, n))
+	for ; cl.crashes() < allowedCrashes; n++ {
+		statuses = append(statuses, cl.sendCrashing(gateways, n))
 	}
-	// The users' term is part of the scenario; nothing is awaited with it.
-	<-time.After(contact)
-	before := f.reached(deadly)
+	// The users' time limit is part of the scenario; nothing is awaited with it.
+	<-time.After(propagationTime)
+	before := cl.requestsReached(crashingBody)
 	for range 7 {
-		statuses = append(statuses, f.strike(gateways, n))
+		statuses = append(statuses, cl.sendCrashing(gateways, n))
 		n++
 	}
-	more := f.reached(deadly) - before
-	assert.Check(t, more <= moreSends, "sent to servers %d times more after three had ended under it; %d ended in all", more, f.ends())
+	more := cl.requestsReached(crashingBody) - before
+	assert.Check(t, more <= allowedSends, "sent to servers %d times more after three had terminated under it; %d terminated in all", more, cl.crashes())
 	for _, status := range statuses {
 		assert.Check(t, slices.Contains([]int{http.StatusBadGateway, http.StatusServiceUnavailable}, status), "%v", statuses)
 	}
-	held, deadlyHeld := 0.0, 0
+	rejected, crashingRejected := 0.0, 0
 	for _, p := range gateways {
-		held += p.count(t, metrics.RefusedPrefix+string(outcome.Quarantined))
+		rejected += p.count(t, metrics.RefusedPrefix+string(outcome.Quarantined))
 	}
 	for _, status := range statuses {
 		if status == http.StatusServiceUnavailable {
-			deadlyHeld++
+			crashingRejected++
 		}
 	}
-	assert.Check(t, int(held) == deadlyHeld, "nobody else was turned away for it: %v of %d", held, deadlyHeld)
-	f.well()
-	res := f.harmless(gateways[0], "again")
+	assert.Check(t, int(rejected) == crashingRejected, "only the crashing request is rejected as quarantined: %v of %d", rejected, crashingRejected)
+	cl.answerOthers()
+	res := cl.startHarmless(gateways[0], "again")
 	body, err := io.ReadAll(res)
 	assert.NilError(t, err)
 	assert.NilError(t, res.Close())
 	assert.Equal(t, strings.Count(string(body), "token"), site.Events)
 }
 
-// untilKnown has the deadly request end as many servers as it takes.
-func (f *fleet) untilKnown(gateways []*process) (n int) {
-	for ; f.ends() < mayEnd; n++ {
-		f.strike(gateways, n)
+// crashUntilQuarantined sends the crashing request until all gateways have quarantined it.
+func (cl *cluster) crashUntilQuarantined(gateways []*process) (n int) {
+	for ; cl.crashes() < allowedCrashes; n++ {
+		cl.sendCrashing(gateways, n)
 	}
 	for _, p := range gateways {
-		until(f.t, "it is held", func() bool { return p.gauge(f.t, metrics.RequestsHeld) == 1 })
+		waitUntil(cl.t, "the request is quarantined", func() bool { return p.gauge(cl.t, metrics.RequestsHeld) == 1 })
 	}
 	return n
 }
 
-// refused sends the deadly request and asserts that it is turned away without reaching a server.
-func (f *fleet) refused(p *process, id string) {
-	f.t.Helper()
-	before := f.reached(deadly)
-	res := p.stream(f.t, id, deadly)
-	assert.NilError(f.t, res.Body.Close())
-	assert.Equal(f.t, res.StatusCode, http.StatusServiceUnavailable)
+// assertRejected sends the crashing request and asserts that it is rejected without reaching a server.
+func (cl *cluster) assertRejected(p *process, id string) {
+	cl.t.Helper()
+	before := cl.requestsReached(crashingBody)
+	res := p.stream(cl.t, id, crashingBody)
+	assert.NilError(cl.t, res.Body.Close())
+	assert.Equal(cl.t, res.StatusCode, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-	assert.NilError(f.t, err)
-	assert.Assert(f.t, after > 0 && after <= quarantine.FirstHold.Seconds(), "%v", after)
-	assert.Equal(f.t, f.reached(deadly), before)
+	assert.NilError(cl.t, err)
+	assert.Assert(cl.t, after > 0 && after <= quarantine.FirstHold.Seconds(), "%v", after)
+	assert.Equal(cl.t, cl.requestsReached(crashingBody), before)
 }
 
-// TestHoldOutlastsGateways: all gateways are lost after it has become known, and those that start in their place
-// have never seen a server end. They have it from the store.
-func TestHoldOutlastsGateways(t *testing.T) {
-	f := newFleet(t)
-	gateways := startGateways(t, f.store)
-	f.untilKnown(gateways)
-	until(t, "it is kept", func() bool { return f.store.Count(holdback.TableName) == 1 })
+// TestQuarantineOutlastsGateways: all gateways are replaced after the request was quarantined. The new ones have
+// observed no termination of a server and read the quarantine from the store.
+func TestQuarantineOutlastsGateways(t *testing.T) {
+	cl := newCluster(t)
+	gateways := startGateways(t, cl.store)
+	cl.crashUntilQuarantined(gateways)
+	waitUntil(t, "the quarantine is persisted", func() bool { return cl.store.Count(holdback.TableName) == 1 })
 	for _, p := range gateways {
 		p.stop()
-		assert.NilError(t, <-p.ended)
-		p.ended = nil
+		assert.NilError(t, <-p.done)
+		p.done = nil
 	}
-	for i, p := range startGateways(t, f.store) {
-		until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
-		f.refused(p, fmt.Sprint("again-", i))
+	for i, p := range startGateways(t, cl.store) {
+		waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
+		cl.assertRejected(p, fmt.Sprint("again-", i))
 	}
 }
 
-// TestHoldWithoutStore: a gateway that starts while the store refuses it has it from the others.
-func TestHoldWithoutStore(t *testing.T) {
-	f := newFleet(t)
-	gateways := startGateways(t, f.store)
-	f.untilKnown(gateways)
-	f.store.Set(site.Busy)
-	p := start(t, f.store, "g4", gateways[0].set.Control)
-	p.ready(t, http.StatusOK)
-	until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
-	f.refused(p, "again")
+// TestQuarantineWithoutStore: a gateway that starts while the store refuses it receives the quarantine from the other
+// gateways.
+func TestQuarantineWithoutStore(t *testing.T) {
+	cl := newCluster(t)
+	gateways := startGateways(t, cl.store)
+	cl.crashUntilQuarantined(gateways)
+	cl.store.Set(site.Busy)
+	p := start(t, cl.store, "g4", gateways[0].settings.Control)
+	p.waitReady(t, http.StatusOK)
+	waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
+	cl.assertRejected(p, "again")
 }
 
-// TestOperatorLetsThrough: an operator removes the row of a request whose servers bear it now. All gateways send it
-// on, also those that decided.
-func TestOperatorLetsThrough(t *testing.T) {
-	f := newFleet(t)
-	gateways := startGateways(t, f.store)
-	f.untilKnown(gateways)
+// TestOperatorEndsQuarantine: an operator removes the row of a request that no longer crashes servers. All gateways
+// forward it again, including those that decided on the quarantine.
+func TestOperatorEndsQuarantine(t *testing.T) {
+	cl := newCluster(t)
+	gateways := startGateways(t, cl.store)
+	cl.crashUntilQuarantined(gateways)
 	var key string
-	until(t, "it is kept", func() bool { key = f.store.FirstKey(holdback.TableName); return key != "" })
-	f.mu.Lock()
-	f.newest.EndUnder("", nil)
-	f.mu.Unlock()
-	f.well()
-	f.store.Put(holdback.TableName, key, nil)
+	waitUntil(t, "the quarantine is persisted", func() bool { key = cl.store.FirstKey(holdback.TableName); return key != "" })
+	cl.mu.Lock()
+	cl.current.EndUnder("", nil)
+	cl.mu.Unlock()
+	cl.answerOthers()
+	cl.store.Put(holdback.TableName, key, nil)
 	for i, p := range gateways {
-		until(t, "it is let through", func() bool { return p.gauge(t, metrics.RequestsHeld) == 0 })
-		until(t, "it is answered", func() bool {
-			res := p.stream(t, fmt.Sprint("again-", i), deadly)
+		waitUntil(t, "the quarantine has ended", func() bool { return p.gauge(t, metrics.RequestsHeld) == 0 })
+		waitUntil(t, "the request is answered", func() bool {
+			res := p.stream(t, fmt.Sprint("again-", i), crashingBody)
 			_, _ = io.Copy(io.Discard, res.Body)
 			assert.NilError(t, res.Body.Close())
 			return res.StatusCode == http.StatusOK
--- a/gateway/encode.go
+++ b/gateway/encode.go
@@ -11,17 +11,17 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-func encodeShares(placed []kvmemory.Share) []*peer.Share {
-	out := make([]*peer.Share, 0, len(placed))
-	for _, share := range placed {
+func encodeShares(shares []kvmemory.Share) []*peer.Share {
+	out := make([]*peer.Share, 0, len(shares))
+	for _, share := range shares {
 		out = append(out, encodeShare(share))
 	}
 	return out
 }
 
 func encodeShare(s kvmemory.Share) *peer.Share {
-	start := registry.ParseID(s.ID)
-	out := &peer.Share{Server: start.Instance, Start: start.Tag(), Tokens: uint32(max(s.Tokens, 0)), Runs: uint32(s.Runs)}
+	incarnation := registry.ParseID(s.ID)
+	out := &peer.Share{Server: incarnation.Instance, Start: incarnation.Tag(), Tokens: uint32(max(s.Tokens, 0)), Runs: uint32(s.Runs)}
 	if s.Runs == 0 {
 		return out
 	}
@@ -33,8 +33,8 @@
 	return out
 }
 
-// decodeLoad decodes a share. One without a forecast, as gateways of earlier versions send,
-// counts as held for good.
+// decodeLoad decodes a share. A share without a forecast, as gateways of earlier versions send, counts as a constant
+// load.
 func decodeLoad(s *peer.Share) kvmemory.Load {
 	l := kvmemory.Load{Tokens: int(s.GetTokens()), Runs: int(s.GetRuns())}
 	mean, variance := s.GetMean(), s.GetVariance()
@@ -45,18 +45,19 @@
 	for i := range kvmemory.Ahead {
 		l.Ahead.Mean[i], l.Ahead.Variance[i] = float64(mean[i]), float64(variance[i])
 	}
-	l.Ahead.Most = mostOf(s)
+	l.Ahead.Most = maxTokens(s)
 	return l
 }
 
-// untoldMost is how many times what runs are thought to take they hold at most, for a gateway of an earlier
-// version, which does not tell it: callers' hints are seldom wrong by more than a factor of two.
-const untoldMost = 2
+// unreportedMaxFactor is the ratio of the maximum to the expected memory of runs that is assumed for gateways of
+// earlier versions, which do not report the maximum: callers' length hints are seldom wrong by more than a factor of
+// two.
+const unreportedMaxFactor = 2
 
-// mostOf is what the runs of a share hold at most, in tokens.
-func mostOf(s *peer.Share) float64 {
+// maxTokens returns the maximum memory of a share's runs, in tokens.
+func maxTokens(s *peer.Share) float64 {
 	if s.GetMost() == 0 {
-		return untoldMost * float64(s.GetTokens())
+		return unreportedMaxFactor * float64(s.GetTokens())
 	}
 	return float64(s.GetMost())
 }
@@ -64,60 +65,60 @@
 func encodeFailures(ids []string) []*peer.Failure {
 	out := make([]*peer.Failure, 0, len(ids))
 	for _, id := range ids {
-		start := registry.ParseID(id)
-		out = append(out, &peer.Failure{Server: start.Instance, Start: start.Tag()})
+		incarnation := registry.ParseID(id)
+		out = append(out, &peer.Failure{Server: incarnation.Instance, Start: incarnation.Tag()})
 	}
 	return out
 }
 
-// encodeUsages is nil if there is nothing to tell.
-func encodeUsages(told []limit.Told, informed bool) *peer.Usages {
-	if len(told) == 0 {
+// encodeUsages returns nil if there is nothing to report.
+func encodeUsages(usages []limit.Told, informed bool) *peer.Usages {
+	if len(usages) == 0 {
 		return nil
 	}
 	out := &peer.Usages{Informed: informed}
-	for _, t := range told {
+	for _, usage := range usages {
 		out.Customers = append(out.Customers, &peer.Usage{
-			Customer: t.Customer, Charged: t.Charged, Returned: t.Returned, Demand: t.Demand, Left: t.Left,
+			Customer: usage.Customer, Charged: usage.Charged, Returned: usage.Returned, Demand: usage.Demand, Left: usage.Left,
 		})
 	}
 	return out
 }
 
 func decodeUsages(u *peer.Usages) []limit.Told {
-	told := make([]limit.Told, 0, len(u.GetCustomers()))
-	for _, t := range u.GetCustomers() {
-		told = append(told, limit.Told{
-			Customer: t.GetCustomer(), Charged: t.GetCharged(), Returned: t.GetReturned(), Demand: t.GetDemand(), Left: t.GetLeft(),
+	usages := make([]limit.Told, 0, len(u.GetCustomers()))
+	for _, usage := range u.GetCustomers() {
+		usages = append(usages, limit.Told{
+			Customer: usage.GetCustomer(), Charged: usage.GetCharged(), Returned: usage.GetReturned(), Demand: usage.GetDemand(), Left: usage.GetLeft(),
 		})
 	}
-	return told
+	return usages
 }
 
-// encodeServerLimits is nil if there is nothing to tell.
-func encodeServerLimits(n forward.ServerLimitNews, now time.Time) *peer.ServerLimits {
-	if len(n.Limits)+len(n.Used) == 0 {
+// encodeServerLimits returns nil if there is nothing to report.
+func encodeServerLimits(updates forward.ServerLimitNews, now time.Time) *peer.ServerLimits {
+	if len(updates.Limits)+len(updates.Used) == 0 {
 		return nil
 	}
-	out := &peer.ServerLimits{Sent: encodeUsages(n.Used, n.Informed)}
-	for _, t := range n.Limits {
+	out := &peer.ServerLimits{Sent: encodeUsages(updates.Used, updates.Informed)}
+	for _, reported := range updates.Limits {
 		out.Limits = append(out.Limits, &peer.ServerLimit{
-			Server: t.ID, Limited: t.Named, PerSecond: t.PerSecond, AgeMs: uint32(max(now.Sub(t.At).Milliseconds(), 0)),
+			Server: reported.ID, Limited: reported.Named, PerSecond: reported.PerSecond, AgeMs: uint32(max(now.Sub(reported.At).Milliseconds(), 0)),
 		})
 	}
 	return out
 }
 
-// decodeServerLimits leaves out what no server can have said, as a faulty process may tell.
-func decodeServerLimits(told *peer.ServerLimits, now time.Time) forward.ServerLimitNews {
-	out := forward.ServerLimitNews{Used: decodeUsages(told.GetSent()), Informed: told.GetSent().GetInformed()}
-	for _, t := range told.GetLimits() {
-		l := serverlimit.Limit{Named: t.GetLimited(), PerSecond: t.GetPerSecond()}
+// decodeServerLimits drops limits that no server can have stated, which a faulty process may report.
+func decodeServerLimits(limits *peer.ServerLimits, now time.Time) forward.ServerLimitNews {
+	out := forward.ServerLimitNews{Used: decodeUsages(limits.GetSent()), Informed: limits.GetSent().GetInformed()}
+	for _, reported := range limits.GetLimits() {
+		l := serverlimit.Limit{Named: reported.GetLimited(), PerSecond: reported.GetPerSecond()}
 		if !l.Valid() {
 			continue
 		}
-		at := now.Add(-time.Duration(t.GetAgeMs()) * time.Millisecond)
-		out.Limits = append(out.Limits, serverlimit.Told{ID: t.GetServer(), Statement: serverlimit.Statement{Limit: l, At: at}})
+		at := now.Add(-time.Duration(reported.GetAgeMs()) * time.Millisecond)
+		out.Limits = append(out.Limits, serverlimit.Told{ID: reported.GetServer(), Statement: serverlimit.Statement{Limit: l, At: at}})
 	}
 	return out
 }
@@ -133,8 +134,8 @@
 	return out
 }
 
-// decodeServers decodes what another gateway told. A server that can't be one, as a faulty
-// process may tell, is listed without new work.
+// decodeServers decodes the servers that another gateway reported. An invalid server, which a faulty process may
+// report, is listed as unusable.
 func decodeServers(list []*peer.Server) []registry.Server {
 	out := make([]registry.Server, 0, len(list))
 	for _, v := range list {
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -6,34 +6,31 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// entryFaults are the entries of servers that could not be used at the last reading. They belong
-// to one goroutine.
+// entryFaults are the server entries that were invalid at the last reading. They belong to one goroutine.
 type entryFaults map[string]registry.Fault
 
-// note logs and counts the entries that have become faulty, or faulty in another way, since the
-// last reading.
-func (known *entryFaults) note(s *Service, faults []registry.Fault) {
+// record logs and counts the entries that have become faulty, or faulty in another way, since the last reading.
+func (known *entryFaults) record(s *Service, faults []registry.Fault) {
 	now := make(entryFaults, len(faults))
 	for _, f := range faults {
 		now[f.Instance] = f
 		if (*known)[f.Instance] == f {
 			continue
 		}
-		s.met.EntryUnreadable(f.Reason)
+		s.metrics.EntryUnreadable(f.Reason)
 		event.ServerInvalid.Log(s.log).Str("server", f.Instance).Str("reason", string(f.Reason)).
 			Str("field", f.Field).Str("found", f.Found).Msg("")
 	}
 	*known = now
 }
 
-// startsEnded forgets what belongs to starts of servers that were followed by a later one, and ends
-// what waits for their answers. What was learned of them is kept by their IDs, which nothing uses any
-// more; the sweep drops it.
-func (s *Service) startsEnded(ended []registry.Server) {
-	for _, e := range ended {
-		requests := s.fwd.End(e.ID)
-		s.pool.Drop(e.Addr)
-		s.met.Counter(metrics.StartsEnded).Inc(1)
-		event.ServerRestarted.Log(s.log).Str("server", e.Instance()).Int64("born", e.Born).Int("requests", requests).Msg("")
+// incarnationsReplaced ends the attempts in progress at incarnations of servers that a later one has replaced, and
+// drops their connections. State kept under their IDs is no longer used; the sweep drops it.
+func (s *Service) incarnationsReplaced(replaced []registry.Server) {
+	for _, r := range replaced {
+		requests := s.fwd.End(r.ID)
+		s.pool.Drop(r.Addr)
+		s.metrics.Counter(metrics.StartsEnded).Inc(1)
+		event.ServerRestarted.Log(s.log).Str("server", r.Instance()).Int64("born", r.Born).Int("requests", requests).Msg("")
 	}
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -12,20 +12,19 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// fromStore is where news come from that this process read itself.
+// fromStore is the source of updates that this process read from the store itself.
 const fromStore = "store"
 
-// dependency logs each time that something the process depends on is lost or regained.
-// It belongs to one goroutine.
+// dependency logs each time that something the process depends on is lost or regained. It belongs to one goroutine.
 type dependency struct {
 	s    *Service
 	what string
 	lost bool
 }
 
-func (d *dependency) note(err error) {
+func (d *dependency) record(err error) {
 	if err != nil {
-		d.s.met.Counter(metrics.StoreErrors).Inc(1)
+		d.s.metrics.Counter(metrics.StoreErrors).Inc(1)
 	}
 	if lost := err != nil; lost != d.lost {
 		d.lost = lost
@@ -42,7 +41,7 @@
 	dep := &dependency{s: s, what: "manifest"}
 	version, known, refused, failures := int64(0), false, "", 0
 	for ctx.Err() == nil {
-		asked := s.proofs.now()
+		requested := s.proofs.now()
 		r, err := s.readManifest(ctx, version, known)
 		if ctx.Err() != nil {
 			return
@@ -50,145 +49,144 @@
 		switch {
 		case errors.Is(err, store.ErrNotFound):
 			err = nil
-			pause(ctx, storeRetry)
+			sleep(ctx, storeRetryDelay)
 		case errors.Is(err, store.ErrMalformed):
 			if err.Error() != refused {
 				refused = err.Error()
 				event.TableRefused.Log(s.log).Str("from", fromStore).Err(err).Msg("")
 			}
 			known, err = false, nil
-			pause(ctx, serversInterval)
+			sleep(ctx, serverListInterval)
 		case err != nil:
 			known = false
 			failures++
-			pause(ctx, s.storePause(failures))
+			sleep(ctx, s.nextStoreRetry(failures))
 		default:
 			version, known = r.Version, true
-			s.takeReading(r, asked)
+			s.installReading(r, requested)
 		}
 		if err == nil {
 			failures = 0
 		}
 		s.storeLost.Store(err != nil)
-		dep.note(err)
+		dep.record(err)
 	}
 }
 
-// storePause is the pause after calls of the store that failed in a row.
-func (s *Service) storePause(failures int) time.Duration {
-	return jitter(retryPause(s.readsForAll() || !s.view.informed(), failures))
+// nextStoreRetry returns the delay after a number of failed store calls in a row, with jitter.
+func (s *Service) nextStoreRetry(failures int) time.Duration {
+	return jitter(retryDelay(s.isStoreReader() || !s.view.synced(), failures))
 }
 
-// retryPause is the pause after calls of the store that failed in a row. Those that read for all, and those that know
-// nothing yet, ask again soon. The others hear from them, and ask less and less: a store that comes back
-// does not meet the calls of all at once, three a second of each.
-func retryPause(first bool, failures int) time.Duration {
-	if first {
-		return storeRetry
+// retryDelay returns the delay after a number of failed store calls in a row. Store readers, and gateways that have
+// no state yet, retry soon (urgent). The others receive updates from them and back off exponentially, so that a
+// recovering store does not get calls from all of them at once, three a second from each.
+func retryDelay(urgent bool, failures int) time.Duration {
+	if urgent {
+		return storeRetryDelay
 	}
-	return min(storeRetry<<min(max(failures-1, 0), maxRetryDoublings), maxStoreRetry)
+	return min(storeRetryDelay<<min(max(failures-1, 0), maxRetryDoublings), maxStoreRetryDelay)
 }
 
-// readManifest reads the whole table when none was read or the history was lost, and
-// waits for a change otherwise.
+// readManifest reads the whole table if none was read or the history was lost, and otherwise waits for a change.
 func (s *Service) readManifest(ctx context.Context, version int64, known bool) (route.Reading, error) {
 	if !known {
 		return s.store.Manifest(ctx)
 	}
 	wait := manifestWait
-	if !s.readsForAll() {
+	if !s.isStoreReader() {
 		wait = manifestIdleWait
 	}
 	return s.store.NextManifest(ctx, version, wait)
 }
 
-// readsForAll reports whether this process is one of the few that read the store for all.
-func (s *Service) readsForAll() bool { return s.peers.Rank() < readers }
+// isStoreReader reports whether this process is one of the few that read the store for all gateways.
+func (s *Service) isStoreReader() bool { return s.peers.Rank() < storeReaders }
 
-// reads reports whether this process is to read the list of servers from the store: the
-// first few gateways do, and all others when nobody has told of a reading for a while.
-func (s *Service) reads() bool {
-	if s.readsForAll() {
+// shouldReadServers reports whether this process is to read the server list from the store: store readers always do,
+// other gateways when no reading has been reported for a while.
+func (s *Service) shouldReadServers() bool {
+	if s.isStoreReader() {
 		return true
 	}
 	now := time.Now()
-	return !s.view.informed() || min(s.view.readAge(now), s.placed.readAge(now)) >= readersSilent
+	return !s.view.synced() || min(s.view.listReadAge(now), s.peerLoads.listReadAge(now)) >= storeReaderTimeout
 }
 
-// takeReading takes what the store answered to a question that was sent at asked.
-func (s *Service) takeReading(r route.Reading, asked time.Duration) {
+// installReading takes the store's answer to a call that was made at the time requested.
+func (s *Service) installReading(r route.Reading, requested time.Duration) {
 	if r.Table == nil {
 		return
 	}
-	s.takeTable(r.Table, r.Encoded, fromStore)
-	s.proofs.read(r.Table.Version, r.Row, asked)
+	s.installTable(r.Table, r.Encoded, fromStore)
+	s.proofs.recordRead(r.Table.Version, r.Row, requested)
 }
 
-// takeTable puts a table in force unless a newer one is, and has the other gateways told.
-func (s *Service) takeTable(t *route.Table, encoded []byte, from string) {
+// installTable puts a table in force unless a newer one is, and announces it to the other gateways.
+func (s *Service) installTable(t *route.Table, encoded []byte, from string) {
 	if t == nil || !s.view.applyTable(t, encoded) {
 		return
 	}
-	s.proofs.inForce(t.Version)
+	s.proofs.recordVersion(t.Version)
 	s.quotas.configure(t.Tenants)
-	s.tellNews(from)
-	s.met.Gauge(metrics.ConfigRevision).Update(t.Version)
+	s.announceUpdate(from)
+	s.metrics.Gauge(metrics.ConfigRevision).Update(t.Version)
 	event.TableApplied.Log(s.log).Int64("version", t.Version).Int("routes", len(t.Routes)).Str("from", from).Msg("")
 }
 
-// followServers keeps the list of servers up to date.
+// followServers keeps the server list up to date.
 func (s *Service) followServers(ctx context.Context) {
 	dep := &dependency{s: s, what: "servers"}
 	faults, failures := entryFaults{}, 0
 	for ctx.Err() == nil {
-		if !s.reads() {
-			pause(ctx, jitter(serversInterval))
+		if !s.shouldReadServers() {
+			sleep(ctx, jitter(serverListInterval))
 			continue
 		}
 		reading, version, err := s.store.Servers(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		dep.note(err)
+		dep.record(err)
 		if err != nil {
 			failures++
-			pause(ctx, s.storePause(failures))
+			sleep(ctx, s.nextStoreRetry(failures))
 			continue
 		}
 		failures = 0
-		reading = reading.RequireStarts(s.view.latestStart)
-		faults.note(s, reading.Faults)
-		s.view.noteRead(time.Now())
+		reading = reading.RequireStarts(s.view.latestIncarnation)
+		faults.record(s, reading.Faults)
+		s.view.recordRead(time.Now())
 		if s.view.applyServers(version, reading.List(), time.Now()) {
 			s.serversChanged(version, fromStore)
 		}
-		pause(ctx, jitter(serversInterval))
+		sleep(ctx, jitter(serverListInterval))
 	}
 }
 
-// serversChanged has the other gateways told of a change of the list of servers.
+// serversChanged announces a change of the server list to the other gateways.
 func (s *Service) serversChanged(version int64, from string) {
-	s.tellNews(from)
+	s.announceUpdate(from)
 	list, _ := s.view.list()
 	event.ServersChanged.Log(s.log).Int64("version", version).Int("servers", len(list)).Str("from", from).Msg("")
 }
 
-// tellNews has other gateways told of what was read from the store or heard from a gateway: all of them by
-// one of the few that are meant to read for all, a few by any other.
-func (s *Service) tellNews(from string) {
-	if from == fromStore && s.readsForAll() {
+// announceUpdate has other gateways informed of an update that was read from the store or received from a gateway:
+// all of them if a store reader read it, a few otherwise.
+func (s *Service) announceUpdate(from string) {
+	if from == fromStore && s.isStoreReader() {
 		s.peers.Announce()
 		return
 	}
 	s.peers.Spread()
 }
 
-// jitter spreads d by a tenth to both sides.
+// jitter varies d randomly by up to a tenth in either direction.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.9 + 0.2*rand.Float64()))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -7,23 +7,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRetryPause: in an outage of the store the few that read for all go on asking, the others ask less and less.
-func TestRetryPause(t *testing.T) {
+// TestStoreRetryDelay: in an outage of the store the few store readers keep a constant retry delay, the other
+// gateways back off.
+func TestStoreRetryDelay(t *testing.T) {
 	for _, c := range []struct {
-		first    bool
+		urgent   bool
 		failures int
 		want     time.Duration
 	}{
-		{true, 1, storeRetry}, {true, 100, storeRetry},
-		{false, 0, storeRetry}, {false, 1, storeRetry}, {false, 2, 2 * storeRetry}, {false, 3, 4 * storeRetry},
-		{false, 4, maxStoreRetry}, {false, 1000, maxStoreRetry},
+		{true, 1, storeRetryDelay}, {true, 100, storeRetryDelay},
+		{false, 0, storeRetryDelay}, {false, 1, storeRetryDelay}, {false, 2, 2 * storeRetryDelay}, {false, 3, 4 * storeRetryDelay},
+		{false, 4, maxStoreRetryDelay}, {false, 1000, maxStoreRetryDelay},
 	} {
-		assert.Equal(t, retryPause(c.first, c.failures), c.want, "%+v", c)
+		assert.Equal(t, retryDelay(c.urgent, c.failures), c.want, "%+v", c)
 	}
 	calls := 0
 	for failures, at := 1, time.Duration(0); at < 8*time.Second; failures++ {
 		calls++
-		at += retryPause(false, failures)
+		at += retryDelay(false, failures)
 	}
-	assert.Assert(t, calls <= 8, "one a second in an outage of eight: %d", calls)
+	assert.Assert(t, calls <= 8, "at most one call a second in an outage of eight seconds: %d", calls)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway is the stateless process that stands before the backend servers of
-// the users' platform. It learns routes and servers, answers whether it is ready, and
-// hands requests to package forward.
+// Package gateway is the stateless process in front of the backend servers of the users' platform. It follows the
+// route table and the server list, answers readiness checks and passes requests to package forward.
 package gateway
 
 import (
@@ -28,102 +27,101 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// ServiceName is the name of the gateway in a kernel.
+// ServiceName is the name under which the gateway is registered in a kernel.
 const ServiceName = "gateway"
 
-// Store is where configuration and servers are read. Its calls return promptly when
-// their context ends.
+// Store reads the configuration and the server list. Its calls return promptly when their context ends.
 type Store interface {
 	// Servers returns the list of backend servers and its version.
 	Servers(ctx context.Context) (registry.Reading, int64, error)
-	// Manifest reads the route table in force.
+	// Manifest returns the route table in force.
 	Manifest(ctx context.Context) (route.Reading, error)
 	// DecodeManifest decodes a route table that another gateway read.
 	DecodeManifest(encoded []byte) (*route.Table, error)
-	// NextManifest waits for a table newer than a version of the store; the reading has none if none came.
+	// NextManifest waits for a route table newer than a version of the store; the reading holds none if none
+	// appeared.
 	NextManifest(ctx context.Context, version int64, wait time.Duration) (route.Reading, error)
-	// ConfirmManifest reports whether the table that was read in this row is still in force.
+	// ConfirmManifest reports whether the route table that was read in this row is still in force.
 	ConfirmManifest(ctx context.Context, row int64) (bool, error)
 }
 
 // Settings configure a gateway.
 type Settings struct {
-	// VM is the name of this VM and Zone its availability zone.
+	// VM is the name of this VM, Zone its availability zone.
 	VM, Zone string
-	// Callers is where clients connect, Ready where readiness is asked, Control where
-	// other gateways connect, Metrics where metrics are served; each "ip:port".
+	// Listen addresses, each "ip:port": Callers for clients, Ready for readiness checks, Control for other gateways,
+	// Metrics for metrics.
 	Callers, Ready, Control, Metrics string
-	// Datagrams is the UDP port on which gateways tell each other of placement.
+	// Datagrams is the UDP port on which gateways report changes of placement to each other.
 	Datagrams int
 	// Seeds are addresses of other gateways; they may be stale.
 	Seeds []string
-	// Drain bounds a graceful shutdown. Notice is how long connections are taken in it
-	// after readiness has ended, until the balancer has noticed.
+	// Drain bounds a graceful shutdown. Notice is how long new connections are still accepted after readiness has
+	// ended, until the load balancer has noticed.
 	Drain, Notice time.Duration
 	Retry         retrybudget.Limits
-	// Freshness bounds for how long requests with keys are served under a configuration that is not proved to be
-	// the newest.
+	// Freshness bounds how long requests with keys are served under a configuration that is not proved to be the
+	// newest.
 	Freshness freshness.Bounds
-	// Off are the mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off mechanism.Set
 }
 
 // Intervals and bounds.
 const (
-	// serversInterval is the pause between two readings of the list of servers. A leaving
-	// server must get no new work 2 s after the store took its notice.
-	serversInterval = 700 * time.Millisecond
-	// manifestWait is how long the store may wait for a change; a connection that went
-	// silent is noticed after it.
+	// serverListInterval is the interval between two readings of the server list. A leaving server must get no new
+	// work 2 s after the store has accepted its notice.
+	serverListInterval = 700 * time.Millisecond
+	// manifestWait is how long the store may wait for a change; a connection that became unresponsive is noticed
+	// after it.
 	manifestWait = 2 * time.Second
-	// manifestIdleWait is the same for gateways that are not among the readers.
+	// manifestIdleWait is the same for gateways that are not store readers.
 	manifestIdleWait = 15 * time.Second
-	// readers is the number of gateways that read the list of servers; the others hear
-	// from them. Two, so that one that is cut off is not missed.
-	readers = 2
-	// readersSilent is the age of the newest known reading from which a gateway reads
-	// the list itself.
-	readersSilent = 1500 * time.Millisecond
-	// storeRetry is the pause after a failed call, so that a store in trouble is not pressed.
-	storeRetry = 300 * time.Millisecond
-	// maxStoreRetry bounds it where it grows, with maxRetryDoublings: a gateway that the store has let in again
-	// counts as in touch after three seconds.
-	maxStoreRetry     = 1500 * time.Millisecond
-	maxRetryDoublings = 3
-	// callerCheck is the interval at which departed callers are looked for.
-	callerCheck = 20 * time.Millisecond
-	// DefaultNotice is two questions of the balancer, which asks each second and acts on
-	// the second miss, and half a second to spare.
+	// storeReaders is the number of gateways that read the server list from the store; the others receive it from
+	// them. There are two, so that one of them may be cut off.
+	storeReaders = 2
+	// storeReaderTimeout is the age of the latest known reading from which a gateway reads the list itself.
+	storeReaderTimeout = 1500 * time.Millisecond
+	// storeRetryDelay is the delay after a failed call, so that retries do not overload a failing store.
+	storeRetryDelay = 300 * time.Millisecond
+	// maxStoreRetryDelay bounds the delay where it grows exponentially, by maxRetryDoublings doublings at most: a
+	// gateway counts as connected three seconds after the store accepts it again.
+	maxStoreRetryDelay = 1500 * time.Millisecond
+	maxRetryDoublings  = 3
+	// callerCheckInterval is the interval between two checks for disconnected callers.
+	callerCheckInterval = 20 * time.Millisecond
+	// DefaultNotice covers two checks by the load balancer, which checks each second and acts on the second failure,
+	// and half a second of margin.
 	DefaultNotice = 2500 * time.Millisecond
-	// closeMargin is kept from the time of a drain for lookups in progress.
+	// closeMargin is the part of a drain's time that is left for lookups in progress.
 	closeMargin = time.Second
-	// drainCheck is the interval at which a drain looks for streams in progress.
-	drainCheck = 20 * time.Millisecond
-	// sweepInterval is the pause between two looks for idle connections.
+	// drainCheckInterval is the interval at which a drain checks for streams in progress.
+	drainCheckInterval = 20 * time.Millisecond
+	// sweepInterval is the interval between two sweeps for idle connections.
 	sweepInterval = time.Second
 )
 
 // Service is the gateway; it is a kernel.Service.
 type Service struct {
-	set    Settings
-	log    *log.Logger
-	batch  *event.Batch
-	met    *metrics.Set
-	store  Store
-	view   *view
-	fwd    *forward.Forwarder
-	watch  *httpserver.Watcher
-	pool   *upstream.Pool
-	peers  *peer.Service
-	orders Orders
-	lease  *fencing.Lease
-	// placed is what other gateways told of their placement.
-	placed *placed
-	// proofs is how old the configuration in force is proved to be.
+	settings Settings
+	log      *log.Logger
+	batch    *event.Batch
+	metrics  *metrics.Set
+	store    Store
+	view     *view
+	fwd      *forward.Forwarder
+	watcher  *httpserver.Watcher
+	pool     *upstream.Pool
+	peers    *peer.Service
+	orders   Orders
+	lease    *fencing.Lease
+	// peerLoads is the load that other gateways report.
+	peerLoads *peerLoads
+	// proofs tracks how recently the configuration in force was proved to be the newest.
 	proofs *proofs
-	// quotas hold customers to what they may use of all gateways together.
+	// quotas enforce customers' quotas across all gateways.
 	quotas *quotas
-	// guard holds requests back under which servers end; holds is where that is kept.
+	// guard quarantines requests that crash servers; holds is the table that persists the quarantine.
 	guard *holdback.Guard
 	holds holdback.Table
 
@@ -137,17 +135,17 @@
 	work      sync.WaitGroup
 }
 
-// Deps are the parts that a gateway is built from.
+// Deps are the dependencies of a gateway.
 type Deps struct {
 	Store   Store
 	Codec   forward.Codec
 	Engines forward.Engines
-	// Orders gives orders to engines; Lease is the right to.
+	// Orders sends orders to engines; Lease is the right to send them.
 	Orders Orders
 	Lease  *fencing.Lease
-	// Holds keeps which requests are held back.
+	// Holds persists which requests are quarantined.
 	Holds holdback.Table
-	// Clock goes on while the VM is suspended; nil stands for that of package clock.
+	// Clock continues while the VM is suspended; nil stands for that of package clock.
 	Clock   func() time.Duration
 	Pool    *upstream.Pool
 	Log     *log.Logger
@@ -156,27 +154,27 @@
 }
 
 // New returns a gateway.
-func New(set Settings, d Deps) *Service {
+func New(settings Settings, d Deps) *Service {
 	s := &Service{
-		set: set, log: d.Log, batch: d.Batch, met: d.Metrics, store: d.Store, pool: d.Pool,
+		settings: settings, log: d.Log, batch: d.Batch, metrics: d.Metrics, store: d.Store, pool: d.Pool,
 		orders: d.Orders, lease: d.Lease,
-		view: newView(), watch: httpserver.NewWatcher(), proofs: newProofs(set.Freshness, d.Clock),
+		view: newView(), watcher: httpserver.NewWatcher(), proofs: newProofs(settings.Freshness, d.Clock),
 	}
 	s.view.proofs = s.proofs
 	s.quotas = newQuotas(d.Log, time.Now())
-	s.peers = peer.New(set.Control, set.Datagrams, set.Seeds, s)
-	s.met.GaugeFunc(metrics.UpstreamDials, d.Pool.Dialed)
-	s.met.Gauge(metrics.MechanismsOff).Update(int64(set.Off.Len()))
-	s.met.GaugeFunc(metrics.LinkBytesSent, s.peers.Sent)
-	s.met.GaugeFunc(metrics.LinkBytesReceived, s.peers.Received)
-	s.met.GaugeFunc(metrics.ConfigProofAge, s.proofAge)
-	s.met.GaugeFunc(metrics.QuotaSilent, s.quotas.silentNow)
-	s.placed = newPlaced(s.view.idOf)
-	s.view.onEnded = s.startsEnded
-	s.guard, s.holds = holdback.New(d.Log, d.Metrics, set.Off.Has(mechanism.Quarantine)), d.Holds
+	s.peers = peer.New(settings.Control, settings.Datagrams, settings.Seeds, s)
+	s.metrics.GaugeFunc(metrics.UpstreamDials, d.Pool.Dialed)
+	s.metrics.Gauge(metrics.MechanismsOff).Update(int64(settings.Off.Len()))
+	s.metrics.GaugeFunc(metrics.LinkBytesSent, s.peers.Sent)
+	s.metrics.GaugeFunc(metrics.LinkBytesReceived, s.peers.Received)
+	s.metrics.GaugeFunc(metrics.ConfigProofAge, s.proofAge)
+	s.metrics.GaugeFunc(metrics.QuotaSilent, s.quotas.unresponsiveGateways)
+	s.peerLoads = newPeerLoads(s.view.incarnationID)
+	s.view.onReplaced = s.incarnationsReplaced
+	s.guard, s.holds = holdback.New(d.Log, d.Metrics, settings.Off.Has(mechanism.Quarantine)), d.Holds
 	s.fwd = forward.New(forward.Config{
-		Codec: d.Codec, Engines: d.Engines, View: s.view, Pool: d.Pool, Watcher: s.watch, Guard: s.guard, Quota: s.quotas,
-		Log: d.Log, Metrics: d.Metrics, VM: set.VM, Zone: set.Zone, Retry: set.Retry, Off: set.Off,
+		Codec: d.Codec, Engines: d.Engines, View: s.view, Pool: d.Pool, Watcher: s.watcher, Guard: s.guard, Quota: s.quotas,
+		Log: d.Log, Metrics: d.Metrics, VM: settings.VM, Zone: settings.Zone, Retry: settings.Retry, Off: settings.Off,
 	})
 	return s
 }
@@ -188,35 +186,35 @@
 func (s *Service) Start(_ context.Context, _ *kernel.Kernel) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
-	s.work.Go(func() { s.watch.Run(ctx, callerCheck) })
+	s.work.Go(func() { s.watcher.Run(ctx, callerCheckInterval) })
 	s.work.Go(func() { s.followManifest(ctx) })
 	s.work.Go(func() { s.followServers(ctx) })
-	s.work.Go(func() { s.followQuotas(ctx) })
+	s.work.Go(func() { s.refreshQuotas(ctx) })
 	s.work.Go(func() { s.proveManifest(ctx) })
-	s.work.Go(func() { s.askProofs(ctx) })
+	s.work.Go(func() { s.requestPeerProofs(ctx) })
 	s.work.Go(func() { s.sweep(ctx) })
-	s.work.Go(func() { s.meet(ctx) })
+	s.work.Go(func() { s.exchangeReports(ctx) })
 	s.work.Go(func() { s.planStages(ctx) })
-	s.holdBack(ctx)
-	if !s.set.Off.Has(mechanism.Datagrams) {
-		s.work.Go(func() { s.tellPlacement(ctx) })
+	s.startQuarantine(ctx)
+	if !s.settings.Off.Has(mechanism.Datagrams) {
+		s.work.Go(func() { s.announceChanges(ctx) })
 	}
 	return s.listen()
 }
 
 func (s *Service) listen() error {
 	var err error
-	s.callers, err = s.serve("callers", s.set.Callers, s.fwd, s.fwd.Head)
+	s.callers, err = s.serve("callers", s.settings.Callers, s.fwd, s.fwd.Head)
 	if err != nil {
 		return err
 	}
-	if _, err = s.serve("ready", s.set.Ready, http.HandlerFunc(s.answerReady), nil); err != nil {
+	if _, err = s.serve("ready", s.settings.Ready, http.HandlerFunc(s.handleReady), nil); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", s.met)
-	mux.HandleFunc("GET "+AccessPath, s.answerAccess)
-	_, err = s.serve("metrics", s.set.Metrics, mux, nil)
+	mux.Handle("GET /metrics", s.metrics)
+	mux.HandleFunc("GET "+AccessPath, s.handleAccess)
+	_, err = s.serve("metrics", s.settings.Metrics, mux, nil)
 	return err
 }
 
@@ -228,9 +226,9 @@
 	return server, err
 }
 
-// answerReady tells the balancer whether new connections are welcome.
-func (s *Service) answerReady(w http.ResponseWriter, _ *http.Request) {
-	ready := s.view.informed() && !s.draining.Load()
+// handleReady tells the load balancer whether to send new connections.
+func (s *Service) handleReady(w http.ResponseWriter, _ *http.Request) {
+	ready := s.view.synced() && !s.draining.Load()
 	if s.ready.Swap(ready) != ready {
 		event.ReadyChanged.Log(s.log).Bool("ready", ready).Bool("draining", s.draining.Load()).Msg("")
 	}
@@ -239,8 +237,8 @@
 	}
 }
 
-// sweep closes idle connections, forgets servers and placements that are gone, and reports
-// dropped log lines.
+// sweep closes idle connections, drops the state of removed servers, expires old placement reports and logs the
+// number of dropped log lines.
 func (s *Service) sweep(ctx context.Context) {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -251,12 +249,12 @@
 			return
 		case <-t.C:
 		}
-		traffic = s.tellTraffic(traffic)
+		traffic = s.recordTraffic(traffic)
 		live := s.peers.Count()
 		s.view.others.Store(int64(live - 1))
-		s.view.routers.Store(int64(max(live, len(s.set.Seeds))))
-		s.fwd.SetOthers(s.placed.refresh(s.peers.Pace(), time.Now()))
-		addrs, ids := s.view.known()
+		s.view.routers.Store(int64(max(live, len(s.settings.Seeds))))
+		s.fwd.SetOthers(s.peerLoads.refresh(s.peers.Pace(), time.Now()))
+		addrs, ids := s.view.knownServers()
 		s.pool.Sweep(func(addr string) bool { return addrs[addr] })
 		s.guard.Expire()
 		s.fwd.Forget(func(id string) bool { return ids[id] })
@@ -266,23 +264,22 @@
 	}
 }
 
-// Drain implements kernel.Service: readiness ends at once. Requests that can be answered
-// in time are taken until the balancer has noticed and all streams have ended: when all
-// gateways are restarted at once, there is no other to turn to. Then what is in progress
-// is finished.
+// Drain implements kernel.Service. Readiness ends at once. Requests that can be answered in time are accepted until
+// the load balancer has noticed and all streams have ended: when all gateways restart at once, there is no other
+// gateway to send them to. Then the requests in progress are finished.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	end, ok := ctx.Deadline()
 	if !ok {
-		end = time.Now().Add(s.set.Drain)
+		end = time.Now().Add(s.settings.Drain)
 	}
-	s.fwd.Drain(time.Now().Add(s.set.Notice), end)
+	s.fwd.Drain(time.Now().Add(s.settings.Notice), end)
 	s.peers.Leave()
-	ending, cancel := context.WithDeadline(ctx, end.Add(-closeMargin))
+	drainCtx, cancel := context.WithDeadline(ctx, end.Add(-closeMargin))
 	defer cancel()
-	pause(ending, s.set.Notice)
-	for s.fwd.Streams() > 0 && ending.Err() == nil {
-		pause(ending, drainCheck)
+	sleep(drainCtx, s.settings.Notice)
+	for s.fwd.Streams() > 0 && drainCtx.Err() == nil {
+		sleep(drainCtx, drainCheckInterval)
 	}
 	err := s.callers.Shutdown(ctx)
 	if err != nil {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -27,16 +27,16 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// process is a gateway run as its program runs it.
+// process is a gateway that runs as its program runs it.
 type process struct {
-	set   gateway.Settings
-	s     *gateway.Service
-	stop  context.CancelFunc
-	ended chan error
+	settings gateway.Settings
+	s        *gateway.Service
+	stop     context.CancelFunc
+	done     chan error
 }
 
-// freeAddr is an address of loopback that nothing else uses: a port that was free on 127.0.0.1 may be
-// taken by any connection of another test before the gateway listens.
+// freeAddr returns a loopback address that nothing else uses: a port that was free on 127.0.0.1 may be taken by any
+// connection of another test before the gateway listens.
 func freeAddr(t *testing.T) string {
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 	lis, err := net.Listen("tcp", host+":0")
@@ -46,7 +46,7 @@
 }
 
 func start(t *testing.T, store *site.Store, vm string, seeds ...string) *process {
-	set := gateway.Settings{
+	settings := gateway.Settings{
 		VM: vm, Zone: "z1", Callers: freeAddr(t), Ready: freeAddr(t), Control: freeAddr(t), Metrics: freeAddr(t),
 		Seeds: seeds, Drain: 10 * time.Second, Notice: 50 * time.Millisecond,
 		Retry: retrybudget.Limits{Ratio: 0.2, Window: 10 * time.Second, Slack: 50},
@@ -55,8 +55,8 @@
 	pool := upstream.New(upstream.Options{})
 	client := platform.NewStore(upstream.New(upstream.Options{}), store.Addr(), time.Second)
 	engines := platform.NewEngines(pool, time.Second)
-	p := &process{set: set, ended: make(chan error, 1)}
-	p.s = gateway.New(set, gateway.Deps{
+	p := &process{settings: settings, done: make(chan error, 1)}
+	p.s = gateway.New(settings, gateway.Deps{
 		Store: client, Codec: platform.Codec{}, Engines: engines, Orders: engines,
 		Lease: fencing.New(client.Table("hibiscusspur"), "orders", vm, nil),
 		Holds: client.Table(holdback.TableName),
@@ -66,23 +66,23 @@
 	k.Register(p.s)
 	var ctx context.Context
 	ctx, p.stop = context.WithCancel(context.Background())
-	go func() { p.ended <- k.Run(ctx, set.Drain) }()
+	go func() { p.done <- k.Run(ctx, settings.Drain) }()
 	t.Cleanup(func() {
 		p.stop()
-		if p.ended != nil {
-			<-p.ended
+		if p.done != nil {
+			<-p.done
 		}
 	})
 	return p
 }
 
-// ready asks like the balancer until the answer is the wanted one.
-func (p *process) ready(t *testing.T, want int) {
+// waitReady polls the readiness check as the load balancer does until it returns the wanted status.
+func (p *process) waitReady(t *testing.T, want int) {
 	t.Helper()
 	for t.Context().Err() == nil {
-		res, err := http.Get("http://" + p.set.Ready)
-		if err != nil && len(p.ended) > 0 {
-			t.Fatalf("the gateway has ended: %v", <-p.ended)
+		res, err := http.Get("http://" + p.settings.Ready)
+		if err != nil && len(p.done) > 0 {
+			t.Fatalf("the gateway has terminated: %v", <-p.done)
 		}
 		if err != nil {
 			continue
@@ -92,13 +92,13 @@
 			return
 		}
 	}
-	t.Fatalf("never %d", want)
+	t.Fatalf("the readiness check never returned %d", want)
 }
 
-// ask sends a request and returns the status and the body of the answer.
-func (p *process) ask(t *testing.T, path string) (int, string) {
+// get sends a request and returns the status and the body of the answer.
+func (p *process) get(t *testing.T, path string) (int, string) {
 	t.Helper()
-	r, err := http.NewRequest(http.MethodGet, "http://"+p.set.Callers+path, nil)
+	r, err := http.NewRequest(http.MethodGet, "http://"+p.settings.Callers+path, nil)
 	assert.NilError(t, err)
 	r.Host = "h"
 	r.Header.Set(site.RequestID, "id-1")
@@ -119,38 +119,38 @@
 	return s.Entry(service, state).Encode()
 }
 
-// until calls do until its result is ok.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil polls cond until it holds.
+func waitUntil(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for !ok() {
+	for !cond() {
 		if t.Context().Err() != nil {
 			t.Fatal(what)
 		}
 	}
 }
 
-// TestLife: not ready without configuration and servers, then serving, following changes
-// of both, and leaving without cutting anything off.
-func TestLife(t *testing.T) {
+// TestLifecycle: the gateway is not ready without configuration and servers, then serves, follows changes of both,
+// and stops without breaking off requests.
+func TestLifecycle(t *testing.T) {
 	store, calls := site.NewStore(t), site.NewLog()
 	a, b := site.NewServer(t, "a", calls), site.NewServer(t, "b", calls)
 	p := start(t, store, "g1")
-	p.ready(t, http.StatusServiceUnavailable)
-	status, _ := p.ask(t, "/a/1")
+	p.waitReady(t, http.StatusServiceUnavailable)
+	status, _ := p.get(t, "/a/1")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	store.Put("servers", "a", entry(a, "one", "ready"))
 	store.Put("servers", "b", entry(b, "two", "ready"))
 	store.Put("op", "config", manifest(3, "one"))
-	p.ready(t, http.StatusOK)
-	until(t, "the server", func() bool { _, body := p.ask(t, "/a/1"); return body == "answer of a to /a/1" })
+	p.waitReady(t, http.StatusOK)
+	waitUntil(t, "the server", func() bool { _, body := p.get(t, "/a/1"); return body == "answer of a to /a/1" })
 	store.Put("op", "config", []byte(`{"version":"broken"}`))
 	store.Put("op", "config", manifest(5, "two"))
-	until(t, "the new service", func() bool { _, body := p.ask(t, "/a/1"); return strings.Contains(body, "of b") })
+	waitUntil(t, "the new service", func() bool { _, body := p.get(t, "/a/1"); return strings.Contains(body, "of b") })
 	store.Put("op", "config", manifest(4, "one"))
 	store.Put("op", "config", manifest(5, "one"))
 	store.Put("servers", "b", entry(b, "two", "draining"))
-	until(t, "the server that leaves gets nothing", func() bool { status, _ := p.ask(t, "/a/1"); return status == http.StatusServiceUnavailable })
-	res, err := http.Get("http://" + p.set.Metrics + "/metrics")
+	waitUntil(t, "the leaving server gets no requests", func() bool { status, _ := p.get(t, "/a/1"); return status == http.StatusServiceUnavailable })
+	res, err := http.Get("http://" + p.settings.Metrics + "/metrics")
 	assert.NilError(t, err)
 	defer func() { _ = res.Body.Close() }()
 	var shown map[string]any
@@ -158,23 +158,22 @@
 	assert.DeepEqual(t, shown[metrics.ConfigRevision], map[string]any{"value": 5.0})
 }
 
-// TestStoreDown: a gateway that starts while the store refuses it learns everything from
-// another one.
+// TestStoreDown: a gateway that starts while the store refuses it receives all state from another gateway.
 func TestStoreDown(t *testing.T) {
 	store, calls := site.NewStore(t), site.NewLog()
 	a := site.NewServer(t, "a", calls)
 	store.Put("servers", "a", entry(a, "one", "ready"))
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
-	first.ready(t, http.StatusOK)
+	first.waitReady(t, http.StatusOK)
 	store.Set(site.Busy)
-	second := start(t, store, "g2", first.set.Control)
-	second.ready(t, http.StatusOK)
-	_, body := second.ask(t, "/a/1")
+	second := start(t, store, "g2", first.settings.Control)
+	second.waitReady(t, http.StatusOK)
+	_, body := second.get(t, "/a/1")
 	assert.Equal(t, body, "answer of a to /a/1")
 }
 
-// TestDrain: readiness ends at once, a request in progress is finished.
+// TestDrain: readiness ends at once, and a request in progress is finished.
 func TestDrain(t *testing.T) {
 	store, calls := site.NewStore(t), site.NewLog()
 	a := site.NewServer(t, "a", calls)
@@ -183,35 +182,35 @@
 	store.Put("servers", "b", entry(b, "one", "ready"))
 	store.Put("op", "config", []byte(strings.ReplaceAll(string(manifest(3, "one")), "30000", "4000")))
 	p := start(t, store, "g1")
-	p.ready(t, http.StatusOK)
+	p.waitReady(t, http.StatusOK)
 	a.Behave(site.Mute)
 	b.Behave(site.Mute)
 	answered := make(chan string, 1)
 	go func() {
-		_, body := p.ask(t, "/a/1")
+		_, body := p.get(t, "/a/1")
 		answered <- body
 	}()
 	calls.Wait(t, false, func(c site.Call) bool { return c.Kind == site.Plain })
 	a.Behave(site.Answer)
 	b.Behave(site.Answer)
 	p.stop()
-	p.ready(t, http.StatusServiceUnavailable)
-	// The server that took it stays mute; the second attempt is answered.
+	p.waitReady(t, http.StatusServiceUnavailable)
+	// The server that took the request stays unresponsive; the second attempt is answered.
 	assert.Assert(t, strings.HasPrefix(<-answered, "answer of "))
-	assert.NilError(t, <-p.ended)
-	p.ended = nil
+	assert.NilError(t, <-p.done)
+	p.done = nil
 }
 
 func TestReloadTakesSeeds(t *testing.T) {
 	store := site.NewStore(t)
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
-	first.ready(t, http.StatusOK)
+	first.waitReady(t, http.StatusOK)
 	store.Set(site.Busy)
 	second := start(t, store, "g2")
-	second.ready(t, http.StatusServiceUnavailable)
-	set := second.set
-	set.Seeds = []string{first.set.Control}
-	second.s.Reload(set)
-	second.ready(t, http.StatusOK)
+	second.waitReady(t, http.StatusServiceUnavailable)
+	settings := second.settings
+	settings.Seeds = []string{first.settings.Control}
+	second.s.Reload(settings)
+	second.waitReady(t, http.StatusOK)
 }
--- a/gateway/leavers.go
+++ b/gateway/leavers.go
@@ -9,60 +9,65 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// leavingTold is for how long a server that has said in an answer that it leaves is told of in reports: its entry in the
-// store says so by then, or has lapsed.
-const leavingTold = 30 * time.Second
+// leavingReportTTL is for how long reports include a server that has announced in a response that it is leaving: by
+// then its entry in the store says so, or has lapsed.
+const leavingReportTTL = 30 * time.Second
 
-// leavers are servers that have said in answers that they leave, as the other gateways are told. It is safe for concurrent
-// use.
-type leavers struct {
+// leavingServers are the servers that have announced in responses that they are leaving, as reported to other
+// gateways. It is safe for concurrent use.
+type leavingServers struct {
 	mu sync.Mutex
-	// heard is when each was first heard of, news are those that the others were not told at once yet.
-	heard map[string]time.Time
-	news  []string
+	// knownSince is when each server became known to be leaving; updates are those that still have to be sent to
+	// the other gateways in a datagram.
+	knownSince map[string]time.Time
+	updates    []string
 }
 
-func newLeavers() *leavers { return &leavers{heard: map[string]time.Time{}} }
+func newLeavingServers() *leavingServers {
+	return &leavingServers{knownSince: map[string]time.Time{}}
+}
 
-// add notes a server that was not known to leave; those that said so to this process are news for the others.
-func (l *leavers) add(id string, news bool) {
+// add records a server that was not known to be leaving. One that announced it to this process (local) is an update
+// for the other gateways.
+func (l *leavingServers) add(id string, local bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard[id] = time.Now()
-	if news {
-		l.news = append(l.news, id)
+	l.knownSince[id] = time.Now()
+	if local {
+		l.updates = append(l.updates, id)
 	}
 }
 
-// takeNews returns what the others are to be told at once.
-func (l *leavers) takeNews() []string {
+// takeUpdates returns and clears the servers to report to other gateways at once.
+func (l *leavingServers) takeUpdates() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := l.news
-	l.news = nil
+	out := l.updates
+	l.updates = nil
 	return out
 }
 
-// all returns the servers to tell of in a report.
-func (l *leavers) all() []string {
+// all returns the servers to include in a report.
+func (l *leavingServers) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.heard, func(_ string, at time.Time) bool { return time.Since(at) >= leavingTold })
-	return slices.Sorted(maps.Keys(l.heard))
+	maps.DeleteFunc(l.knownSince, func(_ string, at time.Time) bool { return time.Since(at) >= leavingReportTTL })
+	return slices.Sorted(maps.Keys(l.knownSince))
 }
 
 // Leaves implements forward.View.
-func (v *view) Leaves(s registry.Server) bool { return v.leaves(s.ID, true) }
+func (v *view) Leaves(s registry.Server) bool { return v.recordLeaving(s.ID, true) }
 
-// toldLeaving takes from another gateway which servers have said in answers that they leave.
-func (v *view) toldLeaving(ids []string) {
+// receiveLeaving takes the leaving servers that another gateway reports.
+func (v *view) receiveLeaving(ids []string) {
 	for _, id := range ids {
-		v.leaves(id, false)
+		v.recordLeaving(id, false)
 	}
 }
 
-// leaves notes a server that has said in an answer that it leaves, and reports whether that was not known.
-func (v *view) leaves(id string, news bool) bool {
+// recordLeaving marks a server that has announced in a response that it is leaving, and reports whether that was not
+// known.
+func (v *view) recordLeaving(id string, local bool) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.registry.Leaving(id) {
@@ -70,6 +75,6 @@
 	}
 	v.registry.MarkLeaving(id)
 	clear(v.usable)
-	v.leaving.add(id, news)
+	v.leaving.add(id, local)
 	return true
 }
--- a/gateway/limited_test.go
+++ b/gateway/limited_test.go
@@ -11,19 +11,20 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// eventually asks until it is so, a bounded number of times.
-func eventually(so func() bool) bool {
-	const most = 5000
-	for range most {
-		if so() {
+// eventually reports whether cond holds within a bounded number of checks.
+func eventually(cond func() bool) bool {
+	const maxTries = 5000
+	for range maxTries {
+		if cond() {
 			return true
 		}
 	}
 	return false
 }
 
-// A server that had named a limit for all gateways together got it from each of them, and far more.
-func TestLimitOfAServerHoldsOverGateways(t *testing.T) {
+// Guards against a server's limit for all gateways together being used by each of them, which sent the server far
+// more than the limit.
+func TestServerLimitIsSharedByGateways(t *testing.T) {
 	store, calls := site.NewStore(t), site.NewLog()
 	limited := site.NewServer(t, "c", calls)
 	limited.SetLimit("0.01")
@@ -31,10 +32,10 @@
 	store.Put("op", "config", manifest(3, "one"))
 	gateways := []*process{start(t, store, "g1")}
 	for _, vm := range []string{"g2", "g3"} {
-		gateways = append(gateways, start(t, store, vm, gateways[0].set.Control))
+		gateways = append(gateways, start(t, store, vm, gateways[0].settings.Control))
 	}
 	for _, p := range gateways {
-		p.ready(t, http.StatusOK)
+		p.waitReady(t, http.StatusOK)
 	}
 	reached := func() int {
 		n := 0
@@ -45,23 +46,23 @@
 		}
 		return n
 	}
-	status, _ := gateways[0].ask(t, "/a/1")
+	status, _ := gateways[0].get(t, "/a/1")
 	assert.Equal(t, status, http.StatusOK)
 	for _, name := range []string{"a", "b"} {
 		store.Put("servers", name, entry(site.NewServer(t, name, calls), "one", "ready"))
 	}
 	for _, p := range gateways {
-		until(t, "another server answers", func() bool {
-			_, body := p.ask(t, "/a/1")
+		waitUntil(t, "another server answers", func() bool {
+			_, body := p.get(t, "/a/1")
 			return strings.HasPrefix(body, "answer of ") && !strings.HasPrefix(body, "answer of c ")
 		})
-		assert.Assert(t, eventually(func() bool { return p.gauge(t, metrics.ServersLimited) == 1 }), "%s knows no limit", p.set.VM)
+		assert.Assert(t, eventually(func() bool { return p.gauge(t, metrics.ServersLimited) == 1 }), "%s has no limit", p.settings.VM)
 	}
 	before := reached()
 	const requests = 30
 	for range requests {
 		for _, p := range gateways {
-			status, _ := p.ask(t, "/a/1")
+			status, _ := p.get(t, "/a/1")
 			assert.Equal(t, status, http.StatusOK)
 		}
 	}
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -13,17 +13,17 @@
 
 var _ peer.Beliefs = (*Service)(nil)
 
-// reportServers is the most servers that a report names: 8 kB, which come through a link of 10 Mbit/s
-// from twenty gateways in 130 ms. More are fetched by the gateway that lacks them.
-const reportServers = 100
+// maxReportServers bounds the servers in a report: 8 kB, which twenty gateways can send over a link of 10 Mbit/s in
+// 130 ms. A gateway that lacks more fetches the list.
+const maxReportServers = 100
 
-// toldProofAge bounds the age of a proof that is told: one that is older lets nobody serve.
-const toldProofAge = time.Minute
+// maxReportedProofAge bounds the age of a reported proof: an older one lets no gateway serve.
+const maxReportedProofAge = time.Minute
 
-// meet runs the exchange with the other gateways. Without it the process goes on with
-// what it learns itself.
-func (s *Service) meet(ctx context.Context) {
-	if s.set.Control == "" {
+// exchangeReports runs the exchange with the other gateways. Without it the process continues with what it reads
+// itself.
+func (s *Service) exchangeReports(ctx context.Context) {
+	if s.settings.Control == "" {
 		return
 	}
 	if err := s.peers.Run(ctx); err != nil && ctx.Err() == nil {
@@ -31,36 +31,36 @@
 	}
 }
 
-// Report implements peer.Beliefs. A table is told by its version alone: handed out whole to whoever was
-// thought to be behind, tables that all had filled the links of small VMs for minutes, 23 MB a second
-// over 21 gateways by event 725, and newer ones did not come through.
+// Report implements peer.Beliefs. Of the route table it holds the version alone: when whole tables were sent to every
+// gateway that seemed to be behind, tables that all gateways had filled the links of small VMs for minutes, 23 MB a
+// second over 21 gateways by event 725, and newer ones did not come through.
 func (s *Service) Report(servers int64) *peer.Report {
-	r := &peer.Report{Vm: s.set.VM, TableVersion: s.Version(peer.State_ROUTE_TABLE)}
-	changed, told := s.view.serversSince(servers)
+	r := &peer.Report{Vm: s.settings.VM, TableVersion: s.Version(peer.State_ROUTE_TABLE)}
+	changed, update := s.view.serversSince(servers)
 	r.ServersVersion = changed
-	if told != nil && len(told.servers)+len(told.removed) <= reportServers {
-		r.ServersTold, r.ServersBase, r.RemovedServers = true, told.base, told.removed
-		r.Servers = encodeServers(told.servers)
+	if update != nil && len(update.servers)+len(update.removed) <= maxReportServers {
+		r.ServersTold, r.ServersBase, r.RemovedServers = true, update.base, update.removed
+		r.Servers = encodeServers(update.servers)
 	}
 	r.ReadAgeMs = uint32(s.view.confirmedAge(time.Now()).Milliseconds())
-	if version, age, known := s.proofs.newest(); known && age < toldProofAge {
+	if version, age, known := s.proofs.latest(); known && age < maxReportedProofAge {
 		r.ProvedVersion, r.ProvedAgeMs = version, uint32(age.Milliseconds())+1
 	}
 	r.Shares = encodeShares(s.fwd.Placed())
-	r.Usages = s.quotas.tell(false)
+	r.Usages = s.quotas.report(false)
 	r.LeavingServers = s.view.leaving.all()
 	r.ServerLimits = encodeServerLimits(s.fwd.ServerLimits().Tell(false), time.Now())
-	r.Suspects = s.guard.Report(max(suspectsTold, suspectsPaces*s.peers.Pace()))
+	r.Suspects = s.guard.Report(max(minSuspectReportTime, suspectReportExchanges*s.peers.Pace()))
 	now := time.Now()
 	for service, use := range s.fwd.Uses() {
 		r.Readings = append(r.Readings, &peer.Reading{
 			Service: service, TokensPerS: use.ReadRate, EngineTokensPerS: use.EngineRate, WantedTokens: use.Held,
 		})
 	}
-	for id, w := range s.view.switches() {
-		start := registry.ParseID(id)
+	for id, sw := range s.view.switches() {
+		incarnation := registry.ParseID(id)
 		r.Switches = append(r.Switches, &peer.Switch{
-			Server: start.Instance, Start: start.Tag(), Stage: uint32(w.to), AgeMs: uint32(now.Sub(w.at).Milliseconds()),
+			Server: incarnation.Instance, Start: incarnation.Tag(), Stage: uint32(sw.to), AgeMs: uint32(now.Sub(sw.at).Milliseconds()),
 		})
 	}
 	return r
@@ -71,51 +71,51 @@
 	now := time.Now()
 	from := "gateway " + r.GetVm()
 	if r.GetServersTold() {
-		told := serversTold{
+		update := serversUpdate{
 			base: r.GetServersBase(), version: r.GetServersVersion(),
 			servers: decodeServers(r.GetServers()), removed: r.GetRemovedServers(),
 		}
-		s.takeServers(told, from)
+		s.receiveServers(update, from)
 	}
 	s.view.confirm(r.GetServersVersion(), time.Duration(r.GetReadAgeMs())*time.Millisecond, now)
-	for _, w := range r.GetSwitches() {
-		s.view.switchTo(s.view.idOf(w.GetServer(), w.GetStart()), registry.Stage(w.GetStage()), time.Duration(w.GetAgeMs())*time.Millisecond, now)
+	for _, sw := range r.GetSwitches() {
+		s.view.recordSwitch(s.view.incarnationID(sw.GetServer(), sw.GetStart()), registry.Stage(sw.GetStage()), time.Duration(sw.GetAgeMs())*time.Millisecond, now)
 	}
-	s.view.toldLeaving(r.GetLeavingServers())
+	s.view.receiveLeaving(r.GetLeavingServers())
 	s.guard.Take(r.GetSuspects(), from)
-	s.quotas.hear(r.GetAddr(), r.GetIncarnation(), true, r.GetUsages())
+	s.quotas.receive(r.GetAddr(), r.GetIncarnation(), true, r.GetUsages())
 	s.fwd.ServerLimits().Hear(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
-	s.fwd.SetOthers(s.placed.take(r, now))
+	s.fwd.SetOthers(s.peerLoads.receiveReport(r, now))
 }
 
-// takeServers takes a list of servers, or changes to it, from another gateway.
-func (s *Service) takeServers(told serversTold, from string) {
-	if s.view.toldServers(told, time.Now()) {
-		s.serversChanged(told.version, from)
+// receiveServers applies a server list, or changes to it, from another gateway.
+func (s *Service) receiveServers(update serversUpdate, from string) {
+	if s.view.applyServersUpdate(update, time.Now()) {
+		s.serversChanged(update.version, from)
 	}
 }
 
 // TakePlacement implements peer.Beliefs.
 func (s *Service) TakePlacement(p *peer.Placement) {
-	s.view.toldLeaving(p.GetLeavingServers())
+	s.view.receiveLeaving(p.GetLeavingServers())
 	s.guard.Take(p.GetSuspects(), "gateway "+p.GetAddr())
-	s.quotas.hear(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
+	s.quotas.receive(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
 	s.fwd.ServerLimits().Hear(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
 	for _, failed := range p.GetFailures() {
-		s.fwd.Failing(p.GetAddr(), s.view.idOf(failed.GetServer(), failed.GetStart()))
+		s.fwd.Failing(p.GetAddr(), s.view.incarnationID(failed.GetServer(), failed.GetStart()))
 	}
-	if changed := s.placed.change(p, time.Now()); len(changed) > 0 {
+	if changed := s.peerLoads.receivePlacement(p, time.Now()); len(changed) > 0 {
 		s.fwd.SetOthers(changed)
 	}
 }
 
-// tellInterval is how long changes of placement are gathered for one datagram: a
-// request that ends frees memory that the next one takes within it.
-const tellInterval = 2 * time.Millisecond
+// datagramBatchInterval is how long changes of placement are batched for one datagram: a request that ends frees
+// memory that the next one takes within it.
+const datagramBatchInterval = 2 * time.Millisecond
 
-// tellPlacement tells the other gateways of changed placement, of quotas used, of failing engines and of what servers say of
-// themselves, until ctx ends.
-func (s *Service) tellPlacement(ctx context.Context) {
+// announceChanges sends the other gateways changes of placement, used quotas, failing engines, server limits and
+// leaving servers, until ctx ends.
+func (s *Service) announceChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -124,20 +124,20 @@
 		case <-s.quotas.changed:
 		case <-s.fwd.ServerLimits().Changed():
 		}
-		pause(ctx, tellInterval)
-		news := &peer.Placement{
-			Shares: encodeShares(s.fwd.TakeChanged()), Usages: s.quotas.tell(true), Failures: encodeFailures(s.fwd.TakeFailures()),
-			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Tell(true), time.Now()), LeavingServers: s.view.leaving.takeNews(),
+		sleep(ctx, datagramBatchInterval)
+		update := &peer.Placement{
+			Shares: encodeShares(s.fwd.TakeChanged()), Usages: s.quotas.report(true), Failures: encodeFailures(s.fwd.TakeFailures()),
+			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Tell(true), time.Now()), LeavingServers: s.view.leaving.takeUpdates(),
 		}
-		if proto.Size(news) > 0 {
-			s.peers.Tell(news)
+		if proto.Size(update) > 0 {
+			s.peers.Tell(update)
 		}
 	}
 }
 
 // Lost implements peer.Beliefs.
 func (s *Service) Lost(addr string, err error) {
-	s.quotas.lost(addr)
+	s.quotas.markUnresponsive(addr)
 	s.fwd.ServerLimits().Lost(addr)
 	event.PeerLost.Log(s.log).Str("peer", addr).Err(err).Msg("")
 }
--- a/gateway/placed_test.go
+++ b/gateway/placed_test.go
@@ -16,86 +16,86 @@
 	return &peer.Report{Addr: "b", Incarnation: incarnation, Placement: number, Shares: []*peer.Share{{Server: "i-1", Tokens: tokens}}}
 }
 
-// held is what gateways tell without a forecast.
-func held(tokens int) kvmemory.Load {
+// constantLoad is the load that a gateway reports without a forecast.
+func constantLoad(tokens int) kvmemory.Load {
 	return kvmemory.Load{Tokens: tokens, Ahead: kvmemory.Constant(tokens)}
 }
 
-func told(incarnation, number uint64, tokens uint32) *peer.Placement {
+func placement(incarnation, number uint64, tokens uint32) *peer.Placement {
 	return &peer.Placement{Addr: "b", Incarnation: incarnation, Number: number, Shares: []*peer.Share{{Server: "i-1", Tokens: tokens}}}
 }
 
-// TestPlacedKeepsTheNewest: datagrams and reports overtake each other, and a gateway that
-// was started again begins to count anew.
-func TestPlacedKeepsTheNewest(t *testing.T) {
-	p := newPlaced(newView().idOf)
-	placed := func() int { return p.totals["i-1"].Tokens }
-	p.change(told(1, 1, 5), start)
-	assert.Equal(t, placed(), 0, "nothing is known of that gateway yet")
-	p.take(report(1, 1, 100), start)
-	assert.Equal(t, placed(), 100)
-	assert.DeepEqual(t, p.change(told(1, 3, 300), start), map[string]kvmemory.Load{"i-1": held(300)})
-	assert.Assert(t, p.change(told(1, 2, 200), start) == nil, "a datagram that was overtaken")
-	p.take(report(1, 2, 200), start)
-	assert.Equal(t, placed(), 300, "a report that was overtaken")
-	p.take(report(1, 3, 310), start)
-	assert.Equal(t, placed(), 310)
-	p.take(report(2, 0, 0), start)
-	assert.Equal(t, placed(), 0, "started again: nothing of the old process is left")
-	assert.Assert(t, p.change(told(2, 0, 0), start) == nil, "a datagram that tells no placement")
-	assert.Assert(t, p.change(told(1, 4, 400), start) == nil, "a datagram of the old process")
-	p.change(told(2, 1, 50), start)
-	assert.Equal(t, placed(), 50)
-	assert.DeepEqual(t, p.refresh(0, start.Add(placedLife)), map[string]kvmemory.Load{"i-1": held(0)})
-	assert.Equal(t, placed(), 0, "silent for too long")
+// TestPeerLoadsKeepNewest: datagrams and reports arrive out of order, and a restarted gateway counts from zero again.
+func TestPeerLoadsKeepNewest(t *testing.T) {
+	p := newPeerLoads(newView().incarnationID)
+	tokens := func() int { return p.totals["i-1"].Tokens }
+	p.receivePlacement(placement(1, 1, 5), start)
+	assert.Equal(t, tokens(), 0, "no report of that gateway yet")
+	p.receiveReport(report(1, 1, 100), start)
+	assert.Equal(t, tokens(), 100)
+	assert.DeepEqual(t, p.receivePlacement(placement(1, 3, 300), start), map[string]kvmemory.Load{"i-1": constantLoad(300)})
+	assert.Assert(t, p.receivePlacement(placement(1, 2, 200), start) == nil, "an outdated datagram")
+	p.receiveReport(report(1, 2, 200), start)
+	assert.Equal(t, tokens(), 300, "an outdated report")
+	p.receiveReport(report(1, 3, 310), start)
+	assert.Equal(t, tokens(), 310)
+	p.receiveReport(report(2, 0, 0), start)
+	assert.Equal(t, tokens(), 0, "restarted: no load of the old process is left")
+	assert.Assert(t, p.receivePlacement(placement(2, 0, 0), start) == nil, "a datagram without placement")
+	assert.Assert(t, p.receivePlacement(placement(1, 4, 400), start) == nil, "a datagram of the old process")
+	p.receivePlacement(placement(2, 1, 50), start)
+	assert.Equal(t, tokens(), 50)
+	assert.DeepEqual(t, p.refresh(0, start.Add(minPeerLoadTTL)), map[string]kvmemory.Load{"i-1": constantLoad(0)})
+	assert.Equal(t, tokens(), 0, "not reporting for too long")
 }
 
-// TestPlacedHandsOnChanges: what a report changes is handed on at once, and everything now
-// and then, for engines that were not known before.
-func TestPlacedHandsOnChanges(t *testing.T) {
-	p := newPlaced(newView().idOf)
-	assert.DeepEqual(t, p.take(report(1, 1, 100), start), map[string]kvmemory.Load{"i-1": held(100)})
+// TestPeerLoadsReturnChanges: the changes in a report are returned at once, and all totals at intervals, for engines
+// that were not known before.
+func TestPeerLoadsReturnChanges(t *testing.T) {
+	p := newPeerLoads(newView().incarnationID)
+	assert.DeepEqual(t, p.receiveReport(report(1, 1, 100), start), map[string]kvmemory.Load{"i-1": constantLoad(100)})
 	other := &peer.Report{Addr: "c", Incarnation: 1, Shares: []*peer.Share{{Server: "i-2", Tokens: 7}}}
-	assert.DeepEqual(t, p.take(other, start), map[string]kvmemory.Load{"i-2": held(7)})
-	assert.DeepEqual(t, p.take(other, start.Add(refreshInterval)), map[string]kvmemory.Load{"i-1": held(100), "i-2": held(7)})
+	assert.DeepEqual(t, p.receiveReport(other, start), map[string]kvmemory.Load{"i-2": constantLoad(7)})
+	assert.DeepEqual(t, p.receiveReport(other, start.Add(refreshInterval)), map[string]kvmemory.Load{"i-1": constantLoad(100), "i-2": constantLoad(7)})
 	gone := &peer.Report{Addr: "c", Incarnation: 2}
-	assert.DeepEqual(t, p.take(gone, start.Add(refreshInterval)), map[string]kvmemory.Load{"i-2": held(0)})
+	assert.DeepEqual(t, p.receiveReport(gone, start.Add(refreshInterval)), map[string]kvmemory.Load{"i-2": constantLoad(0)})
 }
 
-// TestPlacedLivesAsLongAsReportsTake: before a hundred gateways each is heard every 2.4 s.
-func TestPlacedLivesAsLongAsReportsTake(t *testing.T) {
-	p := newPlaced(newView().idOf)
-	p.take(report(1, 1, 100), start)
-	const pace = 2400 * time.Millisecond
-	assert.DeepEqual(t, p.refresh(pace, start.Add(pace)), map[string]kvmemory.Load{"i-1": held(100)})
-	assert.DeepEqual(t, p.refresh(pace, start.Add(placedPaces*pace)), map[string]kvmemory.Load{"i-1": held(0)})
+// TestPeerLoadTTLFollowsReportInterval: with a hundred gateways each one reports every 2.4 s.
+func TestPeerLoadTTLFollowsReportInterval(t *testing.T) {
+	p := newPeerLoads(newView().incarnationID)
+	p.receiveReport(report(1, 1, 100), start)
+	const interval = 2400 * time.Millisecond
+	assert.DeepEqual(t, p.refresh(interval, start.Add(interval)), map[string]kvmemory.Load{"i-1": constantLoad(100)})
+	assert.DeepEqual(t, p.refresh(interval, start.Add(peerLoadTTLExchanges*interval)), map[string]kvmemory.Load{"i-1": constantLoad(0)})
 }
 
-// TestPlacedAges: between two reports a gateway's runs go on, and what it told is read as of now.
-func TestPlacedAges(t *testing.T) {
-	p := newPlaced(newView().idOf)
+// TestPeerLoadsAreExtrapolated: a gateway's runs continue between two reports, and the reported load is extrapolated
+// to the present.
+func TestPeerLoadsAreExtrapolated(t *testing.T) {
+	p := newPeerLoads(newView().incarnationID)
 	r := report(1, 1, 1000)
 	r.Shares[0].Runs = 1
 	r.Shares[0].Mean = []uint32{100, 200, 300, 400, 500, 600, 700, 800}
 	r.Shares[0].Variance = make([]uint64, kvmemory.Ahead)
-	p.take(r, start)
+	p.receiveReport(r, start)
 	assert.Equal(t, p.totals["i-1"].Ahead.Mean[0], 100.0)
 	aged := p.refresh(0, start.Add(500*time.Millisecond))["i-1"]
 	assert.Equal(t, aged.Ahead.Mean[0], 300.0)
 	assert.Equal(t, aged.Tokens, 1000)
-	assert.DeepEqual(t, p.refresh(0, start.Add(placedLife)), map[string]kvmemory.Load{"i-1": {}})
+	assert.DeepEqual(t, p.refresh(0, start.Add(minPeerLoadTTL)), map[string]kvmemory.Load{"i-1": {}})
 }
 
-// TestShareTellsMost: what runs hold at most is told. For a gateway of an earlier version, which does not tell
-// it, it is more than they are thought to take, and an engine with its runs still takes others.
-func TestShareTellsMost(t *testing.T) {
+// TestShareReportsMaxTokens: the maximum memory of runs is reported. For a gateway of an earlier version, which does
+// not report it, the assumed maximum exceeds the expected memory, and an engine with its runs still gets others.
+func TestShareReportsMaxTokens(t *testing.T) {
 	var l kvmemory.Load
 	l.Tokens, l.Runs = 30_000, 2
 	l.Ahead.Most = 33_000
 	s := encodeShare(kvmemory.Share{ID: "i-1", Load: l})
 	assert.Equal(t, decodeLoad(s).Ahead.Most, 33_000.0)
 	s.Most = 0
-	untold := decodeLoad(s).Ahead
-	assert.Assert(t, untold.Most > 30_000)
-	assert.Assert(t, untold.Peak(kvmemory.DefaultMargin()) < 10_000, "%g", untold.Peak(kvmemory.DefaultMargin()))
+	unreported := decodeLoad(s).Ahead
+	assert.Assert(t, unreported.Most > 30_000)
+	assert.Assert(t, unreported.Peak(kvmemory.DefaultMargin()) < 10_000, "%g", unreported.Peak(kvmemory.DefaultMargin()))
 }
--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// proveInterval is the pause between two proofs that one of the gateways that read for all gets from the
-	// store: two of them together make one each half second.
-	proveInterval = time.Second
-	// proveAge is the age of the latest proof from which any other gateway asks the store itself. Those that read
-	// for all are lost, or cut off, when it is reached.
-	proveAge = 1800 * time.Millisecond
-	// askAge is the age from which other gateways are asked besides, askInterval the pause between two such
-	// rounds: the store may be out for this gateway alone.
-	askAge      = 1200 * time.Millisecond
-	askInterval = 250 * time.Millisecond
-	// proofWait is how long a request waits for a proof: a gateway that was frozen, or has just started, has one
-	// after a call of the store or an exchange.
+	// proofInterval is the interval between two proofs that one store reader gets from the store: the two of them
+	// together get one each half second.
+	proofInterval = time.Second
+	// fallbackProofAge is the age of the latest proof from which any other gateway asks the store itself. When it is
+	// reached, the store readers have failed or are cut off.
+	fallbackProofAge = 1800 * time.Millisecond
+	// peerProofAge is the age of the latest proof from which other gateways are asked as well, peerProofInterval the
+	// interval between two such rounds: the store may be unreachable for this gateway alone.
+	peerProofAge      = 1200 * time.Millisecond
+	peerProofInterval = 250 * time.Millisecond
+	// proofWait is how long a request waits for a proof: a gateway that was suspended, or has just started, gets one
+	// within a call to the store or an exchange.
 	proofWait = 300 * time.Millisecond
 )
 
-// proofs is how old the configuration in force is proved to be. It is safe for concurrent use.
+// proofs tracks how recently the configuration in force was proved to be the newest. It is safe for concurrent use.
 type proofs struct {
-	// now is a clock that goes on while the VM is suspended.
+	// now is a clock that continues while the VM is suspended.
 	now    func() time.Duration
 	bounds freshness.Bounds
 	// due is sent to when a request waits for a proof.
@@ -36,7 +36,7 @@
 
 	mu     sync.Mutex
 	ledger freshness.Ledger
-	// row is where the store holds version, which was read here; zero if that is not known.
+	// version is the latest version that was read here and row its row in the store; zero if that is not known.
 	version, row int64
 	// changed is closed at the next proof.
 	changed chan struct{}
@@ -49,35 +49,35 @@
 	return &proofs{now: now, bounds: b, due: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
-// inForce notes the version in force.
-func (p *proofs) inForce(version int64) {
+// recordVersion records the version in force.
+func (p *proofs) recordVersion(version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ledger.InForce(version)
-	p.wakeAll()
+	p.notifyAll()
 }
 
-// read notes that the store held a version in a row when it was asked.
-func (p *proofs) read(version, row int64, asked time.Duration) {
+// recordRead records that the store held a version in a row when it was asked.
+func (p *proofs) recordRead(version, row int64, requested time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if version >= p.version {
 		p.version, p.row = version, row
 	}
-	p.ledger.Prove(freshness.Proof{Version: version, At: asked})
-	p.wakeAll()
+	p.ledger.Prove(freshness.Proof{Version: version, At: requested})
+	p.notifyAll()
 }
 
-// prove takes a proof.
-func (p *proofs) prove(proof freshness.Proof) {
+// recordProof records a proof.
+func (p *proofs) recordProof(proof freshness.Proof) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ledger.Prove(proof)
-	p.wakeAll()
+	p.notifyAll()
 }
 
-// wakeAll has those who wait look again. The caller holds mu.
-func (p *proofs) wakeAll() {
+// notifyAll wakes all waiting requests to check again. The caller holds mu.
+func (p *proofs) notifyAll() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -88,31 +88,32 @@
 	return p.ledger.Age(p.now())
 }
 
-// newest is the latest proof and its age; false if there is none.
-func (p *proofs) newest() (version int64, age time.Duration, known bool) {
+// latest returns the latest proof and its age; false if there is none.
+func (p *proofs) latest() (version int64, age time.Duration, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	proof, known := p.ledger.Newest()
 	return proof.Version, p.now() - proof.At, known
 }
 
-// inRow is the version that was read last and its row.
-func (p *proofs) inRow() (version, row int64) {
+// lastRead returns the version that was read last and its row.
+func (p *proofs) lastRead() (version, row int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.version, p.row
 }
 
-// trusted reports whether requests with keys may be served; it waits a moment for a proof if they may not.
-func (p *proofs) trusted(ctx context.Context) bool { return p.await(ctx, p.bounds.Trusted) }
+// trusted reports whether requests with keys may be served. If not, it waits up to proofWait for a proof.
+func (p *proofs) trusted(ctx context.Context) bool { return p.waitFor(ctx, p.bounds.Trusted) }
 
-// lately reports whether a key that is not known here is unknown; it waits a moment for a proof to tell.
-func (p *proofs) lately(ctx context.Context) bool {
-	return p.await(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownAfter })
+// provedForUnknownKey reports whether the configuration is recent enough to reject a key as unknown. If not, it waits
+// up to proofWait for a proof.
+func (p *proofs) provedForUnknownKey(ctx context.Context) bool {
+	return p.waitFor(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownAfter })
 }
 
-// await reports whether enough is proved, now or within proofWait.
-func (p *proofs) await(ctx context.Context, enough func(age time.Duration, known bool) bool) bool {
+// waitFor reports whether enough is proved, now or within proofWait.
+func (p *proofs) waitFor(ctx context.Context, enough func(age time.Duration, known bool) bool) bool {
 	var timeout <-chan time.Time
 	for {
 		p.mu.Lock()
@@ -125,7 +126,7 @@
 			t := time.NewTimer(proofWait)
 			defer t.Stop()
 			timeout = t.C
-			wake(p.due)
+			notify(p.due)
 		}
 		select {
 		case <-changed:
@@ -137,16 +138,16 @@
 	}
 }
 
-// wake sends to a channel with room for one unless it is full.
-func wake(c chan struct{}) {
+// notify sends to a channel with a buffer of one unless it is full.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// keyed reports whether requests are asked for keys.
-func (s *Service) keyed() bool {
+// requiresKeys reports whether requests need keys.
+func (s *Service) requiresKeys() bool {
 	t := s.view.Table()
 	return t != nil && t.Tenants != nil
 }
@@ -159,35 +160,35 @@
 		if !s.proofDue(ctx) {
 			continue
 		}
-		err := s.askStore(ctx)
+		err := s.proveFromStore(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		dep.note(err)
+		dep.record(err)
 		failures++
 		if err == nil {
 			failures = 0
 			continue
 		}
-		pause(ctx, s.storePause(failures))
+		sleep(ctx, s.nextStoreRetry(failures))
 	}
 }
 
 // proofDue waits until a proof is due, or for a short while, and reports whether one is.
 func (s *Service) proofDue(ctx context.Context) bool {
-	if !s.keyed() {
-		pause(ctx, proveInterval)
+	if !s.requiresKeys() {
+		sleep(ctx, proofInterval)
 		return false
 	}
-	wanted := proveAge
-	if s.readsForAll() {
-		wanted = proveInterval
+	maxAge := fallbackProofAge
+	if s.isStoreReader() {
+		maxAge = proofInterval
 	}
 	age, known := s.proofs.age()
-	if !known || age >= wanted {
+	if !known || age >= maxAge {
 		return true
 	}
-	t := time.NewTimer(jitter(wanted - age))
+	t := time.NewTimer(jitter(maxAge - age))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -199,38 +200,39 @@
 	}
 }
 
-// askStore asks the store whether the version that was read last is still the newest, or reads what is.
-func (s *Service) askStore(ctx context.Context) error {
-	asked := s.proofs.now()
-	version, row := s.proofs.inRow()
+// proveFromStore asks the store whether the version that was read last is still the newest, and otherwise reads the
+// newest.
+func (s *Service) proveFromStore(ctx context.Context) error {
+	requested := s.proofs.now()
+	version, row := s.proofs.lastRead()
 	if row != 0 {
 		current, err := s.store.ConfirmManifest(ctx, row)
 		if err != nil {
 			return err
 		}
 		if current {
-			s.proofs.prove(freshness.Proof{Version: version, At: asked})
+			s.proofs.recordProof(freshness.Proof{Version: version, At: requested})
 			return nil
 		}
-		asked = s.proofs.now()
+		requested = s.proofs.now()
 	}
 	r, err := s.store.Manifest(ctx)
 	if err == nil {
-		s.takeReading(r, asked)
+		s.installReading(r, requested)
 	}
 	return err
 }
 
-// askProofs asks other gateways for their proofs while the own is old, until ctx ends.
-func (s *Service) askProofs(ctx context.Context) {
+// requestPeerProofs asks other gateways for their proofs while the local one is old, until ctx ends.
+func (s *Service) requestPeerProofs(ctx context.Context) {
 	refused := false
 	for ctx.Err() == nil {
-		pause(ctx, askInterval)
+		sleep(ctx, peerProofInterval)
 		age, known := s.proofs.age()
-		if s.keyed() && (!known || age >= askAge) {
+		if s.requiresKeys() && (!known || age >= peerProofAge) {
 			s.peers.Ask()
 		}
-		if now := s.keyed() && !s.proofs.bounds.Trusted(age, known); now != refused {
+		if now := s.requiresKeys() && !s.proofs.bounds.Trusted(age, known); now != refused {
 			refused = now
 			e := event.KeysServed
 			if refused {
@@ -241,10 +243,10 @@
 	}
 }
 
-// proofAge is the age of the proof of the configuration in force, in milliseconds; -1 if there is none.
+// proofAge returns the age of the proof of the configuration in force, in milliseconds; -1 if there is none.
 func (s *Service) proofAge() int64 {
 	age, known := s.proofs.age()
-	if !known || !s.keyed() {
+	if !known || !s.requiresKeys() {
 		return -1
 	}
 	return age.Milliseconds()
@@ -255,5 +257,5 @@
 
 // TakeProof implements peer.Beliefs.
 func (s *Service) TakeProof(version int64, at time.Duration) {
-	s.proofs.prove(freshness.Proof{Version: version, At: at})
+	s.proofs.recordProof(freshness.Proof{Version: version, At: at})
 }
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -14,34 +14,34 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// quotas hold customers to what they may use of all gateways together. It joins policy/limit to clocks and is safe for
+// quotas enforce customers' quotas across all gateways. They connect policy/limit to clocks and are safe for
 // concurrent use.
 type quotas struct {
 	log *log.Logger
-	// changed is sent to when other gateways are to be told at once.
+	// changed is sent to when other gateways are to receive an update at once.
 	changed chan struct{}
 
 	mu     sync.Mutex
 	shared *limit.Shared
-	// noted is when it was last logged that a customer's quota was used up, silent the number of gateways that was last
-	// logged as not heard.
-	noted  map[string]time.Time
-	silent int
+	// lastLogged is when it was last logged that a customer's quota is used up, unresponsive the last logged number
+	// of gateways that do not report.
+	lastLogged   map[string]time.Time
+	unresponsive int
 }
 
-// usedUpEvery is the pause between two lines of the log that tell that a customer's quota is used up.
-const usedUpEvery = 10 * time.Second
+// usedUpLogInterval is the interval between two log lines that say that a customer's quota is used up.
+const usedUpLogInterval = 10 * time.Second
 
 func newQuotas(l *log.Logger, now time.Time) *quotas {
-	return &quotas{log: l, changed: make(chan struct{}, 1), shared: limit.NewShared(now), noted: map[string]time.Time{}}
+	return &quotas{log: l, changed: make(chan struct{}, 1), shared: limit.NewShared(now), lastLogged: map[string]time.Time{}}
 }
 
-// termsOf are the terms of a customer's quota for a request of some cost.
-func termsOf(q route.Quota, cost float64) limit.Terms {
+// quotaTerms returns the terms of a customer's quota for a request of some cost.
+func quotaTerms(q route.Quota, cost float64) limit.Terms {
 	return limit.Terms{Rate: q.Rate, Burst: q.Burst, Cost: cost}
 }
 
-// configure takes the quotas of a configuration.
+// configure applies the quotas of a configuration.
 func (q *quotas) configure(tenants *route.Tenants) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -50,12 +50,12 @@
 		for _, t := range tenants.List() {
 			names[t.Name] = true
 			if t.Quota.Rate > 0 {
-				q.shared.Configure(t.Name, termsOf(t.Quota, 0), time.Now())
+				q.shared.Configure(t.Name, quotaTerms(t.Quota, 0), time.Now())
 			}
 		}
 	}
 	q.shared.Keep(func(customer string) bool { return names[customer] })
-	maps.DeleteFunc(q.noted, func(customer string, _ time.Time) bool { return !names[customer] })
+	maps.DeleteFunc(q.lastLogged, func(customer string, _ time.Time) bool { return !names[customer] })
 }
 
 // Take implements forward.Quota.
@@ -63,20 +63,20 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	d := q.shared.Admit(customer, termsOf(quota, cost), now, nil)
+	d := q.shared.Admit(customer, quotaTerms(quota, cost), now, nil)
 	if !d.Admitted {
-		q.noteUsedUp(customer, now)
+		q.logUsedUp(customer, now)
 	}
-	q.tellIfDue()
+	q.announceIfDue()
 	return d.RetryAfter, d.Admitted
 }
 
-// noteUsedUp logs that a quota is used up, now and then. The caller holds mu.
-func (q *quotas) noteUsedUp(customer string, now time.Time) {
-	if at, ok := q.noted[customer]; ok && now.Sub(at) < usedUpEvery {
+// logUsedUp logs that a quota is used up, at most once per usedUpLogInterval. The caller holds mu.
+func (q *quotas) logUsedUp(customer string, now time.Time) {
+	if at, ok := q.lastLogged[customer]; ok && now.Sub(at) < usedUpLogInterval {
 		return
 	}
-	q.noted[customer] = now
+	q.lastLogged[customer] = now
 	s := q.shared.States(now)[customer]
 	event.QuotaUsed.Log(q.log).Str("customer", customer).Float64("left", s.Left).Float64("rate", s.Rate).
 		Float64("burst", s.Burst).Float64("apart", s.Apart).Msg("")
@@ -87,70 +87,71 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.shared.Return(customer, cost, time.Now())
-	q.tellIfDue()
+	q.announceIfDue()
 }
 
-// tellIfDue has other gateways told of what is worth it. The caller holds mu.
-func (q *quotas) tellIfDue() {
+// announceIfDue has an update sent to the other gateways if one is due. The caller holds mu.
+func (q *quotas) announceIfDue() {
 	if q.shared.Untold(time.Now()) {
-		wake(q.changed)
+		notify(q.changed)
 	}
 }
 
-// tell returns what other gateways are told: what has changed since, or all that is active. It is nil if there is nothing.
-func (q *quotas) tell(changes bool) *peer.Usages {
+// report returns what to report to other gateways: the changes since the last report, or all active customers. It is
+// nil if there is nothing to report.
+func (q *quotas) report(changesOnly bool) *peer.Usages {
 	q.mu.Lock()
-	told, informed := q.shared.Tell(changes, time.Now())
+	usages, informed := q.shared.Tell(changesOnly, time.Now())
 	q.mu.Unlock()
-	return encodeUsages(told, informed)
+	return encodeUsages(usages, informed)
 }
 
-// hear takes what a gateway told in a report, which names all that is active there, or in a datagram. One that tells
-// nothing was heard all the same.
-func (q *quotas) hear(addr string, incarnation uint64, all bool, u *peer.Usages) {
-	told := decodeUsages(u)
+// receive applies the usage that a gateway reports: all its active customers in a report, some in a datagram. A
+// gateway that reports no usage still counts as responsive.
+func (q *quotas) receive(addr string, incarnation uint64, all bool, u *peer.Usages) {
+	usages := decodeUsages(u)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.Hear(addr, incarnation, u.GetInformed(), all, told, time.Now())
+	q.shared.Hear(addr, incarnation, u.GetInformed(), all, usages, time.Now())
 }
 
-// followQuotas looks for gateways that have fallen silent until ctx ends.
-func (s *Service) followQuotas(ctx context.Context) {
+// refreshQuotas checks for gateways that have become unresponsive, until ctx ends.
+func (s *Service) refreshQuotas(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, limit.RefreshEvery)
+		sleep(ctx, limit.RefreshEvery)
 		s.quotas.refresh(s.peers.Pace())
 		s.fwd.ServerLimits().Refresh(s.view.Routers(), s.peers.Pace())
 	}
 }
 
-func (q *quotas) refresh(pace time.Duration) {
+func (q *quotas) refresh(interval time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.SetPace(pace)
+	q.shared.SetPace(interval)
 	q.shared.Refresh(time.Now())
-	q.tellIfDue()
-	if silent := q.shared.Silent(); silent != q.silent {
-		q.silent = silent
-		event.QuotaShared.Log(q.log).Int("silent", silent).Msg("")
+	q.announceIfDue()
+	if unresponsive := q.shared.Silent(); unresponsive != q.unresponsive {
+		q.unresponsive = unresponsive
+		event.QuotaShared.Log(q.log).Int("silent", unresponsive).Msg("")
 	}
 }
 
-// silentNow is the number of gateways that are not heard.
-func (q *quotas) silentNow() int64 {
+// unresponsiveGateways is the number of gateways that do not report.
+func (q *quotas) unresponsiveGateways() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return int64(q.shared.Silent())
 }
 
-// states returns what is known of the quotas of customers.
+// states returns the local state of the customers' quotas.
 func (q *quotas) states() map[string]limit.State {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.shared.States(time.Now())
 }
 
-// lost notes that a gateway does not answer.
-func (q *quotas) lost(addr string) {
+// markUnresponsive records that a gateway does not respond.
+func (q *quotas) markUnresponsive(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.shared.Lost(addr, time.Now())
--- a/gateway/quotas_test.go
+++ b/gateway/quotas_test.go
@@ -9,14 +9,14 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// TestQuotaOfAllGateways: what a customer has used through one gateway is taken off at all others, in reports as well: no
-// datagram reaches a gateway of this test.
-func TestQuotaOfAllGateways(t *testing.T) {
-	withFleet(t, func(t *testing.T, f *fleet) {
+// TestQuotaIsSharedByGateways: what a customer has used through one gateway is deducted at all others, also by
+// reports alone: no datagram reaches a gateway in this test.
+func TestQuotaIsSharedByGateways(t *testing.T) {
+	withCluster(t, func(t *testing.T, cl *cluster) {
 		quota := route.Quota{Rate: 1000, Burst: 1000}
 		tenants, err := route.NewTenants([]route.Tenant{{Name: "a", Quota: quota}, {Name: "unbounded"}})
 		assert.NilError(t, err)
-		for _, s := range f.gateways {
+		for _, s := range cl.gateways {
 			s.quotas.configure(tenants)
 		}
 		time.Sleep(10 * time.Second)
@@ -29,29 +29,30 @@
 			return ok
 		}
 		for range 8 {
-			assert.Assert(t, take(f.gateways[0]))
+			assert.Assert(t, take(cl.gateways[0]))
 		}
-		time.Sleep(f.gateways[0].peers.Pace())
-		// Most of what was used flowed back in the pause; a burst of it is there at most.
+		time.Sleep(cl.gateways[0].peers.Pace())
+		// Most of what was used has been refilled in the interval; at most a burst is left.
 		for range 10 {
-			take(f.gateways[1])
+			take(cl.gateways[1])
 		}
-		time.Sleep(2 * f.gateways[0].peers.Pace())
+		time.Sleep(2 * cl.gateways[0].peers.Pace())
 		before := admitted
 		for range 40 {
-			for _, s := range f.gateways {
+			for _, s := range cl.gateways {
 				take(s)
 			}
-			time.Sleep(f.gateways[0].peers.Pace())
+			time.Sleep(cl.gateways[0].peers.Pace())
 		}
-		spent := 40 * f.gateways[0].peers.Pace().Seconds() * quota.Rate
-		// Reports come to each gateway once in a pause: those of the meantime see no more than the last ones told.
-		most := int(spent+quota.Burst)/100 + len(f.gateways)
-		t.Logf("%d admitted, %d at most", admitted-before, most)
-		assert.Check(t, admitted-before <= most)
-		assert.Check(t, admitted-before >= int(spent)/100/2, "and not much less")
+		refilled := 40 * cl.gateways[0].peers.Pace().Seconds() * quota.Rate
+		// Reports reach each gateway once per interval: those of the meantime include at most the last reported
+		// usage.
+		maxAdmitted := int(refilled+quota.Burst)/100 + len(cl.gateways)
+		t.Logf("%d admitted, %d at most", admitted-before, maxAdmitted)
+		assert.Check(t, admitted-before <= maxAdmitted)
+		assert.Check(t, admitted-before >= int(refilled)/100/2, "and not much less")
 
-		wait, ok := f.gateways[0].quotas.Take("unbounded", route.Quota{}, 1e9)
+		wait, ok := cl.gateways[0].quotas.Take("unbounded", route.Quota{}, 1e9)
 		assert.Assert(t, ok && wait == 0)
 	})
 }
--- a/gateway/serverlimits_test.go
+++ b/gateway/serverlimits_test.go
@@ -13,10 +13,10 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/serverlimit"
 )
 
-// TestServerLimitsAreTold: what one gateway tells of limits is what another one hears.
-func TestServerLimitsAreTold(t *testing.T) {
+// TestServerLimitsRoundTrip: the server limits that one gateway reports are those that another receives.
+func TestServerLimitsRoundTrip(t *testing.T) {
 	now := start.Add(time.Minute)
-	told := forward.ServerLimitNews{
+	updates := forward.ServerLimitNews{
 		Limits: []serverlimit.Told{
 			{ID: "a@1", Statement: serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: 3.2}, At: now.Add(-time.Second)}},
 			{ID: "b", Statement: serverlimit.Statement{At: now.Add(-2 * time.Second)}},
@@ -24,12 +24,12 @@
 		Used:     []limit.Told{{Customer: "a@1", Charged: 7, Returned: 1, Demand: 2, Left: -0.5}},
 		Informed: true,
 	}
-	assert.DeepEqual(t, decodeServerLimits(encodeServerLimits(told, now), now), told)
-	assert.Assert(t, encodeServerLimits(forward.ServerLimitNews{Informed: true}, now) == nil, "nothing to tell")
+	assert.DeepEqual(t, decodeServerLimits(encodeServerLimits(updates, now), now), updates)
+	assert.Assert(t, encodeServerLimits(forward.ServerLimitNews{Informed: true}, now) == nil, "nothing to report")
 }
 
-// TestServerLimitsThatCanNotBe: a faulty gateway's limits are passed over.
-func TestServerLimitsThatCanNotBe(t *testing.T) {
+// TestInvalidServerLimitsAreIgnored: invalid limits from a faulty gateway are ignored.
+func TestInvalidServerLimitsAreIgnored(t *testing.T) {
 	for _, perSecond := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		l := &peer.ServerLimits{Limits: []*peer.ServerLimit{{Server: "a", Limited: true, PerSecond: perSecond}}}
 		assert.Equal(t, len(decodeServerLimits(l, start).Limits), 0, "%g", perSecond)
--- a/gateway/serverlist.go
+++ b/gateway/serverlist.go
@@ -6,19 +6,19 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// applyServers takes a list of servers and reports whether it changed anything.
+// applyServers applies a server list and reports whether it changed anything.
 func (v *view) applyServers(version int64, list []registry.Server, now time.Time) bool {
-	changed, ended := v.apply(version, list, now)
-	if len(ended) > 0 && v.onEnded != nil {
-		v.onEnded(ended)
+	changed, replaced := v.applyList(version, list, now)
+	if len(replaced) > 0 && v.onReplaced != nil {
+		v.onReplaced(replaced)
 	}
 	return changed
 }
 
-func (v *view) apply(version int64, list []registry.Server, now time.Time) (changed bool, ended []registry.Server) {
+func (v *view) applyList(version int64, list []registry.Server, now time.Time) (changed bool, replaced []registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	defer func() { ended = v.registry.TakeEnded() }()
+	defer func() { replaced = v.registry.TakeEnded() }()
 	before := v.registry.List()
 	if !v.registry.Apply(version, list, now) {
 		return false, nil
@@ -28,68 +28,68 @@
 		return false, nil
 	}
 	if v.listed {
-		v.steps.add(v.changed, version, before, after)
+		v.history.add(v.changedVersion, version, before, after)
 	}
 	v.listed = true
-	v.changed = version
+	v.changedVersion = version
 	clear(v.usable)
 	return true, nil
 }
 
-// idOf is the ID of a start that another gateway told by its tag.
-func (v *view) idOf(instance string, tag uint32) string {
-	return registry.Tagged(instance, tag, v.latestStart(instance))
+// incarnationID returns the ID of an incarnation that another gateway reports by its tag.
+func (v *view) incarnationID(instance string, tag uint32) string {
+	return registry.Tagged(instance, tag, v.latestIncarnation(instance))
 }
 
-// latestStart is the latest known start of an instance; zero if none is known.
-func (v *view) latestStart(instance string) int64 {
+// latestIncarnation returns the start time of the latest known incarnation of an instance; zero if none is known.
+func (v *view) latestIncarnation(instance string) int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.registry.Latest(instance)
 }
 
-// toldServers takes what another gateway told, and reports whether it changed anything.
-// Changes to a list that is not the one known here are of no use: the whole list follows
-// once the other has heard which version is. An equal list of a newer version takes that
-// version over, so that it is known here for what the other calls it, and not told again.
-func (v *view) toldServers(told serversTold, now time.Time) bool {
-	list := told.servers
-	if told.base != 0 {
+// applyServersUpdate applies an update from another gateway and reports whether it changed anything. Changes to a
+// list of another version than the local one are ignored: the whole list follows once the other gateway has received
+// the local version. An equal list of a newer version sets the local version to it, so that both gateways use the
+// same version for it and it is not sent again.
+func (v *view) applyServersUpdate(update serversUpdate, now time.Time) bool {
+	list := update.servers
+	if update.base != 0 {
 		known, version := v.list()
-		if version != told.base {
+		if version != update.base {
 			return false
 		}
-		list = told.over(known)
+		list = update.applyTo(known)
 	}
-	changed := v.applyServers(told.version, list, now)
+	changed := v.applyServers(update.version, list, now)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if told.version > v.changed {
-		v.steps.add(v.changed, told.version, nil, nil)
-		v.changed = told.version
+	if update.version > v.changedVersion {
+		v.history.add(v.changedVersion, update.version, nil, nil)
+		v.changedVersion = update.version
 	}
 	return changed
 }
 
-// list is the list of servers and the version at which it last changed.
+// list returns the server list and the version at which it last changed.
 func (v *view) list() ([]registry.Server, int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.registry.List(), v.changed
+	return v.registry.List(), v.changedVersion
 }
 
-// listVersion is the version at which the list of servers last changed.
+// listVersion returns the version at which the server list last changed.
 func (v *view) listVersion() int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.changed
+	return v.changedVersion
 }
 
-// noteRead notes that this process read the list from the store.
-func (v *view) noteRead(now time.Time) {
+// recordRead records that this process read the list from the store.
+func (v *view) recordRead(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.read, v.confirmed = now, now
+	v.lastRead, v.lastConfirmed = now, now
 }
 
 func equal(a, b []registry.Server) bool {
@@ -104,59 +104,60 @@
 	return true
 }
 
-// serversSince returns the version at which the list changed, and what to tell a gateway
-// that has the list of another version; nothing if that is as new.
-func (v *view) serversSince(version int64) (changed int64, told *serversTold) {
+// serversSince returns the version at which the list changed, and the update for a gateway that has the list of
+// another version; nil if that one is as new.
+func (v *view) serversSince(version int64) (changed int64, update *serversUpdate) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.listed || v.changed <= version {
-		return v.changed, nil
+	if !v.listed || v.changedVersion <= version {
+		return v.changedVersion, nil
 	}
-	if t, ok := v.steps.since(version); ok {
-		return v.changed, &t
+	if merged, ok := v.history.since(version); ok {
+		return v.changedVersion, &merged
 	}
-	return v.changed, &serversTold{version: v.changed, servers: v.registry.List()}
+	return v.changedVersion, &serversUpdate{version: v.changedVersion, servers: v.registry.List()}
 }
 
-// readAge is how long ago this process read the list from the store.
-func (v *view) readAge(now time.Time) time.Duration {
+// listReadAge returns how long ago this process read the list from the store.
+func (v *view) listReadAge(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.read.IsZero() {
+	if v.lastRead.IsZero() {
 		return never
 	}
-	return now.Sub(v.read)
+	return now.Sub(v.lastRead)
 }
 
-// confirmedAge is how long ago a process that is known of read the list that is known here. Told on, it reaches all
-// within a few exchanges of any pairs; told by readers alone, it came once in a pause of a pair, 1.7 s among
-// 68 gateways, and most of them read the list themselves, four times as many readings as two make.
+// confirmedAge returns how long ago any gateway is known to have read the local version of the list from the store.
+// Every gateway passes it on, so it reaches all of them within a few exchanges of any pairs. When only store readers
+// reported it, it arrived once per report interval of a pair, 1.7 s among 68 gateways, and most gateways read the
+// list themselves: four times as many readings as two make.
 func (v *view) confirmedAge(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.confirmed.IsZero() {
+	if v.lastConfirmed.IsZero() {
 		return never
 	}
-	return now.Sub(v.confirmed)
+	return now.Sub(v.lastConfirmed)
 }
 
-// never stands for the age of something that has not happened.
+// never is the age of an event that has not happened.
 const never = time.Hour
 
-// confirm notes that another process read the same list from the store a moment ago.
+// confirm records that another process read the same list from the store a short time ago.
 func (v *view) confirm(version int64, age time.Duration, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if version != v.changed {
+	if version != v.changedVersion {
 		return
 	}
-	if at := now.Add(-age); at.After(v.confirmed) {
-		v.confirmed = at
+	if at := now.Add(-age); at.After(v.lastConfirmed) {
+		v.lastConfirmed = at
 	}
-	if age < confirmAge {
+	if age < maxConfirmAge {
 		v.registry.Touch(now)
 	}
 }
 
-// confirmAge is the age up to which another's reading of the list confirms ours.
-const confirmAge = 1500 * time.Millisecond
+// maxConfirmAge is the age up to which another gateway's reading of the list confirms the local one.
+const maxConfirmAge = 1500 * time.Millisecond
--- a/gateway/size_bench_test.go
+++ b/gateway/size_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// BenchmarkReport is what one report of another gateway costs at a hundred gateways and a
-// thousand servers, without its transport.
+// BenchmarkReport measures the cost of one report of another gateway at a hundred gateways and a thousand servers,
+// without its transport.
 func BenchmarkReport(b *testing.B) {
 	v := newView()
 	var list []registry.Server
@@ -23,17 +23,17 @@
 	}
 	now := time.Now()
 	v.applyServers(1, list, now)
-	p := newPlaced(v.idOf)
+	p := newPeerLoads(v.incarnationID)
 	report := func(i int) *peer.Report {
 		return &peer.Report{Addr: fmt.Sprint("g", i), Shares: []*peer.Share{{Server: fmt.Sprint("i-", i), Tokens: 5000}, {Server: fmt.Sprint("i-", i+100), Tokens: 5000}}}
 	}
 	for i := range 98 {
-		p.take(report(i), now)
+		p.receiveReport(report(i), now)
 	}
 	b.Run("take", func(b *testing.B) {
 		r := report(5)
 		for b.Loop() {
-			p.take(r, now)
+			p.receiveReport(r, now)
 		}
 	})
 	b.Run("refresh", func(b *testing.B) {
@@ -43,12 +43,12 @@
 	})
 	b.Run("known", func(b *testing.B) {
 		for b.Loop() {
-			v.known()
+			v.knownServers()
 		}
 	})
 	b.Run("settle", func(b *testing.B) {
 		for b.Loop() {
-			v.settle(now)
+			v.expire(now)
 		}
 	})
 }
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -14,38 +14,37 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// Orders gives orders to engines. Calls return promptly when their context ends.
+// Orders sends orders to engines. Calls return promptly when their context ends.
 type Orders interface {
-	// OrdersTaken is the number of orders that an engine has taken since its start, and the start;
-	// zero if it tells none.
+	// OrdersTaken returns the number of orders that an engine has accepted since its start, and the time of the
+	// start; zero if it states none.
 	OrdersTaken(ctx context.Context, s registry.Server) (taken, born int64, err error)
-	// SetStage orders an engine to another stage if it has taken no order since.
+	// SetStage orders an engine to another stage if it has accepted no order since.
 	SetStage(ctx context.Context, s registry.Server, to registry.Stage, holder string, fence, taken int64) error
 }
 
 const (
-	// planInterval is the pause between two looks at the split of engines.
+	// planInterval is the interval between two checks of the split of engines.
 	planInterval = 500 * time.Millisecond
-	// planWarmup is how long a process has to be up before it plans: what it knows of
-	// load and of other gateways takes some seconds to become true.
+	// planWarmup is how long a process has to be up before it plans: its local state of load and of other gateways
+	// takes some seconds to become accurate.
 	planWarmup = 3 * time.Second
 )
 
-// errOtherStart means that an engine has started again since its order was planned: its count of
-// orders is of another start, and so is the load that the order answers.
-var errOtherStart = errors.New("the engine has started again")
+// errOtherIncarnation means that an engine has restarted since its order was planned: its count of orders belongs to
+// another incarnation, and so does the load that the order answers.
+var errOtherIncarnation = errors.New("the engine has restarted")
 
-// planStages keeps the split of engines into prefill and decode in line with the load.
-// Only the first of the live gateways plans; the lease sees to it that two that can't
-// hear each other do not both give orders.
+// planStages adapts the split of engines into prefill and decode to the load. Only the first of the live gateways
+// plans; the lease prevents two gateways that can't reach each other from both giving orders.
 func (s *Service) planStages(ctx context.Context) {
 	planners := map[string]*stages.Planner{}
-	pause(ctx, planWarmup)
+	sleep(ctx, planWarmup)
 	for ctx.Err() == nil {
 		now := time.Now()
-		s.view.settle(now)
+		s.view.expire(now)
 		t := s.view.Table()
-		if t != nil && s.plans() {
+		if t != nil && s.isPlanner() {
 			for name, service := range t.Services {
 				if service.Engine == nil {
 					continue
@@ -58,36 +57,36 @@
 				s.planService(ctx, p, service, now)
 			}
 		}
-		pause(ctx, planInterval)
+		sleep(ctx, planInterval)
 	}
 }
 
-// plans reports whether this process is the one that gives orders.
-func (s *Service) plans() bool {
-	return s.peers.Rank() == 0 && !s.draining.Load() && !s.set.Off.Has(mechanism.StageOrders)
+// isPlanner reports whether this process is the one that gives orders.
+func (s *Service) isPlanner() bool {
+	return s.peers.Rank() == 0 && !s.draining.Load() && !s.settings.Off.Has(mechanism.StageOrders)
 }
 
-// planService moves the engines of a service that are to change their stage now.
+// planService orders the stage changes that are due in a service.
 func (s *Service) planService(ctx context.Context, p *stages.Planner, service route.Service, now time.Time) {
 	load := s.serviceLoad(service)
 	moved := false
 	for ctx.Err() == nil {
-		servers, moving := s.view.all(service.Name)
+		servers, moving := s.view.allServers(service.Name)
 		m, ok := p.Next(servers, moving, load, now)
 		if !ok || s.fwd.Resting(m.Server.ID) {
 			break
 		}
-		fence, err := s.order(ctx, m)
+		fence, err := s.orderStage(ctx, m)
 		if err != nil {
 			if !errors.Is(err, fencing.ErrHeld) {
 				event.StageFailed.Log(s.log).Str("server", m.Server.ID).Str("to", m.To.String()).Int64("fence", fence).Err(err).Msg("")
 			}
-			pause(ctx, planInterval)
+			sleep(ctx, planInterval)
 			break
 		}
 		p.Moved(m, now)
 		moved = true
-		s.view.switchTo(m.Server.ID, m.To, 0, time.Now())
+		s.view.recordSwitch(m.Server.ID, m.To, 0, time.Now())
 		event.StageOrdered.Log(s.log).Str("server", m.Server.ID).Str("to", m.To.String()).Int64("fence", fence).
 			Float64("read", load.ReadRate/load.EngineRate).Float64("held", load.Held/load.EngineTokens).Msg("")
 	}
@@ -96,18 +95,18 @@
 	}
 }
 
-// serviceLoad is the use of a service's engines by all gateways.
+// serviceLoad returns the load of all gateways on a service's engines.
 func (s *Service) serviceLoad(service route.Service) stages.Load {
 	load := s.fwd.Use(service.Name)
-	arriving, wanted, rates := s.placed.reading(service.Name)
+	arriving, demand, rates := s.peerLoads.prefillUse(service.Name)
 	load.ReadRate += arriving
-	load.Held = max(load.Held+wanted, float64(s.fwd.Held(service.Name)))
+	load.Held = max(load.Held+demand, float64(s.fwd.Held(service.Name)))
 	load.EngineRate = median(append(rates, load.EngineRate))
 	load.EngineTokens = float64(service.Engine.KVTokens)
 	return load
 }
 
-// median is the middle one of the rates that are known, or zero.
+// median returns the median of the known (positive) rates, or zero.
 func median(rates []float64) float64 {
 	rates = slices.DeleteFunc(rates, func(r float64) bool { return r <= 0 })
 	if len(rates) == 0 {
@@ -117,8 +116,8 @@
 	return rates[len(rates)/2]
 }
 
-// order gives one order under the lease.
-func (s *Service) order(ctx context.Context, m stages.Move) (int64, error) {
+// orderStage gives one order under the lease.
+func (s *Service) orderStage(ctx context.Context, m stages.Move) (int64, error) {
 	if _, held := s.lease.Fence(); !held {
 		if err := s.lease.Acquire(ctx); err != nil {
 			return 0, err
@@ -129,11 +128,11 @@
 		return 0, err
 	}
 	if born != m.Server.Born {
-		return 0, errOtherStart
+		return 0, errOtherIncarnation
 	}
 	fence, held := s.lease.Fence()
 	if !held {
 		return fence, fencing.ErrHeld
 	}
-	return fence, s.orders.SetStage(ctx, m.Server, m.To, s.set.VM, fence, taken)
+	return fence, s.orders.SetStage(ctx, m.Server, m.To, s.settings.VM, fence, taken)
 }
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscusspur/hibiscusspur/peer"
 )
 
-// Version implements peer.Beliefs; zero means none, as in reports. It is asked for with each report
-// that comes in, and must not look at the list: copying a thousand servers each time took 11 % of a core.
+// Version implements peer.Beliefs; zero means none, as in reports. It is called for each incoming report and must not
+// copy the list: copying a thousand servers each time took 11 % of a core.
 func (s *Service) Version(state peer.State) int64 {
 	if state == peer.State_ROUTE_TABLE {
 		return max(s.view.version(), 0)
@@ -38,33 +38,33 @@
 func (s *Service) TakeState(state peer.State, version int64, data []byte, from string) error {
 	from = "gateway " + from
 	if state == peer.State_ROUTE_TABLE {
-		return s.takeEncodedTable(version, data, from)
+		return s.receiveEncodedTable(version, data, from)
 	}
 	var list peer.ServerList
 	if err := proto.Unmarshal(data, &list); err != nil {
 		event.FetchFailed.Log(s.log).Str("state", state.String()).Str("from", from).Err(err).Msg("")
 		return err
 	}
-	s.takeServers(serversTold{version: version, servers: decodeServers(list.GetServers())}, from)
+	s.receiveServers(serversUpdate{version: version, servers: decodeServers(list.GetServers())}, from)
 	return nil
 }
 
-func (s *Service) takeEncodedTable(version int64, data []byte, from string) error {
+func (s *Service) receiveEncodedTable(version int64, data []byte, from string) error {
 	t, err := s.store.DecodeManifest(data)
 	if err != nil {
 		event.TableRefused.Log(s.log).Int64("version", version).Str("from", from).Err(err).Msg("")
 		return err
 	}
-	s.takeTable(t, data, from)
+	s.installTable(t, data, from)
 	return nil
 }
 
 // Fetched implements peer.Beliefs.
 func (s *Service) Fetched(f peer.Fetch) {
-	s.met.Counter(metrics.Fetches).Inc(1)
+	s.metrics.Counter(metrics.Fetches).Inc(1)
 	e := event.StateFetched
 	if f.Err != nil {
-		s.met.Counter(metrics.FetchesFailed).Inc(1)
+		s.metrics.Counter(metrics.FetchesFailed).Inc(1)
 		e = event.FetchFailed
 	}
 	line := e.Log(s.log).Str("state", f.State.String()).Int64("version", f.Version).Str("from", f.From).
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// suspectsTold is how long ends of servers, and what was decided by them, stand in reports at least, and
-	// suspectsPaces for how many exchanges of a pair where these are rare: one may fail. A gateway that was cut off for some
-	// seconds tells what it saw meanwhile.
-	suspectsTold  = 10 * time.Second
-	suspectsPaces = 2
-	// suspectsRepeat is the pause after which news are told a second time: of two datagrams one comes through where
-	// links lose three packets in a hundred, and decisions rest on all ends within 300 ms.
-	suspectsRepeat = 100 * time.Millisecond
-	// suspectsNew is how long something is news: a VM with a busy processor may come to tell it late.
-	suspectsNew = time.Second
+	// minSuspectReportTime is the minimum time for which reports include terminations of servers and the decisions
+	// based on them; suspectReportExchanges is the same in exchanges of a pair, where these are rare: one may fail. A
+	// gateway that was cut off for some seconds reports what it observed meanwhile.
+	minSuspectReportTime   = 10 * time.Second
+	suspectReportExchanges = 2
+	// suspectRepeatInterval is the delay after which updates are sent a second time: of two datagrams one arrives
+	// where links lose three packets in a hundred, and decisions need all terminations within 300 ms.
+	suspectRepeatInterval = 100 * time.Millisecond
+	// recentSuspectAge is how long something counts as recent: a VM with a busy processor may send it late.
+	recentSuspectAge = time.Second
 )
 
-// holdBack joins the guard to the other gateways and to the store until ctx ends.
-func (s *Service) holdBack(ctx context.Context) {
-	if s.set.Off.Has(mechanism.Quarantine) {
+// startQuarantine connects the guard to the other gateways and to the store until ctx ends.
+func (s *Service) startQuarantine(ctx context.Context) {
+	if s.settings.Off.Has(mechanism.Quarantine) {
 		return
 	}
-	s.work.Go(func() { s.tellSuspects(ctx) })
-	wait := func(failures int) { pause(ctx, s.storePause(failures)) }
+	s.work.Go(func() { s.announceSuspects(ctx) })
+	wait := func(failures int) { sleep(ctx, s.nextStoreRetry(failures)) }
 	s.work.Go(func() {
 		dep := &dependency{s: s, what: "holds"}
-		s.guard.Follow(ctx, s.holds, dep.note, wait)
+		s.guard.Follow(ctx, s.holds, dep.record, wait)
 	})
 	s.work.Go(func() {
 		dep := &dependency{s: s, what: "holds kept"}
-		s.guard.Keep(ctx, s.holds, s.readsForAll, dep.note, wait)
+		s.guard.Keep(ctx, s.holds, s.isStoreReader, dep.record, wait)
 	})
 }
 
-// tellSuspects tells the other gateways of requests under which servers ended, until ctx ends. Who hears no datagram
-// has it from a report: those who are told at once tell it on.
-func (s *Service) tellSuspects(ctx context.Context) {
+// announceSuspects reports requests under which servers terminated to the other gateways, until ctx ends. A gateway
+// that receives no datagram gets them in a report: those that receive an update at once pass it on.
+func (s *Service) announceSuspects(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.guard.News():
 		}
-		pause(ctx, tellInterval)
-		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
+		sleep(ctx, datagramBatchInterval)
+		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
 		s.peers.Spread()
-		pause(ctx, suspectsRepeat)
-		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
+		sleep(ctx, suspectRepeatInterval)
+		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
 	}
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -12,37 +12,36 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// view is what the process believes; it implements forward.View.
+// view is the local state of routes and servers; it implements forward.View.
 type view struct {
 	table atomic.Pointer[route.Table]
 	// encoded is the table as the store holds it, for other gateways.
 	encoded atomic.Pointer[encodedTable]
-	// routers is the number of gateways, this one included, for shares of budgets; others
-	// are those known to live.
+	// routers is the number of gateways, this one included, for shares of budgets; others is the number of other live
+	// gateways.
 	routers, others atomic.Int64
 
 	mu       sync.Mutex
 	registry *registry.Registry
 	// usable caches the registry's answer for each service until the next change.
 	usable    map[string][]registry.Server
-	switching map[string]switching
-	// down are servers that have ended though they are still listed, until a time.
+	switching map[string]stageSwitch
+	// down are servers that have terminated though they are still listed, each until a time.
 	down map[string]time.Time
-	// leaving are servers that have said in answers that they leave.
-	leaving *leavers
-	// listed is set once a list of servers is known.
+	// leaving are servers that have announced in responses that they are leaving.
+	leaving *leavingServers
+	// listed is set once a server list is known.
 	listed bool
-	// changed is the version of the store at which the list last changed, steps how it came
-	// there, read when this process last read it itself, and confirmed when any process that is
-	// known of last read this version.
-	changed         int64
-	steps           changes
-	read, confirmed time.Time
-	// proofs is how old the table is proved to be.
+	// changedVersion is the version of the store at which the list last changed, history its latest changes, lastRead
+	// when this process last read the list itself, and lastConfirmed when any gateway is known to have last read this
+	// version.
+	changedVersion          int64
+	history                 listHistory
+	lastRead, lastConfirmed time.Time
+	// proofs tracks how recently the table was proved to be the newest.
 	proofs *proofs
-	// onEnded is told of starts of servers that were followed by a later one; it is called without
-	// mu held.
-	onEnded func([]registry.Server)
+	// onReplaced is called with incarnations of servers that a later one has replaced, without mu held.
+	onReplaced func([]registry.Server)
 }
 
 // encodedTable is the encoding of one version of the table.
@@ -52,7 +51,7 @@
 }
 
 func newView() *view {
-	v := &view{registry: registry.New(), usable: map[string][]registry.Server{}, switching: map[string]switching{}, down: map[string]time.Time{}, leaving: newLeavers()}
+	v := &view{registry: registry.New(), usable: map[string][]registry.Server{}, switching: map[string]stageSwitch{}, down: map[string]time.Time{}, leaving: newLeavingServers()}
 	v.routers.Store(1)
 	return v
 }
@@ -64,12 +63,12 @@
 func (v *view) Proved(ctx context.Context) bool { return v.proofs.trusted(ctx) }
 
 // ProvedLately implements forward.View.
-func (v *view) ProvedLately(ctx context.Context) bool { return v.proofs.lately(ctx) }
+func (v *view) ProvedLately(ctx context.Context) bool { return v.proofs.provedForUnknownKey(ctx) }
 
 // Routers implements forward.View.
 func (v *view) Routers() int { return int(v.routers.Load()) }
 
-// version is that of the route table in force, or -1.
+// version returns that of the route table in force, or -1.
 func (v *view) version() int64 {
 	if t := v.table.Load(); t != nil {
 		return t.Version
@@ -96,35 +95,35 @@
 	return list
 }
 
-// all returns the servers of a service that are not leaving, also those that change
-// their stage, and to which stage.
-func (v *view) all(service string) ([]registry.Server, map[string]registry.Stage) {
+// allServers returns the servers of a service that are not leaving, including those that change their stage, and the
+// new stage of these.
+func (v *view) allServers(service string) ([]registry.Server, map[string]registry.Stage) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	moving := make(map[string]registry.Stage, len(v.switching))
-	for id, w := range v.switching {
-		moving[id] = w.to
+	for id, sw := range v.switching {
+		moving[id] = sw.to
 	}
 	return v.registry.Usable(service), moving
 }
 
-// switchTo notes that an engine was ordered to another stage some time ago. It gets no
-// requests until it has it.
-func (v *view) switchTo(id string, to registry.Stage, age time.Duration, now time.Time) {
+// recordSwitch records that an engine was ordered to another stage, age ago. It gets no requests until the change is
+// complete.
+func (v *view) recordSwitch(id string, to registry.Stage, age time.Duration, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	at := now.Add(-age)
-	if old, ok := v.switching[id]; ok && !at.After(old.at.Add(switchSlack)) {
+	if old, ok := v.switching[id]; ok && !at.After(old.at.Add(switchAgeTolerance)) {
 		return
 	}
-	if age >= switchLimit || v.stageOf(id) == to {
+	if age >= switchTimeout || v.stageOf(id) == to {
 		return
 	}
-	v.switching[id] = switching{to: to, at: at}
+	v.switching[id] = stageSwitch{to: to, at: at}
 	clear(v.usable)
 }
 
-// stageOf returns the stage of an engine as listed; Whole if it is not. The caller holds mu.
+// stageOf returns the stage of an engine as listed; Whole if it is not listed. The caller holds mu.
 func (v *view) stageOf(id string) registry.Stage {
 	s, _ := v.registry.Get(id)
 	return s.Stage
@@ -145,15 +144,15 @@
 	return v.registry.Leaving(id)
 }
 
-// downLife is how long a server that refuses connections gets no requests. Its entry
-// lapses after three heartbeats of some 1.2 s.
-const downLife = 5 * time.Second
+// downTTL is how long a server that refuses connections gets no requests. Its entry lapses after three heartbeats of
+// some 1.2 s.
+const downTTL = 5 * time.Second
 
 // Down implements forward.View.
 func (v *view) Down(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.down[s.ID] = time.Now().Add(downLife)
+	v.down[s.ID] = time.Now().Add(downTTL)
 	clear(v.usable)
 }
 
@@ -166,9 +165,8 @@
 	}
 }
 
-// settle ends the switches that are done, or that took too long to be believed, and
-// tries servers again that were down.
-func (v *view) settle(now time.Time) {
+// expire drops stage changes that are complete or have timed out, and the marks of down servers whose time is over.
+func (v *view) expire(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for id, until := range v.down {
@@ -177,9 +175,9 @@
 			clear(v.usable)
 		}
 	}
-	for id, w := range v.switching {
-		age := now.Sub(w.at)
-		if age >= switchLimit || (age >= w.least && v.stageOf(id) == w.to) {
+	for id, sw := range v.switching {
+		age := now.Sub(sw.at)
+		if age >= switchTimeout || (age >= sw.minAge && v.stageOf(id) == sw.to) {
 			delete(v.switching, id)
 			clear(v.usable)
 		}
@@ -187,29 +185,29 @@
 }
 
 // switches returns the engines that change their stage.
-func (v *view) switches() map[string]switching {
+func (v *view) switches() map[string]stageSwitch {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return maps.Clone(v.switching)
 }
 
-// switching is an engine that changes its stage.
-type switching struct {
+// stageSwitch is a change of an engine's stage that is in progress.
+type stageSwitch struct {
 	to registry.Stage
 	at time.Time
-	// least is the time that a change takes at least.
-	least time.Duration
+	// minAge is the minimum duration of a change.
+	minAge time.Duration
 }
 
 const (
-	// switchLimit is when a change that is not seen in the list is given up: running
-	// work is finished first, which takes some seconds.
-	switchLimit = 20 * time.Second
-	// switchSlack is by how much two tellings of one change may differ in age.
-	switchSlack = 2 * time.Second
+	// switchTimeout is when a change that does not appear in the list is given up: running work is finished first,
+	// which takes some seconds.
+	switchTimeout = 20 * time.Second
+	// switchAgeTolerance is the maximum difference in age between two reports of the same change.
+	switchAgeTolerance = 2 * time.Second
 )
 
-// applyTable takes t unless a newer one is in force, and reports whether it did.
+// applyTable puts t in force unless a newer table is, and reports whether it did.
 func (v *view) applyTable(t *route.Table, encoded []byte) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -222,15 +220,15 @@
 	return true
 }
 
-// informed reports whether requests can be answered.
-func (v *view) informed() bool {
+// synced reports whether both the route table and the server list are known, so that requests can be answered.
+func (v *view) synced() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.listed && v.table.Load() != nil
 }
 
-// known are the addresses and the instances of all servers.
-func (v *view) known() (addrs, ids map[string]bool) {
+// knownServers returns the addresses and the IDs of all listed servers.
+func (v *view) knownServers() (addrs, ids map[string]bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	addrs, ids = map[string]bool{}, map[string]bool{}
