--- a/forward/access.go
+++ b/forward/access.go
@@ -80,13 +80,13 @@
 	return ctx
 }()
 
-// Head returns 401 for a request whose key is missing or not known, so that it is answered before its body is read, and zero
+// CheckHead returns 401 for a request whose key is missing or not known, so that it is answered before its body is read, and zero
 // for all others. It decides as identify does, but waits for no proof.
-func (f *Forwarder) Head(r *http.Request) int {
+func (f *Forwarder) CheckHead(r *http.Request) int {
 	now := time.Now()
 	j := &job{r: r, arrived: now, deadline: now, status: http.StatusUnauthorized}
 	// What else is wrong with the request is answered once it is read.
-	j.meta, _ = f.Codec.Read(r.Header)
+	j.meta, _ = f.Codec.ParseRequest(r.Header)
 	if j.table = f.View.Table(); j.table == nil || j.table.Tenants == nil {
 		return 0
 	}
@@ -94,7 +94,7 @@
 		return 0
 	}
 	if j.meta.HasKey {
-		if _, known := j.table.Tenants.ByKey(j.meta.Key); known || !f.View.ProvedLately(atOnce) {
+		if _, known := j.table.Tenants.ByKey(j.meta.Key); known || !f.View.ProvedForUnknownKey(atOnce) {
 			return 0
 		}
 	}
@@ -107,7 +107,7 @@
 // identifyAgain answers a request whose key is not known, unless the key was added since the configuration in force was
 // read.
 func (f *Forwarder) identifyAgain(j *job) bool {
-	if !f.View.ProvedLately(j.r.Context()) {
+	if !f.View.ProvedForUnknownKey(j.r.Context()) {
 		f.refuse(j, outcome.ConfigUnproved, unprovedRetry)
 		return false
 	}
--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -343,13 +343,13 @@
 		if c.credentials != "" {
 			r.Header.Set(site.Credentials, c.credentials)
 		}
-		assert.Equal(t, w.fwd.Head(r), c.status, c.name)
+		assert.Equal(t, w.fwd.CheckHead(r), c.status, c.name)
 		assert.Equal(t, len(w.fwd.Refusals()), int(b2i(c.status == 401)), c.name)
 	}
 	w := plain(t)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://h/safe/1", nil)
 	assert.NilError(t, err)
-	assert.Equal(t, w.fwd.Head(r), 0, "a configuration without customers")
+	assert.Equal(t, w.fwd.CheckHead(r), 0, "a configuration without customers")
 }
 
 // TestHeldByCustomer: a request under which servers end is held back for its customer, whichever of its keys it comes with, and
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -167,7 +167,7 @@
 	}
 	if j.meta.PromptTokens > 0 {
 		e = e.Int("prompt", j.meta.PromptTokens).Int("max_tokens", j.meta.MaxTokens).Int("length_hint", j.meta.LengthHint).
-			Dur("read", j.read).Dur("first", j.first).Dur("patience", j.meta.Patience).Bool("late", j.late).
+			Dur("read", j.read).Dur("first", j.first).Dur("patience", j.meta.ClientTimeout).Bool("late", j.late).
 			Int("generated", j.generated).Int("expected", j.expected).Int("room", j.room).Dur("pause", j.pause)
 	}
 	e.Int("sends", j.sends).Dur("waited", j.waited).Dur("took", now.Sub(j.arrived)).
--- a/forward/attempts.go
+++ b/forward/attempts.go
@@ -75,9 +75,9 @@
 	return ok
 }
 
-// End ends the attempts at a start of a server that was followed by a later one, and returns their
+// EndIncarnation ends the attempts at a start of a server that was followed by a later one, and returns their
 // number. They go on as after a crash: resumed, repeated or told, as their routes allow.
-func (f *Forwarder) End(id string) int {
+func (f *Forwarder) EndIncarnation(id string) int {
 	defer f.serverEnded(id, endedRestarted)
 	return f.attempts.endAll(id, time.Now())
 }
--- a/forward/broken.go
+++ b/forward/broken.go
@@ -110,7 +110,7 @@
 // noted before.
 func (f *Forwarder) tellEnded(id string, how howEnded, broken []quarantine.Broken) {
 	f.Metrics.Counter(metrics.RequestsBroken).Inc(int64(len(broken)))
-	f.Guard.Ended(id, broken)
+	f.Guard.ServerTerminated(id, broken)
 	event.ServerEnded.Log(f.Log).Str("server", id).Str("how", string(how)).Int("requests", len(broken)).
 		Strs("contents", contentsOf(broken)).Msg("")
 }
@@ -125,7 +125,7 @@
 
 // held reports for how long a request is held back still.
 func (f *Forwarder) held(j *job) (time.Duration, bool) {
-	if !f.Guard.Watches() {
+	if !f.Guard.Active() {
 		return 0, false
 	}
 	return f.Guard.Held(j.digest())
@@ -134,7 +134,7 @@
 // answered notes that a server answered a request with success, and so did not end under it. A failure may have come
 // before the server began to run it, and tells nothing.
 func (f *Forwarder) answered(j *job) {
-	if f.Guard.Watches() {
-		f.Guard.Answered(j.digest())
+	if f.Guard.Active() {
+		f.Guard.RequestSucceeded(j.digest())
 	}
 }
--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -147,7 +147,7 @@
 		w.view.servers = nil
 		w.view.mu.Unlock()
 	}
-	assert.Assert(t, !w.guard.Watches())
+	assert.Assert(t, !w.guard.Active())
 }
 
 // TestFailureTellsNothing: a server that fails a call may have done so before it began to run it.
@@ -160,7 +160,7 @@
 		w.servers[id].Behave(site.Fail)
 	}
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusInternalServerError)
-	assert.Assert(t, w.guard.Watches())
+	assert.Assert(t, w.guard.Active())
 }
 
 // TestServerGoesDark: a server ends without a word: no connection breaks, and the request there has no answer until its
--- a/forward/call.go
+++ b/forward/call.go
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	head := f.Codec.Answer(res.Status, res.Header)
+	head := f.Codec.ParseAnswer(res.Status, res.Header)
 	if head.NotRun {
 		discard(res)
 		return nil, fmt.Errorf("%w: status %d", errNotRun, head.Status)
@@ -177,14 +177,14 @@
 	if err := f.admitSend(j, s.ID); err != nil {
 		return nil, err
 	}
-	o.Left, o.Instance = j.left(time.Now()), s.Instance()
+	o.TimeLeft, o.Instance = j.left(time.Now()), s.Instance()
 	o.Keyed, o.Customer = j.table.Tenants != nil, j.customer()
 	before := j.ran
 	j.carried, j.heard = j.generated, time.Now()
 	res, err := f.Pool.Do(ctx, s.Addr, &upstream.Request{
 		Method: j.r.Method, Target: j.target(), Host: j.r.Host,
 		Header: f.Codec.Outgoing(j.r.Header, o), Body: j.body,
-		Mine: func(h http.Header) bool { return f.Codec.Mine(j.meta.ID, h) },
+		Mine: func(h http.Header) bool { return f.Codec.Matches(j.meta.ID, h) },
 	})
 	f.noteReach(s, err)
 	if errors.Is(err, upstream.ErrNotSent) {
@@ -199,12 +199,12 @@
 		return nil, err
 	}
 	j.heard = time.Now()
-	head := f.Codec.Answer(res.Status, res.Header)
+	head := f.Codec.ParseAnswer(res.Status, res.Header)
 	if !o.PrefillOnly && head.NotRun {
 		j.ran = before
 	}
 	if head.Replaced {
-		f.View.Replaced(s)
+		f.View.MarkReplaced(s)
 		f.serverEnded(s.ID, endedReplaced)
 		return res, nil
 	}
@@ -215,7 +215,7 @@
 // noteReach notes a server that has ended: its address refuses connections.
 func (f *Forwarder) noteReach(s registry.Server, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		f.View.Down(s)
+		f.View.MarkDown(s)
 		f.serverEnded(s.ID, endedRefused)
 	}
 }
--- a/forward/doubts.go
+++ b/forward/doubts.go
@@ -76,8 +76,8 @@
 // there are any.
 func (f *Forwarder) TakeFailures() []string { return f.doubts.take() }
 
-// Failing takes from another gateway that a request has failed at an engine.
-func (f *Forwarder) Failing(gateway, id string) {
+// ReceiveFailure takes from another gateway that a request has failed at an engine.
+func (f *Forwarder) ReceiveFailure(gateway, id string) {
 	if !f.Off.Has(mechanism.Doubts) {
 		f.doubts.told(gateway, id)
 	}
--- a/forward/doubts_test.go
+++ b/forward/doubts_test.go
@@ -14,7 +14,7 @@
 // that way 186 came after one of another gateway. Requests came late or used up the repeats of others.
 func TestEnginesThatFailElsewhereAreAvoided(t *testing.T) {
 	w := engines(t)
-	w.fwd.Failing("g2", "d1")
+	w.fwd.ReceiveFailure("g2", "d1")
 	for range 3 {
 		assert.Equal(t, w.post(t, "/draft/1").status, 200)
 	}
@@ -29,7 +29,7 @@
 func TestReadersThatFailElsewhereAreAvoided(t *testing.T) {
 	w := engines(t)
 	w.add(t, "pre2", "llm", registry.Prefill)
-	w.fwd.Failing("g2", "pre")
+	w.fwd.ReceiveFailure("g2", "pre")
 	for range 3 {
 		assert.Equal(t, w.post(t, "/draft/1").status, 200)
 	}
--- a/forward/forget_test.go
+++ b/forward/forget_test.go
@@ -15,22 +15,22 @@
 // tableView is a view of a route table alone.
 type tableView struct{ table *route.Table }
 
-func (v tableView) Table() *route.Table               { return v.table }
-func (v tableView) Servers(string) []registry.Server  { return nil }
-func (v tableView) Down(registry.Server)              {}
-func (v tableView) Listed(string) bool                { return false }
-func (v tableView) Leaving(string) bool               { return false }
-func (v tableView) Leaves(registry.Server) bool       { return false }
-func (v tableView) Replaced(registry.Server)          {}
-func (v tableView) Proved(context.Context) bool       { return true }
-func (v tableView) ProvedLately(context.Context) bool { return true }
-func (v tableView) Others() int                       { return 0 }
-func (v tableView) Routers() int                      { return 1 }
+func (v tableView) Table() *route.Table                      { return v.table }
+func (v tableView) Servers(string) []registry.Server         { return nil }
+func (v tableView) MarkDown(registry.Server)                 {}
+func (v tableView) Listed(string) bool                       { return false }
+func (v tableView) Leaving(string) bool                      { return false }
+func (v tableView) MarkLeaving(registry.Server) bool         { return false }
+func (v tableView) MarkReplaced(registry.Server)             {}
+func (v tableView) Proved(context.Context) bool              { return true }
+func (v tableView) ProvedForUnknownKey(context.Context) bool { return true }
+func (v tableView) Others() int                              { return 0 }
+func (v tableView) Routers() int                             { return 1 }
 
 // silentEngines are engines that say nothing.
 type silentEngines struct{ Engines }
 
-func (silentEngines) Hear(func(registry.Server, Signals)) {}
+func (silentEngines) OnSignals(func(registry.Server, Signals)) {}
 
 // TestForgetRoutes: a gateway runs for months while routes come and go under new names; what it
 // learned of those that are gone must not stay.
@@ -41,7 +41,7 @@
 	s := f.service("llm")
 	for _, name := range []string{"stays", "gone"} {
 		s.engines.newRun(name, &Meta{MaxTokens: 100}, 100)
-		s.returned(&job{route: &route.Route{Name: name}, meta: Meta{Patience: time.Second}})
+		s.returned(&job{route: &route.Route{Name: name}, meta: Meta{ClientTimeout: time.Second}})
 	}
 	f.Forget(func(string) bool { return true })
 	assert.Equal(t, len(s.engines.lengths), 1)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -166,13 +166,13 @@
 	w := engines(t)
 	w.post(t, "/draft/1")
 	<-w.fwd.PlacementChanged()
-	changed := w.fwd.TakeChanged()
+	changed := w.fwd.TakeChangedPlacements()
 	assert.Equal(t, len(changed), 2, "the engine that read the prompt and the one that generated")
 	assert.DeepEqual(t, changed[0].Load, kvmemory.Load{})
 	assert.DeepEqual(t, changed[1].Load, kvmemory.Load{})
-	assert.Equal(t, len(w.fwd.Placed()), 0)
+	assert.Equal(t, len(w.fwd.Placements()), 0)
 	full := kvmemory.Load{Tokens: 10_000, Ahead: kvmemory.Constant(10_000)}
-	w.fwd.SetOthers(map[string]kvmemory.Load{"d1": full, "d2": full})
+	w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d1": full, "d2": full})
 	assert.Equal(t, w.post(t, "/draft/1").status, 503, "others have placed everything")
 }
 
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -105,12 +105,12 @@
 		Config: c, services: map[string]*service{}, placed: make(chan struct{}, 1), attempts: newAttempts(),
 		interrupted: newInterrupted(), doubts: newDoubts(c.VM), limits: newServerLimits(c.VM), faults: &faults{fields: map[string]string{}}, rests: newRests(),
 	}
-	c.Engines.Hear(f.hear)
+	c.Engines.OnSignals(f.hear)
 	c.Metrics.GaugeFunc(metrics.ServersLimited, f.limits.count.Load)
 	return f
 }
 
-// PlacementChanged is sent to when TakeChanged has something to return.
+// PlacementChanged is sent to when TakeChangedPlacements has something to return.
 func (f *Forwarder) PlacementChanged() <-chan struct{} { return f.placed }
 
 func (f *Forwarder) tellPlaced() {
@@ -129,8 +129,8 @@
 
 func (f *Forwarder) draining() bool { return f.drain.Load() != nil }
 
-// Streams is the number of streams in progress.
-func (f *Forwarder) Streams() int { return int(f.streams.Load()) }
+// ActiveStreams is the number of streams in progress.
+func (f *Forwarder) ActiveStreams() int { return int(f.streams.Load()) }
 
 const (
 	// drainRetry is when to come back to another gateway.
@@ -218,7 +218,7 @@
 // has been answered.
 func (f *Forwarder) admit(j *job) bool {
 	var err error
-	j.meta, err = f.Codec.Read(j.r.Header)
+	j.meta, err = f.Codec.ParseRequest(j.r.Header)
 	j.table = f.View.Table()
 	if j.table == nil {
 		f.refuse(j, outcome.StaleRevision, unconfiguredRetry)
@@ -248,8 +248,8 @@
 	}
 	j.service = j.route.Service(rand.Float64())
 	j.deadline = j.arrived.Add(j.route.Timeout)
-	if j.meta.Patience > 0 && j.meta.Patience < j.route.Timeout {
-		j.deadline = j.arrived.Add(j.meta.Patience)
+	if j.meta.ClientTimeout > 0 && j.meta.ClientTimeout < j.route.Timeout {
+		j.deadline = j.arrived.Add(j.meta.ClientTimeout)
 	}
 	return true
 }
@@ -289,7 +289,7 @@
 		r = &waitqueue.Returners{}
 		s.returners[j.route.Name] = r
 	}
-	return r.Returned(j.meta.Patience)
+	return r.Returned(j.meta.ClientTimeout)
 }
 
 // mayRepeat takes one repeat from the budget of the job's service.
@@ -329,23 +329,23 @@
 	}
 }
 
-// Uses is the use of the engines of each model service; see Use.
-func (f *Forwarder) Uses() map[string]stages.Load {
+// ServiceLoads is the use of the engines of each model service; see ServiceLoad.
+func (f *Forwarder) ServiceLoads() map[string]stages.Load {
 	f.mu.Lock()
 	names := slices.Collect(maps.Keys(f.services))
 	f.mu.Unlock()
 	out := map[string]stages.Load{}
 	for _, name := range names {
-		if use := f.Use(name); use.ReadRate > 0 {
+		if use := f.ServiceLoad(name); use.ReadRate > 0 {
 			out[name] = use
 		}
 	}
 	return out
 }
 
-// Use is the use of one service's engines by this process: how fast one engine reads, the
+// ServiceLoad is the use of one service's engines by this process: how fast one engine reads, the
 // prompts that arrive, and the memory that they would hold if none had to wait.
-func (f *Forwarder) Use(name string) stages.Load {
+func (f *Forwarder) ServiceLoad(name string) stages.Load {
 	s := f.service(name)
 	now := time.Now()
 	short := s.engines.isShort(now)
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -39,8 +39,8 @@
 			w.add(t, "pre2", "llm", registry.Prefill)
 			w.servers[c.leaving].SetLeaving()
 			// d1 has the most memory, as soon as the service is known.
-			w.fwd.Use("llm")
-			w.fwd.SetOthers(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Ahead: kvmemory.Constant(4000)}})
+			w.fwd.ServiceLoad("llm")
+			w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Ahead: kvmemory.Constant(4000)}})
 			for i := range requests {
 				assert.Equal(t, w.post(t, fmt.Sprint("/draft/", i)).status, 200)
 			}
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -222,8 +222,8 @@
 	}()
 }
 
-// Placed is what this process placed on engines: runs that generate, prompts that are read.
-func (f *Forwarder) Placed() []kvmemory.Share {
+// Placements is what this process placed on engines: runs that generate, prompts that are read.
+func (f *Forwarder) Placements() []kvmemory.Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []kvmemory.Share
@@ -233,9 +233,9 @@
 	return out
 }
 
-// TakeChanged returns what this process placed on the engines whose placement changed
+// TakeChangedPlacements returns what this process placed on the engines whose placement changed
 // since the last call.
-func (f *Forwarder) TakeChanged() []kvmemory.Share {
+func (f *Forwarder) TakeChangedPlacements() []kvmemory.Share {
 	f.mu.Lock()
 	all := slices.Collect(maps.Values(f.services))
 	f.mu.Unlock()
@@ -246,8 +246,8 @@
 	return out
 }
 
-// Held is the memory that all processes placed on the engines of a service, in tokens.
-func (f *Forwarder) Held(service string) int {
+// MemoryInUse is the memory that all processes placed on the engines of a service, in tokens.
+func (f *Forwarder) MemoryInUse(service string) int {
 	e := f.service(service).engines
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -255,9 +255,9 @@
 	return used
 }
 
-// SetOthers takes what other processes placed on some engines. Waiting
+// SetPeerLoads takes what other processes placed on some engines. Waiting
 // requests are looked at again, since memory may have become free.
-func (f *Forwarder) SetOthers(loads map[string]kvmemory.Load) {
+func (f *Forwarder) SetPeerLoads(loads map[string]kvmemory.Load) {
 	routers := f.View.Others() + 1
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/restart_test.go
+++ b/forward/restart_test.go
@@ -19,7 +19,7 @@
 	for _, s := range w.servers {
 		s.Behave(site.Answer)
 	}
-	for w.fwd.End(first.Server) == 0 {
+	for w.fwd.EndIncarnation(first.Server) == 0 {
 		assert.NilError(t, t.Context().Err())
 	}
 	return <-done, w.log.Calls()
--- a/forward/serverlimits.go
+++ b/forward/serverlimits.go
@@ -24,8 +24,8 @@
 	news map[string]struct{}
 }
 
-// ServerLimitNews is what one router tells of servers with limits.
-type ServerLimitNews struct {
+// ServerLimitUpdates is what one router tells of servers with limits.
+type ServerLimitUpdates struct {
 	Limits []serverlimit.Told
 	// Used is what was sent there; Informed is that of limit.Shared.Tell.
 	Used     []limit.Told
@@ -38,7 +38,7 @@
 	return &ServerLimits{changed: make(chan struct{}, 1), limits: serverlimit.New(seed.Sum64(), time.Now()), news: map[string]struct{}{}}
 }
 
-// Changed is sent to when Tell has news.
+// Changed is sent to when Report has updates.
 func (l *ServerLimits) Changed() <-chan struct{} { return l.changed }
 
 // name takes a limit that a server names, and reports whether it has changed.
@@ -124,13 +124,13 @@
 	l.recount()
 }
 
-// Tell returns what other routers are to know: with changes what they were not told yet, without all. Told in a datagram,
+// Report returns what other routers are to know: with changes what they were not told yet, without all. Told in a datagram,
 // it is told once; a report makes good for one that was lost.
-func (l *ServerLimits) Tell(changes bool) ServerLimitNews {
+func (l *ServerLimits) Report(changes bool) ServerLimitUpdates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	var out ServerLimitNews
+	var out ServerLimitUpdates
 	for _, t := range l.limits.Tell(now) {
 		if _, news := l.news[t.ID]; news || !changes {
 			out.Limits = append(out.Limits, t)
@@ -143,8 +143,8 @@
 	return out
 }
 
-// Hear takes what the router at an address told, in a report, which names all, or in a datagram.
-func (l *ServerLimits) Hear(addr string, incarnation uint64, all bool, news ServerLimitNews) {
+// Receive takes what the router at an address told, in a report, which names all, or in a datagram.
+func (l *ServerLimits) Receive(addr string, incarnation uint64, all bool, news ServerLimitUpdates) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -155,8 +155,8 @@
 	l.limits.Used().Hear(addr, incarnation, news.Informed, all, news.Used, now)
 }
 
-// Refresh looks for routers that have fallen silent, of so many that exchange reports with that pause.
-func (l *ServerLimits) Refresh(routers int, pace time.Duration) {
+// CheckMembers looks for routers that have fallen silent, of so many that exchange reports with that pause.
+func (l *ServerLimits) CheckMembers(routers int, pace time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.SetRouters(routers)
@@ -164,8 +164,8 @@
 	l.limits.Used().Refresh(time.Now())
 }
 
-// Lost notes that the router at an address does not answer.
-func (l *ServerLimits) Lost(addr string) {
+// MarkUnresponsive notes that the router at an address does not answer.
+func (l *ServerLimits) MarkUnresponsive(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.Used().Lost(addr, time.Now())
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -22,10 +22,10 @@
 	Limit   float64
 	// Leaving is set if the server stops soon and takes nothing new.
 	Leaving bool
-	// Rest is for how long the server, which has turned a request away, wants nothing from this router.
-	Rest time.Duration
-	// Fault names the field of the answer that can't be understood; what was said before it holds on.
-	Fault string
+	// Cooldown is for how long the server, which has turned a request away, wants nothing from this router.
+	Cooldown time.Duration
+	// InvalidField names the field of the answer that can't be understood; what was said before it holds on.
+	InvalidField string
 }
 
 // Errors of requests that were not sent for what their server said.
@@ -70,7 +70,7 @@
 // answer of success does not name any more has ended; refusals and failures may come from what knows of none.
 func (f *Forwarder) hearAnswer(s registry.Server, head AnswerHead, sent time.Time) {
 	f.hear(s, head.Signals)
-	names := head.Signals.Limited || head.Signals.Fault != ""
+	names := head.Signals.Limited || head.Signals.InvalidField != ""
 	if !names && head.Status < http.StatusMultipleChoices && f.limits.end(s.ID, sent) {
 		f.logLimit(s, head.Signals)
 	}
@@ -78,18 +78,18 @@
 
 // hear takes what a server says of itself in any answer.
 func (f *Forwarder) hear(s registry.Server, sig Signals) {
-	if f.faults.begins(s.ID, sig.Fault) {
-		event.SignalInvalid.Log(f.Log).Str("server", s.ID).Str("field", sig.Fault).Msg("")
+	if f.faults.begins(s.ID, sig.InvalidField) {
+		event.SignalInvalid.Log(f.Log).Str("server", s.ID).Str("field", sig.InvalidField).Msg("")
 	}
 	if sig.Limited && f.limits.name(s.ID, sig.Limit) {
 		f.logLimit(s, sig)
 	}
-	if sig.Rest > 0 {
-		f.rests.asked(s.ID, sig.Rest)
+	if sig.Cooldown > 0 {
+		f.rests.asked(s.ID, sig.Cooldown)
 		f.Metrics.Counter(metrics.RestsAsked).Inc(1)
-		event.ServerRests.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Dur("rest", sig.Rest).Msg("")
+		event.ServerRests.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Dur("rest", sig.Cooldown).Msg("")
 	}
-	if sig.Leaving && f.View.Leaves(s) {
+	if sig.Leaving && f.View.MarkLeaving(s) {
 		f.tellPlaced()
 		event.ServerLeaves.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Msg("")
 	}
@@ -118,8 +118,8 @@
 	return wait > 0
 }
 
-// Resting reports whether a server wants nothing from this process for now.
-func (f *Forwarder) Resting(id string) bool { return f.rests.left(id) > 0 }
+// CoolingDown reports whether a server wants nothing from this process for now.
+func (f *Forwarder) CoolingDown(id string) bool { return f.rests.left(id) > 0 }
 
 // reserveSend takes one request from what a server says that it takes, to be sent there later, and reports whether it may be.
 func (f *Forwarder) reserveSend(j *job, id string) bool {
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -28,7 +28,7 @@
 	const requests = 10
 	for i := range requests {
 		assert.Equal(t, w.post(t, fmt.Sprint("/draft/", i)).status, 200)
-		w.fwd.SetOthers(others(2000 - 100*i))
+		w.fwd.SetPeerLoads(others(2000 - 100*i))
 	}
 	asked := 0
 	for _, c := range w.log.Calls() {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return AnswerHead{}, nil, err
 	}
-	head := a.r.f.Codec.Answer(res.Status, res.Header)
+	head := a.r.f.Codec.ParseAnswer(res.Status, res.Header)
 	if head.NotRun {
 		discard(res)
 		return head, nil, fmt.Errorf("%w: status %d", errNotRun, head.Status)
--- a/forward/types.go
+++ b/forward/types.go
@@ -32,8 +32,8 @@
 type Meta struct {
 	// ID names this attempt of the client.
 	ID string
-	// Patience is how long the client waits; zero means that it did not say.
-	Patience time.Duration
+	// ClientTimeout is how long the client waits; zero means that it did not say.
+	ClientTimeout time.Duration
 	// PromptTokens and MaxTokens are the size of the prompt and the most that may be generated.
 	PromptTokens, MaxTokens int
 	// LengthHint is the client's guess of the tokens that will be generated; zero if none.
@@ -51,8 +51,8 @@
 
 // Send is what the router tells a server beside the client's own headers.
 type Send struct {
-	// Left is the time that the server has.
-	Left time.Duration
+	// TimeLeft is the time that the server has.
+	TimeLeft time.Duration
 	// Instance is the server that is meant; another one refuses.
 	Instance string
 	// PrefillOnly asks for the prompt to be read and its KV cache to be exported.
@@ -94,13 +94,13 @@
 
 // Codec translates requests and answers. It must be safe for concurrent use.
 type Codec interface {
-	// Read decodes what a client says; an error means that the request is malformed.
-	Read(h http.Header) (Meta, error)
+	// ParseRequest decodes what a client says; an error means that the request is malformed.
+	ParseRequest(h http.Header) (Meta, error)
 	// Outgoing returns the head for a server; the client's is not changed.
 	Outgoing(client http.Header, s Send) http.Header
-	// Mine reports whether an answer with this head belongs to the request of that id.
-	Mine(id string, h http.Header) bool
-	Answer(status int, h http.Header) AnswerHead
+	// Matches reports whether an answer with this head belongs to the request of that id.
+	Matches(id string, h http.Header) bool
+	ParseAnswer(status int, h http.Header) AnswerHead
 	// DecodeExport decodes the answer to a request that was sent with PrefillOnly.
 	DecodeExport(body []byte) (Export, error)
 	// ExportSource is the value of Send.KVFrom for an export that s holds.
@@ -116,21 +116,21 @@
 	Unreserve(ctx context.Context, s registry.Server, reservation string) error
 	// FreeExport frees an exported KV cache that nobody will fetch.
 	FreeExport(ctx context.Context, s registry.Server, handle string) error
-	// Hear has f called with what engines say of themselves in answers to these calls. It is called once, before any
+	// OnSignals has f called with what engines say of themselves in answers to these calls. It is called once, before any
 	// other.
-	Hear(f func(s registry.Server, signals Signals))
+	OnSignals(f func(s registry.Server, signals Signals))
 }
 
 // Quarantine holds back requests under which servers end. It must be safe for concurrent use.
 type Quarantine interface {
-	// Watches reports whether any request is suspect or held, so that the others need not be looked at.
-	Watches() bool
+	// Active reports whether any request is suspect or held, so that the others need not be looked at.
+	Active() bool
 	// Held reports for how long a request is held back still.
 	Held(d fingerprint.Digest) (time.Duration, bool)
-	// Ended takes the requests that were in progress at a server that ended.
-	Ended(server string, broken []quarantine.Broken)
-	// Answered notes that a server answered a request with success.
-	Answered(d fingerprint.Digest)
+	// ServerTerminated takes the requests that were in progress at a server that ended.
+	ServerTerminated(server string, broken []quarantine.Broken)
+	// RequestSucceeded notes that a server answered a request with success.
+	RequestSucceeded(d fingerprint.Digest)
 }
 
 // View is what the process believes of configuration and servers. It must be safe for
@@ -141,8 +141,8 @@
 	// Proved reports whether the configuration is proved to be recent enough to serve requests with keys. It waits
 	// a moment for a proof if it is not.
 	Proved(ctx context.Context) bool
-	// ProvedLately reports the same for a key that is not known to be refused as unknown.
-	ProvedLately(ctx context.Context) bool
+	// ProvedForUnknownKey reports the same for a key that is not known to be refused as unknown.
+	ProvedForUnknownKey(ctx context.Context) bool
 	// Servers are those of a service that may get new work. Nobody changes a list that was
 	// returned; a changed one is another slice.
 	Servers(service string) []registry.Server
@@ -150,12 +150,12 @@
 	Listed(id string) bool
 	// Leaving reports whether a server has said that it stops, also when it is not in the list any more.
 	Leaving(id string) bool
-	// Leaves notes that a server has said in an answer that it stops, and reports whether that is news.
-	Leaves(s registry.Server) bool
-	// Down notes that nothing listens at a server's address: it has ended.
-	Down(s registry.Server)
-	// Replaced notes that another server answers at a server's address.
-	Replaced(s registry.Server)
+	// MarkLeaving notes that a server has said in an answer that it stops, and reports whether that is news.
+	MarkLeaving(s registry.Server) bool
+	// MarkDown notes that nothing listens at a server's address: it has ended.
+	MarkDown(s registry.Server)
+	// MarkReplaced notes that another server answers at a server's address.
+	MarkReplaced(s registry.Server)
 	// Others is the number of other processes that are known to take requests.
 	Others() int
 	// Routers is the number of processes that forward requests, this one included.
--- a/forward/world_test.go
+++ b/forward/world_test.go
@@ -63,7 +63,7 @@
 	return !v.unproved
 }
 
-func (v *view) ProvedLately(context.Context) bool {
+func (v *view) ProvedForUnknownKey(context.Context) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return !v.stale
@@ -111,7 +111,7 @@
 	return id == v.leaving || v.left[id]
 }
 
-func (v *view) Leaves(s registry.Server) bool {
+func (v *view) MarkLeaving(s registry.Server) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known := v.left[s.ID]
@@ -119,13 +119,13 @@
 	return !known
 }
 
-func (v *view) Down(s registry.Server) {
+func (v *view) MarkDown(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down = append(v.down, s.ID)
 }
 
-func (v *view) Replaced(s registry.Server) {
+func (v *view) MarkReplaced(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.replaced = append(v.replaced, s.ID)
--- a/forward/yield_test.go
+++ b/forward/yield_test.go
@@ -33,7 +33,7 @@
 	c.asked = append(c.asked, s.ID)
 	if len(c.asked) <= c.most {
 		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Ahead: kvmemory.Constant(10_000)}
-		c.fwd.SetOthers(map[string]kvmemory.Load{s.ID: full})
+		c.fwd.SetPeerLoads(map[string]kvmemory.Load{s.ID: full})
 	}
 	return reservation, err
 }
--- a/gateway/encode.go
+++ b/gateway/encode.go
@@ -95,7 +95,7 @@
 }
 
 // encodeServerLimits is nil if there is nothing to tell.
-func encodeServerLimits(n forward.ServerLimitNews, now time.Time) *peer.ServerLimits {
+func encodeServerLimits(n forward.ServerLimitUpdates, now time.Time) *peer.ServerLimits {
 	if len(n.Limits)+len(n.Used) == 0 {
 		return nil
 	}
@@ -109,8 +109,8 @@
 }
 
 // decodeServerLimits leaves out what no server can have said, as a faulty process may tell.
-func decodeServerLimits(told *peer.ServerLimits, now time.Time) forward.ServerLimitNews {
-	out := forward.ServerLimitNews{Used: decodeUsages(told.GetSent()), Informed: told.GetSent().GetInformed()}
+func decodeServerLimits(told *peer.ServerLimits, now time.Time) forward.ServerLimitUpdates {
+	out := forward.ServerLimitUpdates{Used: decodeUsages(told.GetSent()), Informed: told.GetSent().GetInformed()}
 	for _, t := range told.GetLimits() {
 		l := serverlimit.Limit{Named: t.GetLimited(), PerSecond: t.GetPerSecond()}
 		if !l.Valid() {
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -31,7 +31,7 @@
 // more; the sweep drops it.
 func (s *Service) startsEnded(ended []registry.Server) {
 	for _, e := range ended {
-		requests := s.fwd.End(e.ID)
+		requests := s.fwd.EndIncarnation(e.ID)
 		s.pool.Drop(e.Addr)
 		s.met.Counter(metrics.StartsEnded).Inc(1)
 		event.ServerRestarted.Log(s.log).Str("server", e.Instance()).Int64("born", e.Born).Int("requests", requests).Msg("")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -206,7 +206,7 @@
 
 func (s *Service) listen() error {
 	var err error
-	s.callers, err = s.serve("callers", s.set.Callers, s.fwd, s.fwd.Head)
+	s.callers, err = s.serve("callers", s.set.Callers, s.fwd, s.fwd.CheckHead)
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 		live := s.peers.Count()
 		s.view.others.Store(int64(live - 1))
 		s.view.routers.Store(int64(max(live, len(s.set.Seeds))))
-		s.fwd.SetOthers(s.placed.refresh(s.peers.Pace(), time.Now()))
+		s.fwd.SetPeerLoads(s.placed.refresh(s.peers.Pace(), time.Now()))
 		addrs, ids := s.view.known()
 		s.pool.Sweep(func(addr string) bool { return addrs[addr] })
 		s.guard.Expire()
@@ -281,7 +281,7 @@
 	ending, cancel := context.WithDeadline(ctx, end.Add(-closeMargin))
 	defer cancel()
 	pause(ending, s.set.Notice)
-	for s.fwd.Streams() > 0 && ending.Err() == nil {
+	for s.fwd.ActiveStreams() > 0 && ending.Err() == nil {
 		pause(ending, drainCheck)
 	}
 	err := s.callers.Shutdown(ctx)
--- a/gateway/leavers.go
+++ b/gateway/leavers.go
@@ -51,8 +51,8 @@
 	return slices.Sorted(maps.Keys(l.heard))
 }
 
-// Leaves implements forward.View.
-func (v *view) Leaves(s registry.Server) bool { return v.leaves(s.ID, true) }
+// MarkLeaving implements forward.View.
+func (v *view) MarkLeaving(s registry.Server) bool { return v.leaves(s.ID, true) }
 
 // toldLeaving takes from another gateway which servers have said in answers that they leave.
 func (v *view) toldLeaving(ids []string) {
--- a/gateway/leavers_test.go
+++ b/gateway/leavers_test.go
@@ -15,8 +15,8 @@
 func TestLeaversAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		views := []*view{newView(), newView(), newView()}
-		assert.Assert(t, views[0].Leaves(registry.Server{ID: "i-1"}))
-		assert.Assert(t, !views[0].Leaves(registry.Server{ID: "i-1"}))
+		assert.Assert(t, views[0].MarkLeaving(registry.Server{ID: "i-1"}))
+		assert.Assert(t, !views[0].MarkLeaving(registry.Server{ID: "i-1"}))
 		assert.DeepEqual(t, views[0].leaving.takeNews(), []string{"i-1"})
 		assert.Equal(t, len(views[0].leaving.takeNews()), 0)
 		told := 0
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -46,13 +46,13 @@
 	if version, age, known := s.proofs.newest(); known && age < toldProofAge {
 		r.ProvedVersion, r.ProvedAgeMs = version, uint32(age.Milliseconds())+1
 	}
-	r.Shares = encodeShares(s.fwd.Placed())
+	r.Shares = encodeShares(s.fwd.Placements())
 	r.Usages = s.quotas.tell(false)
 	r.LeavingServers = s.view.leaving.all()
-	r.ServerLimits = encodeServerLimits(s.fwd.ServerLimits().Tell(false), time.Now())
+	r.ServerLimits = encodeServerLimits(s.fwd.ServerLimits().Report(false), time.Now())
 	r.Suspects = s.guard.Report(max(suspectsTold, suspectsPaces*s.peers.Pace()))
 	now := time.Now()
-	for service, use := range s.fwd.Uses() {
+	for service, use := range s.fwd.ServiceLoads() {
 		r.Readings = append(r.Readings, &peer.Reading{
 			Service: service, TokensPerS: use.ReadRate, EngineTokensPerS: use.EngineRate, WantedTokens: use.Held,
 		})
@@ -84,8 +84,8 @@
 	s.view.toldLeaving(r.GetLeavingServers())
 	s.guard.Take(r.GetSuspects(), from)
 	s.quotas.hear(r.GetAddr(), r.GetIncarnation(), true, r.GetUsages())
-	s.fwd.ServerLimits().Hear(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
-	s.fwd.SetOthers(s.placed.take(r, now))
+	s.fwd.ServerLimits().Receive(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
+	s.fwd.SetPeerLoads(s.placed.take(r, now))
 }
 
 // takeServers takes a list of servers, or changes to it, from another gateway.
@@ -100,12 +100,12 @@
 	s.view.toldLeaving(p.GetLeavingServers())
 	s.guard.Take(p.GetSuspects(), "gateway "+p.GetAddr())
 	s.quotas.hear(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
-	s.fwd.ServerLimits().Hear(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
+	s.fwd.ServerLimits().Receive(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
 	for _, failed := range p.GetFailures() {
-		s.fwd.Failing(p.GetAddr(), s.view.idOf(failed.GetServer(), failed.GetStart()))
+		s.fwd.ReceiveFailure(p.GetAddr(), s.view.idOf(failed.GetServer(), failed.GetStart()))
 	}
 	if changed := s.placed.change(p, time.Now()); len(changed) > 0 {
-		s.fwd.SetOthers(changed)
+		s.fwd.SetPeerLoads(changed)
 	}
 }
 
@@ -126,8 +126,8 @@
 		}
 		pause(ctx, tellInterval)
 		news := &peer.Placement{
-			Shares: encodeShares(s.fwd.TakeChanged()), Usages: s.quotas.tell(true), Failures: encodeFailures(s.fwd.TakeFailures()),
-			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Tell(true), time.Now()), LeavingServers: s.view.leaving.takeNews(),
+			Shares: encodeShares(s.fwd.TakeChangedPlacements()), Usages: s.quotas.tell(true), Failures: encodeFailures(s.fwd.TakeFailures()),
+			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Report(true), time.Now()), LeavingServers: s.view.leaving.takeNews(),
 		}
 		if proto.Size(news) > 0 {
 			s.peers.Tell(news)
@@ -138,7 +138,7 @@
 // Lost implements peer.Beliefs.
 func (s *Service) Lost(addr string, err error) {
 	s.quotas.lost(addr)
-	s.fwd.ServerLimits().Lost(addr)
+	s.fwd.ServerLimits().MarkUnresponsive(addr)
 	event.PeerLost.Log(s.log).Str("peer", addr).Err(err).Msg("")
 }
 
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -119,7 +119,7 @@
 	for ctx.Err() == nil {
 		pause(ctx, limit.RefreshEvery)
 		s.quotas.refresh(s.peers.Pace())
-		s.fwd.ServerLimits().Refresh(s.view.Routers(), s.peers.Pace())
+		s.fwd.ServerLimits().CheckMembers(s.view.Routers(), s.peers.Pace())
 	}
 }
 
--- a/gateway/serverlimits_test.go
+++ b/gateway/serverlimits_test.go
@@ -16,7 +16,7 @@
 // TestServerLimitsAreTold: what one gateway tells of limits is what another one hears.
 func TestServerLimitsAreTold(t *testing.T) {
 	now := start.Add(time.Minute)
-	told := forward.ServerLimitNews{
+	told := forward.ServerLimitUpdates{
 		Limits: []serverlimit.Told{
 			{ID: "a@1", Statement: serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: 3.2}, At: now.Add(-time.Second)}},
 			{ID: "b", Statement: serverlimit.Statement{At: now.Add(-2 * time.Second)}},
@@ -25,7 +25,7 @@
 		Informed: true,
 	}
 	assert.DeepEqual(t, decodeServerLimits(encodeServerLimits(told, now), now), told)
-	assert.Assert(t, encodeServerLimits(forward.ServerLimitNews{Informed: true}, now) == nil, "nothing to tell")
+	assert.Assert(t, encodeServerLimits(forward.ServerLimitUpdates{Informed: true}, now) == nil, "nothing to tell")
 }
 
 // TestServerLimitsThatCanNotBe: a faulty gateway's limits are passed over.
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -74,7 +74,7 @@
 	for ctx.Err() == nil {
 		servers, moving := s.view.all(service.Name)
 		m, ok := p.Next(servers, moving, load, now)
-		if !ok || s.fwd.Resting(m.Server.ID) {
+		if !ok || s.fwd.CoolingDown(m.Server.ID) {
 			break
 		}
 		fence, err := s.order(ctx, m)
@@ -98,10 +98,10 @@
 
 // serviceLoad is the use of a service's engines by all gateways.
 func (s *Service) serviceLoad(service route.Service) stages.Load {
-	load := s.fwd.Use(service.Name)
+	load := s.fwd.ServiceLoad(service.Name)
 	arriving, wanted, rates := s.placed.reading(service.Name)
 	load.ReadRate += arriving
-	load.Held = max(load.Held+wanted, float64(s.fwd.Held(service.Name)))
+	load.Held = max(load.Held+wanted, float64(s.fwd.MemoryInUse(service.Name)))
 	load.EngineRate = median(append(rates, load.EngineRate))
 	load.EngineTokens = float64(service.Engine.KVTokens)
 	return load
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -63,8 +63,8 @@
 // Proved implements forward.View.
 func (v *view) Proved(ctx context.Context) bool { return v.proofs.trusted(ctx) }
 
-// ProvedLately implements forward.View.
-func (v *view) ProvedLately(ctx context.Context) bool { return v.proofs.lately(ctx) }
+// ProvedForUnknownKey implements forward.View.
+func (v *view) ProvedForUnknownKey(ctx context.Context) bool { return v.proofs.lately(ctx) }
 
 // Routers implements forward.View.
 func (v *view) Routers() int { return int(v.routers.Load()) }
@@ -149,16 +149,16 @@
 // lapses after three heartbeats of some 1.2 s.
 const downLife = 5 * time.Second
 
-// Down implements forward.View.
-func (v *view) Down(s registry.Server) {
+// MarkDown implements forward.View.
+func (v *view) MarkDown(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down[s.ID] = time.Now().Add(downLife)
 	clear(v.usable)
 }
 
-// Replaced implements forward.View.
-func (v *view) Replaced(s registry.Server) {
+// MarkReplaced implements forward.View.
+func (v *view) MarkReplaced(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.registry.MarkLeaving(s.ID) {
--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -70,8 +70,8 @@
 	return int64(len(g.ledger.Holds(time.Now())))
 }
 
-// Watches reports whether any request is suspect or held.
-func (g *Guard) Watches() bool {
+// Active reports whether any request is suspect or held.
+func (g *Guard) Active() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Watches()
@@ -84,8 +84,8 @@
 	return g.ledger.Held(d, time.Now())
 }
 
-// Ended takes the requests of this process that were in progress at a server that ended.
-func (g *Guard) Ended(server string, broken []quarantine.Broken) {
+// ServerTerminated takes the requests of this process that were in progress at a server that ended.
+func (g *Guard) ServerTerminated(server string, broken []quarantine.Broken) {
 	if g.off {
 		return
 	}
@@ -102,8 +102,8 @@
 	g.decide()
 }
 
-// Answered notes that a server answered a request of this process with success.
-func (g *Guard) Answered(d fingerprint.Digest) {
+// RequestSucceeded notes that a server answered a request of this process with success.
+func (g *Guard) RequestSucceeded(d fingerprint.Digest) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := []*Guard{newGuard(false), newGuard(false), newGuard(false)}
 		for i, g := range list {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}, {Content: harmless, Generated: 9}})
+			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}, {Content: harmless, Generated: 9}})
 			tell(list...)
 			time.Sleep(time.Second)
 		}
@@ -64,7 +64,7 @@
 		late.Take(list[0].Report(time.Minute), "g1")
 		assert.Assert(t, held(late, deadly))
 		// A server answers it after all at one gateway.
-		late.Answered(deadly)
+		late.RequestSucceeded(deadly)
 		tell(append(list, late)...)
 		for _, g := range append(list, late) {
 			assert.Assert(t, !held(g, deadly))
@@ -77,11 +77,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(true)
 		for i := range quarantine.MostEnds {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
 		}
 		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
 		time.Sleep(time.Second)
-		assert.Assert(t, !g.Watches())
+		assert.Assert(t, !g.Active())
 	})
 }
 
@@ -98,7 +98,7 @@
 			},
 			Releases: []*peer.Release{{}},
 		}, "g2")
-		assert.Assert(t, !g.Watches())
+		assert.Assert(t, !g.Active())
 		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 1 << 60, ForMs: 1 << 60}}}, "g2")
 		left, _ := g.Held(deadly)
 		assert.Assert(t, left <= quarantine.MaxHold)
@@ -110,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
 		for i := range 300 {
-			g.Ended(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
+			g.ServerTerminated(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
 		}
 		r := g.Report(time.Minute)
 		assert.Equal(t, len(r.GetSightings()), toldSightings)
@@ -161,7 +161,7 @@
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		saw, reader, other := newGuard(false), newGuard(false), newGuard(false)
 		for i := range quarantine.MostEnds {
-			saw.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+			saw.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
 		}
 		time.Sleep(quarantine.Settle)
 		synctest.Wait()
@@ -198,7 +198,7 @@
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		g := newGuard(false)
 		for i := range quarantine.MostEnds {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
 		}
 		time.Sleep(quarantine.Settle)
 		synctest.Wait()
