--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells whether two requests ask the same, whatever connection they come on
-// and whatever ID their client gave them.
+// Package fingerprint identifies requests that ask the same, whichever connection they arrive on and whichever ID
+// their client gave them.
 package fingerprint
 
 import (
@@ -10,16 +10,15 @@
 	"hash"
 )
 
-// digestBytes is the length of a Digest: of a million contents two are alike by chance once in 10^26 cases.
+// digestBytes is the length of a Digest: the chance that two of a million requests collide is one in 10^26.
 const digestBytes = 16
 
-// Digest is a digest of what a request asks. It can't be turned back into the request, so that it may
-// stand in logs and be told to other processes.
+// Digest is a digest of a request's content. It can't be reversed, so it may be logged and sent to other processes.
 type Digest [digestBytes]byte
 
-// Request is what makes two requests the same.
+// Request is the part of a request that makes two requests the same.
 type Request struct {
-	// Caller is who asks, as the request's credentials say; empty if it has none.
+	// Caller is the caller's identity by the request's credentials; empty if it has none.
 	Caller string
 	Method string
 	Host   string
@@ -38,7 +37,7 @@
 	return Digest(h.Sum(nil)[:digestBytes])
 }
 
-// part adds one part with its length before it, so that no two lists of parts have the same bytes.
+// part hashes one part after its length, so that no two lists of parts hash the same bytes.
 func part(h hash.Hash, p []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(p)))
@@ -50,7 +49,7 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Parse returns the digest that String wrote.
+// Parse parses the output of String.
 func Parse(s string) (Digest, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != digestBytes {
--- a/fingerprint/fingerprint_test.go
+++ b/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
-// TestOf: requests are the same only if each part is, and parts don't run into each other.
+// TestOf checks that requests are the same only if each part is, and that parts don't run into each other.
 func TestOf(t *testing.T) {
 	base := fingerprint.Request{Caller: "k", Method: "POST", Host: "h", Target: "/a/1?b=2", Body: []byte("question")}
 	want := fingerprint.Of(base)
--- a/forward/access.go
+++ b/forward/access.go
@@ -11,23 +11,23 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// errBarred means that this process sends the request to no server, whatever servers there are.
-var errBarred = errors.New("sent to no server")
+// errBlocked means that this process sends the request to no server at all.
+var errBlocked = errors.New("sent to no server")
 
-// Reasons of errBarred.
+// Reasons of errBlocked.
 var (
-	// errHeld: servers ended under the request.
-	errHeld = fmt.Errorf("%w: servers end under this request", errBarred)
-	// errKeyGone: its key was taken away since it arrived.
-	errKeyGone = fmt.Errorf("%w: its key is not known any more", errBarred)
-	// errUnproved: it is not proved that its key was not taken away.
-	errUnproved = fmt.Errorf("%w: the configuration is not proved to be recent", errBarred)
+	// errQuarantined: servers terminated while they ran the request.
+	errQuarantined = fmt.Errorf("%w: the request is quarantined", errBlocked)
+	// errKeyRevoked: the request's key was revoked after the request arrived.
+	errKeyRevoked = fmt.Errorf("%w: its key has been revoked", errBlocked)
+	// errUnproved: the configuration is not proved to be recent, so the key may have been revoked.
+	errUnproved = fmt.Errorf("%w: the configuration is not proved to be recent", errBlocked)
 )
 
-// barredReason is the reason of an error that is errBarred.
-func barredReason(err error) outcome.Reason {
+// blockedReason returns the reason of an error that wraps errBlocked.
+func blockedReason(err error) outcome.Reason {
 	switch {
-	case errors.Is(err, errKeyGone):
+	case errors.Is(err, errKeyRevoked):
 		return outcome.Unauthenticated
 	case errors.Is(err, errUnproved):
 		return outcome.ConfigUnproved
@@ -36,18 +36,18 @@
 	}
 }
 
-// barred reports whether a reason is one of errBarred's: no server has to do with it.
-func barred(reason outcome.Reason) bool {
+// blocked reports whether a reason is that of an errBlocked, for which no server is responsible.
+func blocked(reason outcome.Reason) bool {
 	return reason == outcome.Unauthenticated || reason == outcome.ConfigUnproved || reason == outcome.Quarantined
 }
 
-// unprovedRetry is when to come back to a process whose configuration is not proved to be recent: one that was
-// frozen has a proof by then, and another one may have.
+// unprovedRetry is the Retry-After of a process whose configuration is not proved to be recent: a process that was
+// frozen has a proof by then, and another process may have one.
 const unprovedRetry = 300 * time.Millisecond
 
-// identify finds out who asks, where the configuration knows tenants. When it returns false the request has been
-// answered. A key that is not known is unknown only if no change was missed, and one that is known may have been taken
-// away unless that is proved not to be so.
+// identify authenticates a request if the configuration has tenants. When it returns false the request has been
+// answered. An unknown key is rejected only if no configuration change can have been missed, and a known one is
+// accepted only if it is proved that it has not been revoked.
 func (f *Forwarder) identify(j *job) bool {
 	tenants := j.table.Tenants
 	if tenants == nil {
@@ -64,7 +64,7 @@
 		f.reject(j, http.StatusUnauthorized, outcome.Unauthenticated)
 		return false
 	case j.tenant == nil:
-		return f.identifyAgain(j)
+		return f.identifyNewKey(j)
 	case !j.route.Public && !f.View.Proved(j.r.Context()):
 		f.refuse(j, outcome.ConfigUnproved, unprovedRetry)
 		return false
@@ -73,19 +73,19 @@
 	return true
 }
 
-// atOnce is done: whoever waits with it does not wait.
-var atOnce = func() context.Context {
+// doneContext is a cancelled context, for calls that must not wait.
+var doneContext = func() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }()
 
-// CheckHead returns 401 for a request whose key is missing or not known, so that it is answered before its body is read, and zero
-// for all others. It decides as identify does, but waits for no proof.
+// CheckHead returns 401 for a request whose key is missing or unknown, so that it is answered before its body is read,
+// and zero for all others. It decides as identify does, but does not wait for a proof.
 func (f *Forwarder) CheckHead(r *http.Request) int {
 	now := time.Now()
 	j := &job{r: r, arrived: now, deadline: now, status: http.StatusUnauthorized}
-	// What else is wrong with the request is answered once it is read.
+	// Other errors in the request are answered once its body is read.
 	j.meta, _ = f.Codec.ParseRequest(r.Header)
 	if j.table = f.View.Table(); j.table == nil || j.table.Tenants == nil {
 		return 0
@@ -94,24 +94,23 @@
 		return 0
 	}
 	if j.meta.HasKey {
-		if _, known := j.table.Tenants.ByKey(j.meta.Key); known || !f.View.ProvedForUnknownKey(atOnce) {
+		if _, known := j.table.Tenants.ByKey(j.meta.Key); known || !f.View.ProvedForUnknownKey(doneContext) {
 			return 0
 		}
 	}
 	f.Metrics.Refused(outcome.Unauthenticated)
-	f.noteRefusal(j, outcome.Unauthenticated)
-	f.ended(j, outcome.NotRun, outcome.Unauthenticated)
+	f.recordRefusal(j, outcome.Unauthenticated)
+	f.conclude(j, outcome.NotRun, outcome.Unauthenticated)
 	return http.StatusUnauthorized
 }
 
-// identifyAgain answers a request whose key is not known, unless the key was added since the configuration in force was
-// read.
-func (f *Forwarder) identifyAgain(j *job) bool {
+// identifyNewKey answers a request whose key is unknown, unless the key was added after the table was read.
+func (f *Forwarder) identifyNewKey(j *job) bool {
 	if !f.View.ProvedForUnknownKey(j.r.Context()) {
 		f.refuse(j, outcome.ConfigUnproved, unprovedRetry)
 		return false
 	}
-	if err := f.allowed(j); err != nil {
+	if err := f.refreshTenant(j); err != nil {
 		f.reject(j, http.StatusUnauthorized, outcome.Unauthenticated)
 		return false
 	}
@@ -119,30 +118,30 @@
 	return true
 }
 
-// allowed looks up the key of a request in the configuration that is in force now.
-func (f *Forwarder) allowed(j *job) error {
+// refreshTenant looks up the key of a request in the configuration now in force.
+func (f *Forwarder) refreshTenant(j *job) error {
 	table := f.View.Table()
 	if table == nil || table.Tenants == nil {
 		return nil
 	}
 	tenant, ok := table.Tenants.ByKey(j.meta.Key)
 	if !ok {
-		return errKeyGone
+		return errKeyRevoked
 	}
 	j.tenant = tenant
 	return nil
 }
 
-// barredNow tells why a request is not to be sent to a server now, or nil. It is asked before each send, since a request may
-// wait, be repeated or go on elsewhere while it becomes known that servers end under it, or that its key was taken away.
-func (f *Forwarder) barredNow(ctx context.Context, j *job) error {
-	if _, held := f.held(j); held {
-		return errHeld
+// checkBlocked returns why a request may not be sent to any server now, or nil. It is called before each send: while a
+// request waits, is retried or is resumed elsewhere, it may be quarantined or its key revoked.
+func (f *Forwarder) checkBlocked(ctx context.Context, j *job) error {
+	if _, held := f.quarantined(j); held {
+		return errQuarantined
 	}
 	if j.tenant == nil || j.route.Public {
 		return nil
 	}
-	if err := f.allowed(j); err != nil {
+	if err := f.refreshTenant(j); err != nil {
 		return err
 	}
 	if !f.View.Proved(ctx) {
@@ -151,7 +150,7 @@
 	return nil
 }
 
-// priority is the rank of a request: that of its customer goes before that of its route.
+// priority is the rank of a request: its customer's if that has one, otherwise its route's.
 func (j *job) priority() int {
 	if j.tenant != nil && j.tenant.Ranked {
 		return j.tenant.Priority
@@ -159,8 +158,8 @@
 	return j.route.Priority
 }
 
-// charge charges a request to the quota of its customer, unless that is used up: then it returns when there will be
-// room.
+// charge charges a request to its customer's quota. If the quota is exhausted it returns the time until it admits the
+// request.
 func (f *Forwarder) charge(j *job) (time.Duration, bool) {
 	if j.tenant == nil || j.tenant.Quota.Rate <= 0 {
 		return 0, true
@@ -174,18 +173,18 @@
 	return wait, ok
 }
 
-// giveBack returns to the quota of a customer what a request was charged that has not run.
-func (f *Forwarder) giveBackQuota(j *job) {
+// refundQuota returns the charge of a request that has not run to its customer's quota.
+func (f *Forwarder) refundQuota(j *job) {
 	if j.charged > 0 && !j.ran {
 		f.Quota.Return(j.tenant.Name, j.charged)
 	}
 	j.charged = 0
 }
 
-// Quota holds customers to what they may ask for, over all processes together. It must be safe for concurrent use.
+// Quota enforces the quotas of customers over all processes together. It must be safe for concurrent use.
 type Quota interface {
-	// Take charges a request to a customer, or returns when there will be room.
+	// Take charges a request to a customer, or returns the time until the quota admits it.
 	Take(customer string, q route.Quota, cost float64) (wait time.Duration, ok bool)
-	// Return gives back what was charged for a request that has not run.
+	// Return refunds the charge of a request that has not run.
 	Return(customer string, cost float64)
 }
--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -19,15 +19,15 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// purse is a quota of all customers together.
-type purse struct {
+// fakeQuota is one quota shared by all customers.
+type fakeQuota struct {
 	mu              sync.Mutex
 	left            float64
 	taken, returned []float64
 	customers       []string
 }
 
-func (p *purse) Take(customer string, _ route.Quota, cost float64) (time.Duration, bool) {
+func (p *fakeQuota) Take(customer string, _ route.Quota, cost float64) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if cost > p.left {
@@ -38,14 +38,14 @@
 	return 0, true
 }
 
-func (p *purse) Return(_ string, cost float64) {
+func (p *fakeQuota) Return(_ string, cost float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.left += cost
 	p.returned = append(p.returned, cost)
 }
 
-// The keys of these tests, and the headers that carry them.
+// The keys of these tests, and the scheme of the header that carries them.
 const (
 	ownKey   = "key-of-a"
 	otherKey = "key-of-b"
@@ -60,8 +60,8 @@
 	return t
 }
 
-// withTenants has a table in force that differs in its tenants, and in one route that needs no key.
-func (w *world) withTenants(t *testing.T, list ...route.Tenant) {
+// withTenants puts a table in force with other tenants, and with one route that needs no key.
+func (w *testEnv) withTenants(t *testing.T, list ...route.Tenant) {
 	tenants, err := route.NewTenants(list)
 	assert.NilError(t, err)
 	old := w.Table()
@@ -69,24 +69,24 @@
 	next.Routes = append(next.Routes, old.Routes...)
 	if !old.Has("public") {
 		next.Routes = append(next.Routes, route.Route{
-			Name: "public", Host: "h", Prefix: "/public/", Kind: route.Safe, Timeout: seconds, Objective: time.Second, Attempts: 2,
+			Name: "public", Host: "h", Prefix: "/public/", Kind: route.Safe, Timeout: longTimeout, Objective: time.Second, Attempts: 2,
 			Targets: []route.Target{{Service: "plain"}}, Public: true,
 		})
 	}
-	w.configure(next)
+	w.setTable(next)
 }
 
-// everything has plain servers and engines.
-func everything(t *testing.T) *world {
-	w := plain(t)
+// newFullEnv starts plain servers and engines.
+func newFullEnv(t *testing.T) *testEnv {
+	w := newPlainEnv(t)
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.add(t, "d2", "llm", registry.Decode)
 	return w
 }
 
-// TestKeys: each request reached servers with the caller's key and without the name of its customer, and one whose key
-// nobody holds was run like any other.
+// TestKeys guards against requests that reach servers with the caller's key and without the customer's name, and
+// against requests that run with an unknown key.
 func TestKeys(t *testing.T) {
 	for _, c := range []struct {
 		name, path, credentials string
@@ -94,7 +94,7 @@
 		customer                string
 	}{
 		{"a key", "/safe/1", scheme + ownKey, 200, "a"},
-		{"its other case", "/safe/1", "tOKEN  " + otherKey, 200, "b"},
+		{"scheme in another case", "/safe/1", "tOKEN  " + otherKey, 200, "b"},
 		{"no key", "/safe/1", "", 401, ""},
 		{"an unknown key", "/safe/1", scheme + "key", 401, ""},
 		{"an empty key", "/safe/1", scheme, 401, ""},
@@ -105,7 +105,7 @@
 		{"no key and no route", "/nowhere/", "", 404, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := plain(t)
+			w := newPlainEnv(t)
 			w.withTenants(t, tenant("a", ownKey), tenant("b", otherKey))
 			extra := []string{site.Tenant, "forged"}
 			if c.credentials != "" {
@@ -117,13 +117,13 @@
 				assert.Equal(t, len(w.log.Calls()), 0)
 				return
 			}
-			w.seenBy(t, c.customer)
+			w.assertCustomer(t, c.customer)
 		})
 	}
 }
 
-// seenBy checks what the servers saw: the name of the customer, set once by the gateway, and no key.
-func (w *world) seenBy(t *testing.T, customer string) {
+// assertCustomer checks that servers were sent the customer's name, set once by the gateway, and no key.
+func (w *testEnv) assertCustomer(t *testing.T, customer string) {
 	t.Helper()
 	for _, call := range w.log.Calls() {
 		if call.Kind == site.Hold || call.Kind == site.Free || call.Kind == site.Drop {
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestKeyOfTwoValues: which of two keys would count is not guessed.
+// TestKeyOfTwoValues checks that a request with two keys is rejected instead of using one of them.
 func TestKeyOfTwoValues(t *testing.T) {
-	w := plain(t)
+	w := newPlainEnv(t)
 	w.withTenants(t, tenant("a", ownKey), tenant("b", otherKey))
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+w.addr+"/safe/1", nil)
 	assert.NilError(t, err)
@@ -148,22 +148,23 @@
 	assert.Equal(t, res.StatusCode, http.StatusUnauthorized)
 }
 
-// TestEveryMessageNamesTheCustomer: readings of prompts, runs, repeats and resumed streams are told the customer, and no key.
+// TestEveryMessageNamesTheCustomer checks that prefills, runs, retries and resumed streams carry the customer's name
+// and no key.
 func TestEveryMessageNamesTheCustomer(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		spoil      func(w *world)
+		setup      func(w *testEnv)
 		kinds      string
 	}{
-		{"a stream", "/draft/1", func(*world) {}, "prefill decode"},
-		{"a hand-over that failed", "/resume/1", func(w *world) { w.both(site.LostKV) }, "prefill decode decode"},
-		{"resumed", "/resume/1", func(w *world) { w.both(site.CutStream) }, "prefill decode prefill decode"},
-		{"a call that is repeated", "/safe/1", func(w *world) { w.servers["p1"].Behave(site.Fail) }, "plain plain"},
+		{"a stream", "/draft/1", func(*testEnv) {}, "prefill decode"},
+		{"KV cache not fetched", "/resume/1", func(w *testEnv) { w.setDecodeBehaviour(site.LostKV) }, "prefill decode decode"},
+		{"resumed", "/resume/1", func(w *testEnv) { w.setDecodeBehaviour(site.CutStream) }, "prefill decode prefill decode"},
+		{"a call that is retried", "/safe/1", func(w *testEnv) { w.servers["p1"].Behave(site.Fail) }, "plain plain"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := everything(t)
+			w := newFullEnv(t)
 			w.withTenants(t, tenant("a", ownKey))
-			c.spoil(w)
+			c.setup(w)
 			w.post(t, c.path, site.Credentials, scheme+ownKey, site.Tenant, "forged")
 			var kinds []string
 			for _, call := range w.log.Calls() {
@@ -172,21 +173,22 @@
 				}
 			}
 			assert.Equal(t, strings.Join(kinds, " "), c.kinds)
-			w.seenBy(t, "a")
+			w.assertCustomer(t, "a")
 		})
 	}
 }
 
-// TestWithoutTenants: a configuration without customers changes nothing; what a client says of itself is its own.
+// TestWithoutTenants: a configuration without customers changes nothing, and the client's own credentials are passed
+// on.
 func TestWithoutTenants(t *testing.T) {
-	w := plain(t)
+	w := newPlainEnv(t)
 	got := w.post(t, "/safe/1", site.Credentials, scheme+"anything")
 	assert.Equal(t, got.status, 200)
 	assert.Equal(t, w.log.Calls()[0].Header.Get(site.Credentials), scheme+"anything")
 }
 
-// TestUnprovedConfiguration: while it is not proved that a key was not taken away, requests with keys are refused,
-// truthfully not run, and one with a key that is not known is not told that it is unknown.
+// TestUnprovedConfiguration: while it is not proved that a key has not been revoked, requests with keys are refused as
+// not run, and a request with an unknown key is not told that its key is unknown.
 func TestUnprovedConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		name, path, key string
@@ -196,15 +198,15 @@
 		{"a known key", "/safe/1", ownKey, false, false, 503},
 		{"a known key, proved", "/safe/1", ownKey, true, false, 200},
 		{"an unknown key", "/safe/1", "new", true, false, 503},
-		{"an unknown key, proved lately", "/safe/1", "new", true, true, 401},
+		{"an unknown key, proved unknown", "/safe/1", "new", true, true, 401},
 		{"no key", "/safe/1", "", false, false, 401},
 		{"a route without keys", "/public/1", "", false, false, 200},
 		{"a key on a route without keys", "/public/1", ownKey, false, false, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := plain(t)
+			w := newPlainEnv(t)
 			w.withTenants(t, tenant("a", ownKey))
-			w.prove(c.recent, c.lately)
+			w.setProved(c.recent, c.lately)
 			var extra []string
 			if c.key != "" {
 				extra = []string{site.Credentials, scheme + c.key}
@@ -225,27 +227,27 @@
 	return 0
 }
 
-// TestKeyTakenAwayWhileWaiting: a request waited for an engine while its key was taken away, and ran afterwards. Looked at when
-// it leaves the line, it is refused, truthfully not run; so is one whose configuration is not proved any more.
-func TestKeyTakenAwayWhileWaiting(t *testing.T) {
+// TestKeyRevokedWhileQueued guards against running a request whose key was revoked while it waited for an engine. It
+// is checked when it leaves the queue and refused as not run; so is one whose configuration is no longer proved.
+func TestKeyRevokedWhileQueued(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		happen func(w *world)
+		change func(w *testEnv)
 		status int
 	}{
-		{"the key is taken away", func(w *world) { w.withTenants(t, tenant("a", otherKey)) }, 401},
-		{"the proof has lapsed", func(w *world) { w.prove(false, false) }, 503},
+		{"the key is revoked", func(w *testEnv) { w.withTenants(t, tenant("a", otherKey)) }, 401},
+		{"the proof has expired", func(w *testEnv) { w.setProved(false, false) }, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnv(t)
 			w.withTenants(t, tenant("a", ownKey))
 			w.add(t, "pre", "llm", registry.Prefill)
 			done := make(chan answer, 1)
 			go func() { done <- w.post(t, "/draft/patient/1", site.Credentials, scheme+ownKey) }()
-			for w.view.looks("llm") == 0 {
+			for w.view.countLookups("llm") == 0 {
 				assert.NilError(t, t.Context().Err())
 			}
-			c.happen(w)
+			c.change(w)
 			w.add(t, "d1", "llm", registry.Decode)
 			assert.Equal(t, (<-done).status, c.status)
 			for _, call := range w.log.Calls() {
@@ -256,30 +258,30 @@
 	}
 }
 
-// TestQuota: what is beyond a quota is refused at once and takes no server; what did not run is given back, and a repeat
-// is not charged again.
+// TestQuota: a request beyond a quota is refused at once and reaches no server; what did not run is refunded, and a
+// retry is not charged again.
 func TestQuota(t *testing.T) {
-	const prompt, most, plainCost = 1000, 200, 200
+	const prompt, maxTokens, plainCost = 1000, 200, 200
 	for _, c := range []struct {
 		name, path      string
 		left            float64
-		spoil           func(w *world)
+		setup           func(w *testEnv)
 		status          int
 		taken, returned int
 	}{
-		{"within", "/safe/1", plainCost, func(*world) {}, 200, plainCost, 0},
-		{"beyond", "/safe/1", plainCost - 1, func(*world) {}, 429, 0, 0},
-		{"a stream", "/draft/1", prompt + most, func(*world) {}, 200, prompt + most, 0},
-		{"a stream beyond", "/draft/1", prompt, func(*world) {}, 429, 0, 0},
-		{"repeated", "/safe/1", plainCost, func(w *world) { w.servers["p1"].Behave(site.Fail) }, 200, plainCost, 0},
-		{"failed", "/unsafe/1", plainCost, func(w *world) { w.servers["p1"].Behave(site.Reset) }, 502, plainCost, 0},
-		{"refused by its server", "/once/1", plainCost, func(w *world) { w.servers["p1"].Behave(site.Shed) }, 503, plainCost, plainCost},
+		{"within", "/safe/1", plainCost, func(*testEnv) {}, 200, plainCost, 0},
+		{"beyond", "/safe/1", plainCost - 1, func(*testEnv) {}, 429, 0, 0},
+		{"a stream", "/draft/1", prompt + maxTokens, func(*testEnv) {}, 200, prompt + maxTokens, 0},
+		{"a stream beyond", "/draft/1", prompt, func(*testEnv) {}, 429, 0, 0},
+		{"repeated", "/safe/1", plainCost, func(w *testEnv) { w.servers["p1"].Behave(site.Fail) }, 200, plainCost, 0},
+		{"failed", "/unsafe/1", plainCost, func(w *testEnv) { w.servers["p1"].Behave(site.Reset) }, 502, plainCost, 0},
+		{"refused by its server", "/once/1", plainCost, func(w *testEnv) { w.servers["p1"].Behave(site.Shed) }, 503, plainCost, plainCost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := everything(t)
+			w := newFullEnv(t)
 			w.withTenants(t, tenant("a", ownKey))
 			w.quota.left = c.left
-			c.spoil(w)
+			c.setup(w)
 			got := w.post(t, c.path, site.Credentials, scheme+ownKey)
 			assert.Equal(t, got.status, c.status)
 			if c.status == 429 {
@@ -300,15 +302,15 @@
 	return total
 }
 
-// TestKeysAreNotLogged: whatever happens to requests, their keys stand in no line of the log.
+// TestKeysAreNotLogged checks that keys appear in no log line, whatever happens to the requests.
 func TestKeysAreNotLogged(t *testing.T) {
-	w := plain(t)
+	w := newPlainEnv(t)
 	w.withTenants(t, tenant("a", ownKey))
 	w.post(t, "/safe/1", site.Credentials, scheme+ownKey)
 	w.post(t, "/safe/1", site.Credentials, scheme+otherKey)
-	w.prove(false, false)
+	w.setProved(false, false)
 	w.post(t, "/safe/1", site.Credentials, scheme+ownKey)
-	w.prove(true, true)
+	w.setProved(true, true)
 	w.quota.left = 0
 	w.post(t, "/safe/1", site.Credentials, scheme+ownKey)
 	w.servers["p1"].Behave(site.Reset)
@@ -320,9 +322,9 @@
 	}
 }
 
-// TestUnknownKeysBeforeBodies: a request without a key that is known is answered before its body is read; whatever else there
-// is to say of a request is said once it is read.
-func TestUnknownKeysBeforeBodies(t *testing.T) {
+// TestUnknownKeysAreRejectedBeforeBody: a request without a known key is answered before its body is read; every other
+// error is answered after that.
+func TestUnknownKeysAreRejectedBeforeBody(t *testing.T) {
 	for _, c := range []struct {
 		name, path, credentials string
 		lately                  bool
@@ -335,9 +337,9 @@
 		{"no key where none is needed", "/public/1", "", true, 0},
 		{"no route", "/nowhere/", "", true, 0},
 	} {
-		w := plain(t)
+		w := newPlainEnv(t)
 		w.withTenants(t, tenant("a", ownKey))
-		w.prove(true, c.lately)
+		w.setProved(true, c.lately)
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://h"+c.path, nil)
 		assert.NilError(t, err)
 		if c.credentials != "" {
@@ -346,20 +348,20 @@
 		assert.Equal(t, w.fwd.CheckHead(r), c.status, c.name)
 		assert.Equal(t, len(w.fwd.Refusals()), int(b2i(c.status == 401)), c.name)
 	}
-	w := plain(t)
+	w := newPlainEnv(t)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://h/safe/1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, w.fwd.CheckHead(r), 0, "a configuration without customers")
 }
 
-// TestHeldByCustomer: a request under which servers end is held back for its customer, whichever of its keys it comes with, and
-// for no other one: what one customer sends must not have another's requests refused.
-func TestHeldByCustomer(t *testing.T) {
+// TestQuarantineIsPerCustomer: a quarantined request is refused for its customer, whichever of the customer's keys it
+// uses, and for no other customer: one customer's requests must not have another's refused.
+func TestQuarantineIsPerCustomer(t *testing.T) {
 	const secondKey = "second-key-of-a"
-	w := plain(t)
+	w := newPlainEnv(t)
 	w.withTenants(t, tenant("a", ownKey, secondKey), tenant("b", otherKey))
-	deadly := fingerprint.Of(fingerprint.Request{Caller: "a", Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
-	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 60_000, ForMs: 60_000}}}, "another gateway")
+	crashing := fingerprint.Of(fingerprint.Request{Caller: "a", Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
+	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 60_000, ForMs: 60_000}}}, "another gateway")
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+ownKey).status, 503)
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+secondKey).status, 503)
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+otherKey).status, 200)
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -23,41 +23,41 @@
 	body  []byte
 	table *route.Table
 	route *route.Route
-	// service is the target that was drawn for this request.
+	// service is the target drawn for this request.
 	service string
 	arrived time.Time
-	// deadline is when the client or the route gives up.
+	// deadline is when the client's or the route's timeout expires.
 	deadline time.Time
-	// late is set when the client has come back after a refusal.
-	late   bool
-	caller httpserver.Caller
+	// retried is set if this is a client's retry after a rejection.
+	retried bool
+	caller  httpserver.Caller
 
-	// sends counts requests that reached, or may have reached, a server.
+	// sends counts the sends that reached, or may have reached, a server.
 	sends int
-	// ran is set once a server may have begun to work on the request.
+	// ran is set once a server may have started the request.
 	ran bool
 	// waited is how long the request waited for an engine.
 	waited time.Duration
-	// read is how long the prompt took to be read, first when the first event came.
-	read, first time.Duration
-	// generated is the tokens that the client was sent, expected what was thought at first;
-	// room is the memory thought to be left at the engine, and pause the longest between
-	// two events. carried are the tokens that came from servers before the present one.
-	generated, expected, room, carried int
-	pause                              time.Duration
-	// tenant is the customer whose key the request has; nil where there are none.
+	// prefillTime is how long the prefill took, firstEvent the time until the first event.
+	prefillTime, firstEvent time.Duration
+	// generated is the number of tokens sent to the client, expected the number predicted at first; freeMemory is the
+	// expected free memory of the engine, and maxEventGap the longest interval between two events. generatedBefore is
+	// the number of tokens from earlier servers.
+	generated, expected, freeMemory, generatedBefore int
+	maxEventGap                                      time.Duration
+	// tenant is the customer that holds the request's key; nil if there is none.
 	tenant *route.Tenant
-	// charged is what was charged to its quota.
+	// charged is the charge to the customer's quota.
 	charged float64
 	// servers are the instances that the request was sent to.
 	servers []string
-	// reserved are servers with limits to which the request may be sent once, since it was counted there already.
+	// reserved are rate-limited servers at which one send is already counted for the request.
 	reserved []string
-	// content is the digest of the request once it was asked for.
-	content *fingerprint.Digest
-	// heard is when a server was last sent the request, or sent something of its answer.
-	heard time.Time
-	// started is set once the head of the answer went to the client, status is its status.
+	// cachedDigest is the request's digest once it has been computed.
+	cachedDigest *fingerprint.Digest
+	// lastActivity is when a server was last sent the request, or last sent part of its answer.
+	lastActivity time.Time
+	// started is set once the head of the answer was sent to the client; status is its status.
 	started bool
 	status  int
 }
@@ -67,18 +67,18 @@
 // target is the request's path and query as the client sent them.
 func (j *job) target() string { return j.r.URL.RequestURI() }
 
-// retryUnit is the precision of the header; times are cut to it, since a client honours at
-// most a third of the time that it has left.
+// retryUnit is the precision of the Retry-After header; times are rounded down to it, since a client honours at most a
+// third of the time that it has left.
 const retryUnit = 10 * time.Millisecond
 
-// refuse answers that the request has not run and never will. After is when to come
-// back; it must only be called when nothing can have run.
+// refuse answers that the request has not run and never will, to be retried after the given time. It must only be
+// called when nothing can have run.
 func (f *Forwarder) refuse(j *job, reason outcome.Reason, after time.Duration) {
 	if after > 0 {
 		after = after.Truncate(retryUnit)
 		j.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
-	if j.late {
+	if j.retried {
 		f.Metrics.Counter(metrics.ReturnersRefused).Inc(1)
 	}
 	f.finish(j, refusalStatus(reason), outcome.NotRun, reason)
@@ -90,8 +90,8 @@
 	e.Msg("")
 }
 
-// refusalStatus is the status of an answer that says that a request has not run: 401 if its key was taken away, 429 if its
-// customer's quota is used up, and 503 for whatever is not the customer's.
+// refusalStatus is the status of an answer that says that a request has not run: 401 if its key was revoked, 429 if
+// its customer's quota is exhausted, and 503 for reasons that are not the customer's.
 func refusalStatus(reason outcome.Reason) int {
 	switch reason {
 	case outcome.Unauthenticated, outcome.RateLimited:
@@ -110,23 +110,23 @@
 	f.finish(j, status, outcome.Failed, reason)
 }
 
-// reject answers a request that is not proper.
+// reject answers an invalid request.
 func (f *Forwarder) reject(j *job, status int, reason outcome.Reason) {
 	f.finish(j, status, outcome.NotRun, reason)
 }
 
-// finish writes an answer of the router's own.
+// finish writes an answer that the router itself produces.
 func (f *Forwarder) finish(j *job, status int, kind outcome.Kind, reason outcome.Reason) {
 	f.Metrics.Refused(reason)
-	f.noteRefusal(j, reason)
+	f.recordRefusal(j, reason)
 	j.status = status
 	if !j.caller.Gone() {
 		f.head(j, AnswerHead{Status: status}, 0)
 	}
-	f.ended(j, kind, reason)
+	f.conclude(j, kind, reason)
 }
 
-// unknownLength is the length of an answer that is handed on as it comes.
+// unknownLength is the length of an answer that is streamed.
 const unknownLength = -1
 
 // head writes the head of the answer, once.
@@ -136,25 +136,25 @@
 	for name, values := range head.Header {
 		h[name] = values
 	}
-	f.closing(j)
+	f.closeWhileDraining(j)
 	if length != unknownLength {
 		h.Set("Content-Length", strconv.Itoa(length))
 	}
 	j.w.WriteHeader(head.Status)
 }
 
-// closing asks the client to use another connection while the process drains.
-func (f *Forwarder) closing(j *job) {
+// closeWhileDraining asks the client to use another connection while the process drains.
+func (f *Forwarder) closeWhileDraining(j *job) {
 	if f.draining() {
 		j.w.Header().Set("Connection", "close")
 		j.r.Close = true
 	}
 }
 
-func (f *Forwarder) ended(j *job, kind outcome.Kind, reason outcome.Reason) {
+func (f *Forwarder) conclude(j *job, kind outcome.Kind, reason outcome.Reason) {
 	now := time.Now()
-	f.giveBackQuota(j)
-	f.giveBackSends(j)
+	f.refundQuota(j)
+	f.returnSends(j)
 	f.Metrics.Ended(kind)
 	f.Metrics.Timer(metrics.RequestTimePrefix + j.kindName()).Update(now.Sub(j.arrived))
 	e := event.RequestAnswered.Log(f.Log).Str("request", j.meta.ID).Str("route", j.routeName()).
@@ -167,8 +167,8 @@
 	}
 	if j.meta.PromptTokens > 0 {
 		e = e.Int("prompt", j.meta.PromptTokens).Int("max_tokens", j.meta.MaxTokens).Int("length_hint", j.meta.LengthHint).
-			Dur("read", j.read).Dur("first", j.first).Dur("patience", j.meta.ClientTimeout).Bool("late", j.late).
-			Int("generated", j.generated).Int("expected", j.expected).Int("room", j.room).Dur("pause", j.pause)
+			Dur("read", j.prefillTime).Dur("first", j.firstEvent).Dur("patience", j.meta.ClientTimeout).Bool("late", j.retried).
+			Int("generated", j.generated).Int("expected", j.expected).Int("room", j.freeMemory).Dur("pause", j.maxEventGap)
 	}
 	e.Int("sends", j.sends).Dur("waited", j.waited).Dur("took", now.Sub(j.arrived)).
 		Dur("left", j.left(now)).Int64("version", j.version()).Msg("")
@@ -181,7 +181,7 @@
 	return j.route.Name
 }
 
-// customer is the name of the customer whose key the request has; empty where there is none.
+// customer is the name of the customer that holds the request's key; empty if there is none.
 func (j *job) customer() string {
 	if j.tenant == nil {
 		return ""
@@ -203,31 +203,31 @@
 	return j.table.Version
 }
 
-// digest is the digest of what the request asks.
+// digest returns the request's fingerprint.
 func (j *job) digest() fingerprint.Digest {
-	if j.content == nil {
+	if j.cachedDigest == nil {
 		d := fingerprint.Of(fingerprint.Request{
 			Caller: j.meta.Caller, Method: j.r.Method, Host: hostOf(j.r), Target: j.target(), Body: j.body,
 		})
-		j.content = &d
+		j.cachedDigest = &d
 	}
-	return *j.content
+	return *j.cachedDigest
 }
 
-// attemptFailed notes why a request that was sent to s is not answered by it.
+// attemptFailed records why server s does not answer a request that was sent to it.
 func (f *Forwarder) attemptFailed(j *job, s registry.Server, reason outcome.Reason, err error) {
 	f.Metrics.Counter(metrics.AttemptFailedPrefix + string(reason)).Inc(1)
 	f.engineFailed(s, reason)
-	if err != nil && f.attempts.hasEnded(s.ID) {
-		err = errors.Join(errStartEnded, err)
+	if err != nil && f.attempts.hasTerminated(s.ID) {
+		err = errors.Join(errIncarnationTerminated, err)
 	}
 	e := event.AttemptFailed.Log(f.Log).Str("request", j.meta.ID).Str("service", s.Service).Str("server", s.ID).
 		Str("stage", s.Stage.String()).Str("reason", string(reason)).Int("sends", j.sends).Dur("since", time.Since(j.arrived))
 	if err != nil {
 		e = e.Err(err)
 	}
-	if j.content != nil {
-		e = e.Str("content", j.content.String())
+	if j.cachedDigest != nil {
+		e = e.Str("content", j.cachedDigest.String())
 	}
 	e.Msg("")
 }
--- a/forward/attempts.go
+++ b/forward/attempts.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// errStartEnded is why an attempt ends at a server that has started again: what ran there is gone.
-var errStartEnded = errors.New("the server has started again")
+// errIncarnationTerminated is the cause of an attempt cancelled because its server has restarted: the run is lost.
+var errIncarnationTerminated = errors.New("the server has started again")
 
-// endedLife is how long a start that has ended is remembered, for what it handed over: KV caches are
-// fetched within some seconds.
-const endedLife = 30 * time.Second
+// terminatedTTL is how long a terminated incarnation is remembered, because of the KV caches that it exported: they
+// are fetched within seconds.
+const terminatedTTL = 30 * time.Second
 
-// attempts are the attempts in progress, by the ID of their server. It is safe for concurrent use.
+// attempts are the attempts in progress, by server ID. It is safe for concurrent use.
 type attempts struct {
 	mu   sync.Mutex
 	byID map[string]map[*attempt]struct{}
-	// ended is when starts of servers were found to have ended.
-	ended map[string]time.Time
+	// terminated is when incarnations of servers were found to have terminated.
+	terminated map[string]time.Time
 }
 
 type attempt struct{ cancel context.CancelCauseFunc }
 
 func newAttempts() *attempts {
-	return &attempts{byID: map[string]map[*attempt]struct{}{}, ended: map[string]time.Time{}}
+	return &attempts{byID: map[string]map[*attempt]struct{}{}, terminated: map[string]time.Time{}}
 }
 
-// begin notes an attempt. The returned context ends with it, when the caller calls end, and when the
-// server has started again.
+// begin registers an attempt. The returned context is cancelled when the caller calls end, and when the server has
+// restarted.
 func (a *attempts) begin(ctx context.Context, id string) (_ context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	x := &attempt{cancel: cancel}
@@ -55,29 +55,29 @@
 	}
 }
 
-// endAll ends the attempts at a server and returns their number.
-func (a *attempts) endAll(id string, now time.Time) int {
+// terminate cancels the attempts at a server and returns their number.
+func (a *attempts) terminate(id string, now time.Time) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	maps.DeleteFunc(a.ended, func(_ string, at time.Time) bool { return now.Sub(at) >= endedLife })
-	a.ended[id] = now
+	maps.DeleteFunc(a.terminated, func(_ string, at time.Time) bool { return now.Sub(at) >= terminatedTTL })
+	a.terminated[id] = now
 	for x := range a.byID[id] {
-		x.cancel(errStartEnded)
+		x.cancel(errIncarnationTerminated)
 	}
 	return len(a.byID[id])
 }
 
-// hasEnded reports whether a start of a server was found to have ended.
-func (a *attempts) hasEnded(id string) bool {
+// hasTerminated reports whether an incarnation of a server was found to have terminated.
+func (a *attempts) hasTerminated(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_, ok := a.ended[id]
+	_, ok := a.terminated[id]
 	return ok
 }
 
-// EndIncarnation ends the attempts at a start of a server that was followed by a later one, and returns their
-// number. They go on as after a crash: resumed, repeated or told, as their routes allow.
+// EndIncarnation cancels the attempts at an incarnation of a server that a later one has replaced, and returns their
+// number. They are handled as after a crash: resumed, retried or failed, as their routes allow.
 func (f *Forwarder) EndIncarnation(id string) int {
-	defer f.serverEnded(id, endedRestarted)
-	return f.attempts.endAll(id, time.Now())
+	defer f.serverTerminated(id, signRestarted)
+	return f.attempts.terminate(id, time.Now())
 }
--- /dev/null
+++ b/forward/baserequest.go
@@ -0,0 +1,91 @@
+package forward
+
+import (
+	"context"
+
+	"github.com/hibiscusspur/hibiscusspur/httpserver"
+	"github.com/hibiscusspur/hibiscusspur/outcome"
+)
+
+// baseRequest is the state that calls and streams share over their attempts: which servers were tried, whether another
+// attempt is allowed, and what to answer when no attempt succeeds.
+type baseRequest struct {
+	f *Forwarder
+	j *job
+	// tried are the servers of earlier attempts.
+	tried []string
+	// last is the outcome of the last attempt.
+	last outcome.Outcome
+	// failure is a server's error answer, passed on if no later attempt does better.
+	failure *answer
+}
+
+// noServerLeft is the outcome of a request for which no server is left: the reason of the last attempt, or reason if
+// there was none.
+func (c *baseRequest) noServerLeft(reason outcome.Reason) outcome.Outcome {
+	if c.last.Reason != "" {
+		reason = c.last.Reason
+	}
+	return c.j.unanswered(reason)
+}
+
+// afterAttempt decides whether there is another attempt after one with outcome o.
+func (c *baseRequest) afterAttempt(ctx context.Context, o outcome.Outcome) (outcome.Outcome, bool) {
+	c.last = o
+	if o.Kind == outcome.Completed || ctx.Err() != nil || c.j.caller.Gone() || !c.retryable(o.Reason) {
+		return o, false
+	}
+	if _, held := c.f.quarantined(c.j); held {
+		c.f.Metrics.RetryDenied("held")
+		return c.j.unanswered(outcome.Quarantined), false
+	}
+	if !c.f.takeRetry(c.j) {
+		return c.j.unanswered(outcome.RetryBudgetSpent), false
+	}
+	c.f.Metrics.Retried(o.Reason)
+	return outcome.Outcome{}, true
+}
+
+// retryable reports whether the request may be sent to another server after an attempt that ended for the reason.
+func (c *baseRequest) retryable(reason outcome.Reason) bool {
+	j := c.j
+	switch {
+	case reason == outcome.CallerGone || reason == outcome.RetryBudgetSpent || blocked(reason):
+		return false
+	case j.ran && !j.route.Repeatable():
+		return false
+	case j.sends >= j.route.Attempts:
+		c.f.Metrics.RetryDenied("attempts")
+		return false
+	default:
+		return true
+	}
+}
+
+// unanswered is the outcome of an attempt without a whole answer. Whether the request may have run depends on what was
+// sent.
+func (j *job) unanswered(reason outcome.Reason) outcome.Outcome {
+	if j.ran {
+		return outcome.Fail(reason, "")
+	}
+	return outcome.Refuse(reason, 0)
+}
+
+// finish answers the client if no attempt has done so, and records the outcome of the request.
+func (c *baseRequest) finish(o outcome.Outcome) {
+	f, j := c.f, c.j
+	switch {
+	case o.Kind == outcome.Completed:
+	case j.started:
+		httpserver.Abort(j.w)
+	case c.failure != nil:
+		o = f.passOn(j, c.failure)
+	case o.Kind == outcome.NotRun:
+		f.refuse(j, o.Reason, f.retryAfter(j, o.Reason))
+		return
+	default:
+		f.fail(j, o.Reason)
+		return
+	}
+	f.conclude(j, o.Kind, o.Reason)
+}
--- a/forward/call.go
+++ b/forward/call.go
@@ -16,8 +16,8 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// maxAnswer bounds an answer of a plain service, which is held in memory until it is
-// whole so that a failed one can be repeated.
+// maxAnswer bounds an answer of a plain service. It is buffered until it is whole so that the request can be retried
+// if it fails.
 const maxAnswer = 16 << 20
 
 // answer is a whole answer of a plain service.
@@ -26,7 +26,7 @@
 	body []byte
 }
 
-// Errors of answers that can't be passed on.
+// Errors of attempts without an answer that can be passed on.
 var (
 	errNoStamp  = errors.New("answer without a stamp, or with an encoded body")
 	errTooLarge = errors.New("answer too large")
@@ -35,10 +35,10 @@
 )
 
 // call is a request of a plain service over all its attempts.
-type call struct{ course }
+type call struct{ baseRequest }
 
-// callAttempt is one try of a call at one server. It implements lifecycle.Attempt; a server of
-// a plain service needs nothing reserved and reads no prompt ahead.
+// callAttempt is one attempt of a call at one server. It implements lifecycle.Attempt; a plain service has no
+// reservation and no prefill.
 type callAttempt struct {
 	c      *call
 	server registry.Server
@@ -48,7 +48,7 @@
 func (c *call) Place(context.Context) (*callAttempt, outcome.Outcome, bool) {
 	s, why := c.f.choose(c.j, c.tried)
 	if why != "" {
-		return nil, c.noServer(why), false
+		return nil, c.noServerLeft(why), false
 	}
 	c.tried = append(c.tried, s.ID)
 	return &callAttempt{c: c, server: s}, outcome.Outcome{}, true
@@ -56,7 +56,7 @@
 
 // Ended implements lifecycle.Request.
 func (c *call) Ended(ctx context.Context, _ *callAttempt, o outcome.Outcome) (outcome.Outcome, bool) {
-	return c.ended(ctx, o)
+	return c.afterAttempt(ctx, o)
 }
 
 // Reserve implements lifecycle.Attempt.
@@ -72,17 +72,17 @@
 // Answer implements lifecycle.Attempt.
 func (a *callAttempt) Answer(ctx context.Context) outcome.Outcome {
 	f, j := a.c.f, a.c.j
-	got, err := f.ask(ctx, j, a.server)
+	got, err := f.callServer(ctx, j, a.server)
 	if err == nil && got.head.Status < http.StatusMultipleChoices {
-		f.answered(j)
+		f.recordSuccess(j)
 	}
 	if err == nil && got.head.Status < http.StatusInternalServerError {
-		return f.pass(j, got)
+		return f.passOn(j, got)
 	}
 	if err == nil {
 		a.c.failure = got
 	}
-	reason := f.explain(ctx, err)
+	reason := f.reasonFor(ctx, err)
 	f.attemptLost(j, a.server, reason, err)
 	return j.unanswered(reason)
 }
@@ -90,17 +90,17 @@
 // Release implements lifecycle.Attempt.
 func (a *callAttempt) Release() {}
 
-func (f *Forwarder) explain(ctx context.Context, err error) outcome.Reason {
+func (f *Forwarder) reasonFor(ctx context.Context, err error) outcome.Reason {
 	switch {
 	case ctx.Err() != nil:
 		return reasonOf(ctx)
 	case err == nil, errors.Is(err, errFailed):
 		return outcome.EngineError
-	case errors.Is(err, errBarred):
-		return barredReason(err)
+	case errors.Is(err, errBlocked):
+		return blockedReason(err)
 	case errors.Is(err, errLimited):
 		return outcome.ServerLimited
-	case errors.Is(err, errResting):
+	case errors.Is(err, errCooldown):
 		return outcome.ServerResting
 	case errors.Is(err, errLeaving):
 		return outcome.Leaving
@@ -113,33 +113,33 @@
 	}
 }
 
-// ask sends the request to one server and reads its whole answer. A server that
-// proves that it did not run the request yields errNotRun.
-func (f *Forwarder) ask(ctx context.Context, j *job, s registry.Server) (*answer, error) {
+// callServer sends the request to one server and reads its whole answer. It returns errNotRun if the server proves
+// that it did not run the request.
+func (f *Forwarder) callServer(ctx context.Context, j *job, s registry.Server) (*answer, error) {
 	start := time.Now()
 	if f.mayHedge(j) {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(hedgeShare*float64(j.left(start))))
 		defer cancel()
 	}
-	f.begin(j, s)
-	defer f.end(j, s)
+	f.beginCall(j, s)
+	defer f.endCall(j, s)
 	ctx, end := f.attempts.begin(ctx, s.ID)
 	defer end()
 	a, err := f.exchange(ctx, j, s)
 	ok := err == nil && a.head.Status < http.StatusInternalServerError
 	took := time.Since(start)
-	f.observe(j, s, ok)
-	f.observeLimit(j, s, err, took)
+	f.observeOutcome(j, s, ok)
+	f.observeLoad(j, s, err, took)
 	return a, err
 }
 
-// hedgeShare is the part of the time left after which a repeatable request is given to
-// another server: a mute server then costs half of the time and not all of it.
+// hedgeShare is the share of the remaining time after which a repeatable request is sent to another server: an
+// unresponsive server then costs half of the time instead of all of it.
 const hedgeShare = 0.5
 
-// mayHedge reports whether another server may be asked when one is slow. Without it the
-// request's own deadline is the only one, so that its end is told for what it is.
+// mayHedge reports whether another server may be tried when one is slow. Otherwise only the request's own deadline
+// applies, so that the outcome is reported as a missed deadline.
 func (f *Forwarder) mayHedge(j *job) bool {
 	return j.route.Repeatable() && j.sends+1 < j.route.Attempts && !f.Off.Has(mechanism.Hedges)
 }
@@ -168,10 +168,10 @@
 	return &answer{head: head, body: body}, nil
 }
 
-// send sends the request to a server and returns the head of its answer. It marks the
-// job as run unless it is certain that the server can't have seen it.
+// send sends the request to a server and returns the head of its answer. It marks the job as run unless the server
+// certainly did not receive it.
 func (f *Forwarder) send(ctx context.Context, j *job, s registry.Server, o Send) (*upstream.Response, error) {
-	if err := f.barredNow(ctx, j); err != nil {
+	if err := f.checkBlocked(ctx, j); err != nil {
 		return nil, errors.Join(upstream.ErrNotSent, err)
 	}
 	if err := f.admitSend(j, s.ID); err != nil {
@@ -179,14 +179,14 @@
 	}
 	o.TimeLeft, o.Instance = j.left(time.Now()), s.Instance()
 	o.Keyed, o.Customer = j.table.Tenants != nil, j.customer()
-	before := j.ran
-	j.carried, j.heard = j.generated, time.Now()
+	ranBefore := j.ran
+	j.generatedBefore, j.lastActivity = j.generated, time.Now()
 	res, err := f.Pool.Do(ctx, s.Addr, &upstream.Request{
 		Method: j.r.Method, Target: j.target(), Host: j.r.Host,
 		Header: f.Codec.Outgoing(j.r.Header, o), Body: j.body,
 		Mine: func(h http.Header) bool { return f.Codec.Matches(j.meta.ID, h) },
 	})
-	f.noteReach(s, err)
+	f.recordConnectError(s, err)
 	if errors.Is(err, upstream.ErrNotSent) {
 		return nil, err
 	}
@@ -198,30 +198,30 @@
 	if err != nil {
 		return nil, err
 	}
-	j.heard = time.Now()
+	j.lastActivity = time.Now()
 	head := f.Codec.ParseAnswer(res.Status, res.Header)
 	if !o.PrefillOnly && head.NotRun {
-		j.ran = before
+		j.ran = ranBefore
 	}
 	if head.Replaced {
 		f.View.MarkReplaced(s)
-		f.serverEnded(s.ID, endedReplaced)
+		f.serverTerminated(s.ID, signReplaced)
 		return res, nil
 	}
-	f.hearAnswer(s, head, res.Sent)
+	f.receiveAnswer(s, head, res.Sent)
 	return res, nil
 }
 
-// noteReach notes a server that has ended: its address refuses connections.
-func (f *Forwarder) noteReach(s registry.Server, err error) {
+// recordConnectError records that a server has terminated if its address refuses connections.
+func (f *Forwarder) recordConnectError(s registry.Server, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		f.View.MarkDown(s)
-		f.serverEnded(s.ID, endedRefused)
+		f.serverTerminated(s.ID, signConnectionRefused)
 	}
 }
 
-// pass hands a whole answer to the client.
-func (f *Forwarder) pass(j *job, a *answer) outcome.Outcome {
+// passOn sends a whole answer to the client.
+func (f *Forwarder) passOn(j *job, a *answer) outcome.Outcome {
 	f.head(j, a.head, len(a.body))
 	if _, err := j.w.Write(a.body); err != nil {
 		return outcome.Fail(outcome.CallerGone, err.Error())
@@ -232,14 +232,14 @@
 	return outcome.Outcome{Kind: outcome.Completed}
 }
 
-func (f *Forwarder) begin(j *job, c registry.Server) {
+func (f *Forwarder) beginCall(j *job, c registry.Server) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.outstanding[c.ID]++
 }
 
-func (f *Forwarder) end(j *job, c registry.Server) {
+func (f *Forwarder) endCall(j *job, c registry.Server) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,8 +248,8 @@
 	}
 }
 
-// observeLimit notes what a call tells of its server's load. One that broke tells nothing.
-func (f *Forwarder) observeLimit(j *job, c registry.Server, err error, took time.Duration) {
+// observeLoad updates the limiter with what a call shows of its server's load. A call that broke off shows nothing.
+func (f *Forwarder) observeLoad(j *job, c registry.Server, err error, took time.Duration) {
 	refused := errors.Is(err, errNotRun)
 	if err != nil && !refused {
 		return
@@ -260,7 +260,7 @@
 	s.limits.Observe(c.ID, overload.Answer{Took: took, Objective: j.route.Objective, Refused: refused}, time.Now())
 }
 
-func (f *Forwarder) observe(j *job, c registry.Server, ok bool) {
+func (f *Forwarder) observeOutcome(j *job, c registry.Server, ok bool) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// choose returns the server for the next attempt, or why there is none: all were tried, or
-// all that are left have more calls than they can answer in time, or take no more by what they say.
+// choose returns the server for the next attempt, or the reason why there is none: all were tried, or those left have
+// more calls than they can answer in time, or have signalled that they take none now.
 func (f *Forwarder) choose(j *job, tried []string) (registry.Server, outcome.Reason) {
 	now := time.Now()
 	servers := f.View.Servers(j.service)
@@ -24,11 +24,11 @@
 		if slices.Contains(tried, c.ID) {
 			return 0, false
 		}
-		if wait, reason := f.closedFor(c.ID); wait > 0 {
+		if wait, reason := f.unavailableFor(c.ID); wait > 0 {
 			why = reason
 			return 0, false
 		}
-		if !f.Off.Has(mechanism.Overload) && !s.limits.Admits(c.ID, j.late, rand.Float64(), now) {
+		if !f.Off.Has(mechanism.Overload) && !s.limits.Admits(c.ID, j.retried, rand.Float64(), now) {
 			why = outcome.Overloaded
 			return 0, false
 		}
@@ -43,15 +43,14 @@
 	return best, ""
 }
 
-// cheapest returns the server of least cost among those that may be chosen, the first of
-// several.
+// cheapest returns the first eligible server of lowest cost.
 func cheapest(servers []registry.Server, cost func(registry.Server) (float64, bool)) (registry.Server, bool) {
 	var best registry.Server
-	least := 0.0
+	lowest := 0.0
 	for _, s := range servers {
-		c, may := cost(s)
-		if may && (best.ID == "" || c < least) {
-			best, least = s, c
+		c, eligible := cost(s)
+		if eligible && (best.ID == "" || c < lowest) {
+			best, lowest = s, c
 		}
 	}
 	return best, best.ID != ""
@@ -59,15 +58,15 @@
 
 // Weights of the cost of a server of a plain service, in requests outstanding.
 const (
-	// zoneCost keeps calls in the zone unless two more requests are outstanding there.
+	// zoneCost keeps calls in the zone unless two more requests are outstanding there than elsewhere.
 	zoneCost = 2
-	// failingCost makes a server that fails one request in ten more than the others
-	// cost as much as three outstanding requests.
+	// failingCost makes a failure rate that is one in ten above the others' cost as much as three outstanding
+	// requests.
 	failingCost = 30
-	// suspectCost puts a server that just failed several in a row behind all others.
+	// suspectCost puts a server that has just failed several requests in a row behind all others.
 	suspectCost = 1000
-	// spreadCost spreads routers over servers that are alike. Each sees few of the requests
-	// outstanding; without it all sent to the first server of the list that had none.
+	// spreadCost spreads routers over equal servers. Each router sees only its own outstanding requests; without this
+	// cost all sent to the first server of the list that had none.
 	spreadCost = 0.5
 )
 
--- a/forward/rest_test.go
+++ b/forward/cooldowns_test.go
@@ -12,23 +12,23 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// long is a rest, in seconds, of which no test sees the end.
-const long = "600"
+// longCooldown is a cooldown, in seconds, that outlasts every test.
+const longCooldown = "600"
 
-// A model server that had asked a gateway for three seconds of rest got four requests from it in that time, two of them four
-// milliseconds apart: each run that it refused was sent to it once more.
-func TestServerThatAsksForRestGetsNothing(t *testing.T) {
+// A model server that had asked a gateway for a cooldown of three seconds got four requests from it in that time, two
+// of them four milliseconds apart: each run that it refused was sent to it once more.
+func TestServerInCooldownGetsNoRequests(t *testing.T) {
 	const requests = 6
 	for _, c := range []struct {
-		name, rests, path, kind string
-		stage                   registry.Stage
+		name, cooling, path, kind string
+		stage                     registry.Stage
 	}{
 		{"calls", "p1", "/unsafe/", site.Plain, registry.Whole},
-		{"reads prompts", "pre", "/draft/", site.Prefill, registry.Prefill},
+		{"prefill engine", "pre", "/draft/", site.Prefill, registry.Prefill},
 		{"generates", "d1", "/resume/", site.Decode, registry.Decode},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnv(t)
 			if c.stage == registry.Whole {
 				w.add(t, "p1", "plain", registry.Whole)
 				w.add(t, "p2", "plain", registry.Whole)
@@ -37,8 +37,8 @@
 				w.add(t, "pre2", "llm", registry.Prefill)
 				w.add(t, "d1", "llm", registry.Decode)
 			}
-			w.servers[c.rests].Behave(site.Shed)
-			w.servers[c.rests].SetRest(long)
+			w.servers[c.cooling].Behave(site.Shed)
+			w.servers[c.cooling].SetRest(longCooldown)
 			if c.stage == registry.Decode {
 				assert.Equal(t, w.post(t, c.path).status, 503)
 				w.add(t, "d2", "llm", registry.Decode)
@@ -46,32 +46,32 @@
 			for i := range requests {
 				assert.Equal(t, w.post(t, fmt.Sprint(c.path, i)).status, 200)
 			}
-			assert.Equal(t, w.sent(c.rests, c.kind), 1, "of %d", requests)
+			assert.Equal(t, w.sent(c.cooling, c.kind), 1, "of %d", requests)
 		})
 	}
 }
 
-// An engine that refuses a run and asks for rest was taken for one that could not fetch the KV cache, and the engine that had
-// read the prompt for the one to blame.
-func TestReaderIsNotBlamedForAnEngineThatRests(t *testing.T) {
-	w := newWorld(t)
+// An engine that refused a run and asked for a cooldown was mistaken for one that could not fetch the KV cache, and
+// the prefill engine was blamed.
+func TestPrefillEngineIsNotBlamedForACooldown(t *testing.T) {
+	w := newTestEnv(t)
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.servers["d1"].Behave(site.Shed)
-	w.servers["d1"].SetRest(long)
+	w.servers["d1"].SetRest(longCooldown)
 	assert.Equal(t, w.post(t, "/draft/1").status, 503)
 	assert.Equal(t, w.sent("d1", site.Decode), 1)
 	w.add(t, "d2", "llm", registry.Decode)
 	assert.Equal(t, w.post(t, "/draft/2").status, 200)
-	assert.Equal(t, w.sent("pre", site.Prefill), 2, "it reads the next prompt")
+	assert.Equal(t, w.sent("pre", site.Prefill), 2, "it prefills the next prompt")
 }
 
-// Reservations are refused with a rest too, and none is asked for until it is over.
-func TestEngineThatAsksForRestGetsNoReservation(t *testing.T) {
-	w := engines(t)
+// A refused reservation can ask for a cooldown too; no further one is requested until it is over.
+func TestEngineInCooldownGetsNoReservation(t *testing.T) {
+	w := newEngineEnv(t)
 	for _, id := range []string{"d1", "d2"} {
 		w.servers[id].SetFull(true)
-		w.servers[id].SetRest(long)
+		w.servers[id].SetRest(longCooldown)
 	}
 	for range 4 {
 		assert.Equal(t, w.post(t, "/draft/1").status, 503)
@@ -80,9 +80,9 @@
 	assert.Check(t, w.sent("d2", site.Hold) <= 1, "%d", w.sent("d2", site.Hold))
 }
 
-// Callers are told at once, and when to come back; a rest that is over is over.
-func TestCallersAreToldWhenAllServersRest(t *testing.T) {
-	w := newWorld(t)
+// Callers are rejected at once, with a Retry-After; after the cooldown the server is used again.
+func TestCallersAreRejectedWhenAllServersCoolDown(t *testing.T) {
+	w := newTestEnv(t)
 	w.add(t, "p1", "plain", registry.Whole)
 	w.servers["p1"].Behave(site.Answer, site.Shed)
 	w.servers["p1"].SetRest("0.3")
@@ -98,25 +98,26 @@
 		served = w.post(t, "/once/3").status == 200
 	}
 	assert.Check(t, served)
-	assert.Check(t, time.Since(began) >= 200*time.Millisecond, "the rest was not kept")
+	assert.Check(t, time.Since(began) >= 200*time.Millisecond, "the server was called during its cooldown")
 	assert.Equal(t, w.sent("p1", site.Plain), 2)
 }
 
-// A run that its engine refuses for rest, or that is not sent there any more, goes to another engine with what was read of it.
-func TestPromptIsReadOnceThoughAnEngineRests(t *testing.T) {
-	w := newWorld(t)
+// A run that an engine refuses with a cooldown, or that is not sent to it because of one, goes to another engine with
+// the KV cache already prefilled.
+func TestPromptIsPrefilledOnceDespiteACooldown(t *testing.T) {
+	w := newTestEnv(t)
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.add(t, "d2", "llm", registry.Decode)
-	// d1 has the most memory, as soon as the service is known.
+	// d1 has the most free memory as soon as the state of the service exists.
 	w.fwd.ServiceLoad("llm")
 	w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Ahead: kvmemory.Constant(4000)}})
 	w.servers["d1"].Behave(site.Shed)
-	w.servers["d1"].SetRest(long)
+	w.servers["d1"].SetRest(longCooldown)
 	assert.Equal(t, w.post(t, "/resume/1").status, 200)
 	assert.Equal(t, w.sent("d1", site.Decode), 1)
 	assert.Equal(t, w.sent("pre", site.Prefill), 1)
 	for _, c := range w.log.Calls() {
-		assert.Check(t, c.Kind != site.Decode || c.KVFrom != "", "%s reads the prompt", c.Server)
+		assert.Check(t, c.Kind != site.Decode || c.KVFrom != "", "%s prefills the prompt", c.Server)
 	}
 }
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -13,80 +13,80 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// engines joins the policies that place and queue requests for one service's decode
-// engines to goroutines and timers. It is safe for concurrent use.
+// engines adds locking and timers to the policies that queue and place the requests of one service's decode engines.
+// It is safe for concurrent use.
 type engines struct {
 	terms waitqueue.Terms
 	off   mechanism.Set
-	// zone is that of this process.
+	// zone is the zone of this process.
 	zone string
 
 	mu     sync.Mutex
 	memory *kvmemory.Pool
-	// list returns the servers that may get new work; synced is what memory was last told of them.
+	// list returns the servers that may get new work; synced is the list that memory was last updated with.
 	list   func() []registry.Server
 	synced engineList
-	// doubtful reports whether requests fail at an engine.
-	doubtful func(id string) bool
-	// closed reports whether an engine is to be sent nothing now, by what it said.
-	closed func(id string) bool
-	line   waitqueue.Line
-	// turns are where waiting requests learn which engine to ask.
-	turns map[*waitqueue.Waiter]turn
-	// lengths is what was learned of the lengths of runs, by route.
+	// suspected reports whether requests fail at an engine.
+	suspected func(id string) bool
+	// unavailable reports whether an engine has signalled that it takes nothing now.
+	unavailable func(id string) bool
+	queue       waitqueue.Line
+	// entries are the requests in queue.
+	entries map[*waitqueue.Waiter]queueEntry
+	// lengths predicts the output length of runs, by route.
 	lengths map[string]*outputlength.Learner
-	// retry is set while a timer will look at the line again.
-	retry bool
-	// short is when a request last waited for memory.
-	short time.Time
-	// changed are the engines whose placement changed since it was last told, reading the
-	// tokens that prefill engines were sent and have not read.
-	changed map[string]struct{}
-	reading map[string]int
-	// tell is called, with mu held, when changed is no longer empty; it must not block.
-	tell func()
+	// checkScheduled is set while a timer is pending that will check the queue again.
+	checkScheduled bool
+	// shortageAt is when a request last waited for memory.
+	shortageAt time.Time
+	// changed are the engines whose placement has changed since it was last reported; prefilling is the tokens that
+	// were sent to each prefill engine and are not prefilled yet.
+	changed    map[string]struct{}
+	prefilling map[string]int
+	// notify is called, with mu held, when changed becomes non-empty; it must not block.
+	notify func()
 }
 
-// turn is a request in the line.
-type turn struct {
+// queueEntry is a request in the wait queue.
+type queueEntry struct {
 	run *kvmemory.Run
-	// held reports whether the request is sent to no server any more.
-	held func() bool
-	// reserve takes the run from what an engine says that it takes.
+	// quarantined reports whether the request may not be sent to any server.
+	quarantined func() bool
+	// reserve takes one request from the rate limit that an engine has declared.
 	reserve func(id string) bool
-	// engine is sent the engine to ask, or nothing if the request need not wait any more.
+	// engine receives the ID of the engine to use, or the empty string if the request need not wait any more.
 	engine chan string
 }
 
-func newEngines(seed, zone string, off mechanism.Set, list func() []registry.Server, doubtful, closed func(string) bool, tell func()) *engines {
+func newEngines(seed, zone string, off mechanism.Set, list func() []registry.Server, suspected, unavailable func(string) bool, notify func()) *engines {
 	return &engines{
-		list: list, doubtful: doubtful, closed: closed,
-		changed: map[string]struct{}{}, reading: map[string]int{}, tell: tell,
-		zone:   zone,
-		terms:  waitingTerms(off),
-		off:    off,
-		memory: kvmemory.New(memoryConfig(off), seed),
-		turns:  map[*waitqueue.Waiter]turn{}, lengths: map[string]*outputlength.Learner{},
+		list: list, suspected: suspected, unavailable: unavailable,
+		changed: map[string]struct{}{}, prefilling: map[string]int{}, notify: notify,
+		zone:    zone,
+		terms:   queueTerms(off),
+		off:     off,
+		memory:  kvmemory.New(memoryConfig(off), seed),
+		entries: map[*waitqueue.Waiter]queueEntry{}, lengths: map[string]*outputlength.Learner{},
 	}
 }
 
 const (
-	// passFor is how long smaller requests may go before a larger one that waits.
-	passFor = 300 * time.Millisecond
-	// lineCheck is the pause after which a line that does not move is looked at again: the
-	// turns of two other gateways.
-	lineCheck = 10 * time.Millisecond
+	// overtakeLimit is how long smaller requests may overtake a larger one that waits.
+	overtakeLimit = 300 * time.Millisecond
+	// queueCheckInterval is the interval at which a queue that does not move is checked again: the staggered delays of
+	// two other gateways.
+	queueCheckInterval = 10 * time.Millisecond
 )
 
-// engineList is a list of servers as the view hands it out, which is the same slice until
-// something changes, and what the route table says of each engine.
+// engineList identifies a list of servers, which is the same slice in the view until something changes, together with
+// the engine's capacity and slots in the route table.
 type engineList struct {
 	first           *registry.Server
 	length          int
 	capacity, slots int
 }
 
-// sync takes the list of engines that may get new work. The caller holds mu.
+// sync updates memory with the engines that may get new work. The caller holds mu.
 func (e *engines) sync(servers []registry.Server, capacity, slots int) {
 	now := engineList{length: len(servers), capacity: capacity, slots: slots}
 	if len(servers) > 0 {
@@ -105,7 +105,7 @@
 	e.memory.Sync(list)
 }
 
-// newRun is what memory is told of a request of a route, and the tokens that it is expected to
+// newRun returns the memory forecast of a request of a route, and the number of tokens that it is expected to
 // generate.
 func (e *engines) newRun(routeName string, m *Meta, need int) (*kvmemory.Run, int) {
 	e.mu.Lock()
@@ -122,113 +122,111 @@
 	return &kvmemory.Run{Need: need, Prompt: m.PromptTokens, Length: length}, length.Expect()
 }
 
-// forget drops what was learned of routes that keep does not want. Runs in progress still know
-// their lengths.
-func (e *engines) forget(keep func(routeName string) bool) {
+// forget drops the predictors of routes that known does not report. Runs in progress keep their predictions.
+func (e *engines) forget(known func(routeName string) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	maps.DeleteFunc(e.lengths, func(name string, _ *outputlength.Learner) bool { return !keep(name) })
+	maps.DeleteFunc(e.lengths, func(name string, _ *outputlength.Learner) bool { return !known(name) })
 }
 
-// finished notes that a run has come to its own end.
+// finished records that a run has completed by itself.
 func (e *engines) finished(r *kvmemory.Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.Finish()
 }
 
-// hopeless reports whether a request is to be turned away without waiting.
-func (e *engines) hopeless(w *waitqueue.Waiter, hold time.Duration, now time.Time) bool {
+// rejectsEarly reports whether a request is to be rejected without waiting.
+func (e *engines) rejectsEarly(w *waitqueue.Waiter, hold time.Duration, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if hold <= 0 || e.line.Len() == 0 {
+	if hold <= 0 || e.queue.Len() == 0 {
 		return false
 	}
 	rate := e.memory.PerRouter() / hold.Seconds()
-	return e.terms.Hopeless(e.line.Ahead(w), rate, w.Until.Sub(now))
+	return e.terms.Hopeless(e.queue.Ahead(w), rate, w.Until.Sub(now))
 }
 
-// await waits until the request's turn at an engine comes. The engine's memory is then
-// taken for the run, until refused, failed or release is called.
-func (e *engines) await(ctx context.Context, w *waitqueue.Waiter, t turn, capacity, slots int) (string, bool) {
+// await waits until the request is dispatched to an engine. The engine's memory is then taken for the run, until
+// refused, failed or release is called.
+func (e *engines) await(ctx context.Context, w *waitqueue.Waiter, t queueEntry, capacity, slots int) (string, bool) {
 	e.mu.Lock()
 	e.sync(e.list(), capacity, slots)
 	engine := make(chan string, 1)
 	t.engine = engine
-	e.turns[w] = t
-	e.line.Add(w)
+	e.entries[w] = t
+	e.queue.Add(w)
 	e.dispatch()
-	if e.line.Len() > 0 {
-		e.short = time.Now()
+	if e.queue.Len() > 0 {
+		e.shortageAt = time.Now()
 	}
 	e.mu.Unlock()
 
-	over := time.NewTimer(time.Until(w.Until))
-	defer over.Stop()
+	timeout := time.NewTimer(time.Until(w.Until))
+	defer timeout.Stop()
 	select {
 	case id := <-engine:
 		return id, id != ""
-	case <-over.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.line.Remove(w) {
-		delete(e.turns, w)
+	if e.queue.Remove(w) {
+		delete(e.entries, w)
 		return "", false
 	}
 	id := <-engine
 	return id, id != ""
 }
 
-// dropHeld ends the wait of requests that have become known for servers that end under them. The caller holds mu.
-func (e *engines) dropHeld() {
-	for w, t := range e.turns {
-		if t.held() && e.line.Remove(w) {
-			delete(e.turns, w)
+// dropQuarantined ends the wait of requests that have been quarantined in the meantime. The caller holds mu.
+func (e *engines) dropQuarantined() {
+	for w, t := range e.entries {
+		if t.quarantined() && e.queue.Remove(w) {
+			delete(e.entries, w)
 			t.engine <- ""
 		}
 	}
 }
 
-// dispatch gives turns to waiting requests for which an engine is thought to have room.
-// The caller holds mu.
+// dispatch assigns queued requests to engines that are expected to have enough free memory. The caller holds mu.
 func (e *engines) dispatch() {
 	now := time.Now()
 	for {
 		var id string
-		w := e.line.Next(func(w *waitqueue.Waiter) bool {
+		w := e.queue.Next(func(w *waitqueue.Waiter) bool {
 			var ok bool
-			t := e.turns[w]
+			t := e.entries[w]
 			id, ok = e.memory.Pick(kvmemory.Ask{
-				Run: t.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.doubtful, Closed: e.closed,
+				Run: t.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.suspected, Closed: e.unavailable,
 			}, now)
 			return ok && t.reserve(id)
-		}, passFor, now)
+		}, overtakeLimit, now)
 		if w == nil {
 			break
 		}
-		t := e.turns[w]
+		t := e.entries[w]
 		e.memory.Take(id, t.run)
-		e.note(id)
+		e.markChanged(id)
 		t.engine <- id
-		delete(e.turns, w)
+		delete(e.entries, w)
 	}
-	e.lookAgain()
+	e.scheduleCheck()
 }
 
-// lookAgain arranges that a line that is not empty is looked at again. The caller holds mu.
-func (e *engines) lookAgain() {
-	if e.retry || e.line.Len() == 0 {
+// scheduleCheck schedules another check of a queue that is not empty. The caller holds mu.
+func (e *engines) scheduleCheck() {
+	if e.checkScheduled || e.queue.Len() == 0 {
 		return
 	}
-	e.retry = true
-	time.AfterFunc(lineCheck, func() {
+	e.checkScheduled = true
+	time.AfterFunc(queueCheckInterval, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.retry = false
-		e.dropHeld()
-		// Whoever waits alone would else see no engine that has come since, and wait to the end of its time.
+		e.checkScheduled = false
+		e.dropQuarantined()
+		// Otherwise a request that waits alone would not see engines added since, and wait until its time is over.
 		e.sync(e.list(), e.synced.capacity, e.synced.slots)
 		e.dispatch()
 	})
@@ -238,43 +236,43 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memory.Refuse(id, r, time.Now())
-	e.note(id)
+	e.markChanged(id)
 }
 
-// noteReading notes the tokens that a prefill engine was sent and has not read.
-func (e *engines) noteReading(id string, tokens int) {
+// recordPrefill records the tokens that were sent to a prefill engine and are not prefilled yet.
+func (e *engines) recordPrefill(id string, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.reading[id] = tokens; tokens == 0 {
-		delete(e.reading, id)
+	if e.prefilling[id] = tokens; tokens == 0 {
+		delete(e.prefilling, id)
 	}
-	e.note(id)
+	e.markChanged(id)
 }
 
-// load is what this process placed on an engine. The caller holds mu.
+// load returns the load that this process placed on an engine. The caller holds mu.
 func (e *engines) load(id string, now time.Time) kvmemory.Load {
-	if tokens := e.reading[id]; tokens > 0 {
+	if tokens := e.prefilling[id]; tokens > 0 {
 		return kvmemory.Load{Tokens: tokens}
 	}
 	return e.memory.OwnAt(id, now)
 }
 
-// crowd is the share of an engine's places that are taken.
-func (e *engines) crowd(id string) float64 {
+// slotLoad returns the share of an engine's decode slots in use.
+func (e *engines) slotLoad(id string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.memory.Crowd(id)
 }
 
-// note marks an engine whose placement changed. The caller holds mu.
-func (e *engines) note(id string) {
+// markChanged marks an engine whose placement has changed. The caller holds mu.
+func (e *engines) markChanged(id string) {
 	if len(e.changed) == 0 {
-		e.tell()
+		e.notify()
 	}
 	e.changed[id] = struct{}{}
 }
 
-// takeChanged returns what this process placed on the engines that changed.
+// takeChanged returns the load that this process placed on each engine that changed.
 func (e *engines) takeChanged() []kvmemory.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -291,53 +289,53 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memory.Fail(id, r, time.Now())
-	e.note(id)
+	e.markChanged(id)
 }
 
-// crowded reports whether more is placed on an engine than fits it.
-func (e *engines) crowded(id string) bool {
+// saturated reports whether more is placed on an engine than fits.
+func (e *engines) saturated(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.memory.Crowded(id, time.Now())
 }
 
-// worked notes that an engine ran a request.
-func (e *engines) worked(id string) {
+// succeeded records that an engine ran a request.
+func (e *engines) succeeded(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memory.Worked(id)
 }
 
-// release notes that a request is over at an engine.
+// release records that a request no longer uses an engine.
 func (e *engines) release(id string, r *kvmemory.Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memory.Release(id, r, time.Now())
-	e.note(id)
+	e.markChanged(id)
 	e.dispatch()
 }
 
-func (e *engines) own() []kvmemory.Share {
+func (e *engines) ownLoads() []kvmemory.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.memory.Own(time.Now())
-	for id, tokens := range e.reading {
+	for id, tokens := range e.prefilling {
 		out = append(out, kvmemory.Share{ID: id, Load: kvmemory.Load{Tokens: tokens}})
 	}
 	return out
 }
 
-// shortLife is how long a request that waited for memory counts as a sign that it is short.
-const shortLife = 5 * time.Second
+// shortageTTL is how long a request that waited for memory counts as a sign of a shortage.
+const shortageTTL = 5 * time.Second
 
-// isShort reports whether a request waited for memory a moment ago.
-func (e *engines) isShort(now time.Time) bool {
+// memoryShort reports whether a request has recently waited for memory.
+func (e *engines) memoryShort(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return now.Sub(e.short) < shortLife
+	return now.Sub(e.shortageAt) < shortageTTL
 }
 
-func (e *engines) setOthers(loads map[string]kvmemory.Load, routers int) {
+func (e *engines) setPeerLoads(loads map[string]kvmemory.Load, routers int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -345,7 +343,7 @@
 	for id, l := range loads {
 		e.memory.SetOthers(id, l, now)
 	}
-	if e.line.Len() > 0 {
+	if e.queue.Len() > 0 {
 		e.dispatch()
 	}
 }
--- a/forward/world_test.go
+++ b/forward/env_test.go
@@ -25,21 +25,22 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// view is a fixed view of the world.
+// view is a forward.View that the test sets.
 type view struct {
 	mu      sync.Mutex
 	table   *route.Table
 	servers []registry.Server
 	others  int
 	down    []string
-	// looked counts the looks at the servers of each service.
-	looked map[string]int
-	// leaving is a server that has said that it stops.
+	// lookups counts the calls of Servers for each service.
+	lookups map[string]int
+	// leaving is a server that has announced its shutdown.
 	leaving  string
 	replaced []string
-	// left are servers that said so in answers.
-	left map[string]bool
-	// unproved is set while the configuration is not proved to be recent, stale if it is not for keys that are not known.
+	// markedLeaving are servers that have announced it in answers.
+	markedLeaving map[string]bool
+	// unproved is set while the configuration is not proved to be recent, stale while it is not proved recent enough
+	// to reject unknown keys.
 	unproved, stale bool
 }
 
@@ -49,8 +50,8 @@
 	return v.table
 }
 
-// configure has another table in force.
-func (v *view) configure(t *route.Table) {
+// setTable puts another table in force.
+func (v *view) setTable(t *route.Table) {
 	t.Build()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -69,8 +70,8 @@
 	return !v.stale
 }
 
-// prove sets what is proved of the configuration.
-func (v *view) prove(recent, lately bool) {
+// setProved sets what is proved about the configuration.
+func (v *view) setProved(recent, lately bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.unproved, v.stale = !recent, !lately
@@ -82,21 +83,21 @@
 func (v *view) Servers(service string) []registry.Server {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.looked[service]++
+	v.lookups[service]++
 	var out []registry.Server
 	for _, s := range v.servers {
-		if s.Service == service && !v.left[s.ID] {
+		if s.Service == service && !v.markedLeaving[s.ID] {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// looks is how often the servers of a service were looked at.
-func (v *view) looks(service string) int {
+// countLookups is how often Servers was called for a service.
+func (v *view) countLookups(service string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.looked[service]
+	return v.lookups[service]
 }
 
 func (v *view) Listed(id string) bool {
@@ -108,14 +109,14 @@
 func (v *view) Leaving(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return id == v.leaving || v.left[id]
+	return id == v.leaving || v.markedLeaving[id]
 }
 
 func (v *view) MarkLeaving(s registry.Server) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	known := v.left[s.ID]
-	v.left[s.ID] = true
+	known := v.markedLeaving[s.ID]
+	v.markedLeaving[s.ID] = true
 	return !known
 }
 
@@ -131,8 +132,8 @@
 	v.replaced = append(v.replaced, s.ID)
 }
 
-// world is a forwarder behind a real listener and before stand-ins of servers.
-type world struct {
+// testEnv is a forwarder with a real listener and stand-in servers.
+type testEnv struct {
 	*view
 	log     *site.Log
 	servers map[string]*site.Server
@@ -140,52 +141,52 @@
 	fwd     *forward.Forwarder
 	met     *metrics.Set
 	guard   *holdback.Guard
-	quota   *purse
-	logged  *logged
+	quota   *fakeQuota
+	logged  *logBuffer
 }
 
-// logged is what was logged.
-type logged struct {
+// logBuffer collects the log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
 const (
-	seconds = 30 * time.Second
-	// patience is what clients of these tests say; no test waits for it to end.
-	patience = "30000"
+	longTimeout = 30 * time.Second
+	// clientDeadline is the deadline in milliseconds that clients send; no test waits for it.
+	clientDeadline = "30000"
 )
 
-// unlimited is a budget that is never spent.
+// unlimited is a retry budget that is never exhausted.
 var unlimited = retrybudget.Limits{Ratio: 1, Window: time.Hour, Slack: 1e9}
 
-func newWorld(t *testing.T) *world { return newWorldWith(t, unlimited) }
+func newTestEnv(t *testing.T) *testEnv { return newTestEnvWith(t, unlimited) }
 
-func newWorldWith(t *testing.T, limits retrybudget.Limits) *world {
-	w := &world{log: site.NewLog(), servers: map[string]*site.Server{}, met: metrics.NewSet(), quota: &purse{left: 1e9}, logged: &logged{}}
+func newTestEnvWith(t *testing.T, limits retrybudget.Limits) *testEnv {
+	w := &testEnv{log: site.NewLog(), servers: map[string]*site.Server{}, met: metrics.NewSet(), quota: &fakeQuota{left: 1e9}, logged: &logBuffer{}}
 	table := &route.Table{
 		Version: 1,
 		Routes: []route.Route{
-			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: route.Safe, Timeout: seconds, Objective: time.Second, Attempts: 2, Targets: []route.Target{{Service: "plain"}}},
-			{Name: "unsafe", Host: "h", Prefix: "/unsafe/", Kind: route.Unsafe, Timeout: seconds, Objective: time.Second, Attempts: 2, Targets: []route.Target{{Service: "plain"}}},
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Unsafe, Timeout: seconds, Objective: time.Second, Attempts: 1, Targets: []route.Target{{Service: "plain"}}},
+			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: route.Safe, Timeout: longTimeout, Objective: time.Second, Attempts: 2, Targets: []route.Target{{Service: "plain"}}},
+			{Name: "unsafe", Host: "h", Prefix: "/unsafe/", Kind: route.Unsafe, Timeout: longTimeout, Objective: time.Second, Attempts: 2, Targets: []route.Target{{Service: "plain"}}},
+			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Unsafe, Timeout: longTimeout, Objective: time.Second, Attempts: 1, Targets: []route.Target{{Service: "plain"}}},
 			{Name: "brief", Host: "h", Prefix: "/brief/", Kind: route.Unsafe, Timeout: 100 * time.Millisecond, Objective: time.Second, Attempts: 2, Targets: []route.Target{{Service: "plain"}}},
 			{Name: "slow", Host: "h", Prefix: "/slow/", Kind: route.Unsafe, Timeout: 250 * time.Millisecond, Objective: 50 * time.Millisecond, Attempts: 2, Targets: []route.Target{{Service: "plain"}}},
-			{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream, Timeout: seconds, Objective: 900 * time.Millisecond, Attempts: 1, Targets: []route.Target{{Service: "llm"}}},
-			{Name: "patient", Host: "h", Prefix: "/draft/patient/", Kind: route.Stream, Timeout: seconds, Objective: seconds, Attempts: 1, Targets: []route.Target{{Service: "llm"}}},
-			{Name: "resume", Host: "h", Prefix: "/resume/", Kind: route.Stream, Timeout: seconds, Objective: 900 * time.Millisecond, Attempts: 2, Resumable: true, Targets: []route.Target{{Service: "llm"}}},
+			{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream, Timeout: longTimeout, Objective: 900 * time.Millisecond, Attempts: 1, Targets: []route.Target{{Service: "llm"}}},
+			{Name: "patient", Host: "h", Prefix: "/draft/patient/", Kind: route.Stream, Timeout: longTimeout, Objective: longTimeout, Attempts: 1, Targets: []route.Target{{Service: "llm"}}},
+			{Name: "resume", Host: "h", Prefix: "/resume/", Kind: route.Stream, Timeout: longTimeout, Objective: 900 * time.Millisecond, Attempts: 2, Resumable: true, Targets: []route.Target{{Service: "llm"}}},
 		},
 		Services: map[string]route.Service{
 			"plain": {Name: "plain"},
@@ -194,7 +195,7 @@
 		Limits: route.Limits{BodyBytes: 1000},
 	}
 	table.Build()
-	w.view = &view{table: table, looked: map[string]int{}, left: map[string]bool{}}
+	w.view = &view{table: table, lookups: map[string]int{}, markedLeaving: map[string]bool{}}
 	l := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: w.logged}}
 	w.guard = holdback.New(l, w.met, false)
 	pool := upstream.New(upstream.Options{})
@@ -206,7 +207,7 @@
 		watcher.Run(ctx, time.Millisecond)
 	}()
 	w.fwd = forward.New(forward.Config{
-		Codec: platform.Codec{}, Engines: platform.NewEngines(pool, seconds), View: w.view, Pool: pool, Watcher: watcher, Guard: w.guard, Quota: w.quota,
+		Codec: platform.Codec{}, Engines: platform.NewEngines(pool, longTimeout), View: w.view, Pool: pool, Watcher: watcher, Guard: w.guard, Quota: w.quota,
 		Log: l, Metrics: w.met,
 		VM: "g1", Zone: "z1", Retry: limits,
 	})
@@ -221,8 +222,8 @@
 	return w
 }
 
-// add starts a server. Plain servers whose names come first stand in the gateway's zone.
-func (w *world) add(t *testing.T, id, service string, stage registry.Stage) *site.Server {
+// add starts a server. The first plain server is in the gateway's zone, the others in another one.
+func (w *testEnv) add(t *testing.T, id, service string, stage registry.Stage) *site.Server {
 	s := site.NewServer(t, id, w.log)
 	w.servers[id] = s
 	w.view.mu.Lock()
@@ -235,25 +236,25 @@
 	return s
 }
 
-func plain(t *testing.T) *world {
-	w := newWorld(t)
+func newPlainEnv(t *testing.T) *testEnv {
+	w := newTestEnv(t)
 	w.add(t, "p1", "plain", registry.Whole)
 	w.add(t, "p2", "plain", registry.Whole)
 	w.add(t, "p3", "plain", registry.Whole)
 	return w
 }
 
-func engines(t *testing.T) *world { return enginesWith(t, unlimited) }
+func newEngineEnv(t *testing.T) *testEnv { return newEngineEnvWith(t, unlimited) }
 
-func enginesWith(t *testing.T, limits retrybudget.Limits) *world {
-	w := newWorldWith(t, limits)
+func newEngineEnvWith(t *testing.T, limits retrybudget.Limits) *testEnv {
+	w := newTestEnvWith(t, limits)
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.add(t, "d2", "llm", registry.Decode)
 	return w
 }
 
-// answer is what a client got.
+// answer is what a client received.
 type answer struct {
 	status int
 	header http.Header
@@ -262,13 +263,13 @@
 	cut bool
 }
 
-func (w *world) post(t *testing.T, path string, extra ...string) answer {
+func (w *testEnv) post(t *testing.T, path string, extra ...string) answer {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+w.addr+path, strings.NewReader("question"))
 	assert.NilError(t, err)
 	r.Host = "h"
 	r.Header.Set(site.RequestID, "id-1")
-	r.Header.Set(site.Deadline, patience)
+	r.Header.Set(site.Deadline, clientDeadline)
 	if strings.HasPrefix(path, "/draft") || strings.HasPrefix(path, "/resume") {
 		r.Header.Set(site.Tokens, "1000,200")
 		r.Header.Set(site.LengthHint, "100")
@@ -284,13 +285,13 @@
 	return answer{res.StatusCode, res.Header, string(body), err != nil}
 }
 
-// waitsForEngine sends a stream for which there is no decode engine, and returns once it has looked for one.
-func waitsForEngine(t *testing.T) (*world, <-chan answer) {
-	w := newWorld(t)
+// startQueuedStream sends a stream for which there is no decode engine, and returns once it has looked for one.
+func startQueuedStream(t *testing.T) (*testEnv, <-chan answer) {
+	w := newTestEnv(t)
 	w.add(t, "pre", "llm", registry.Prefill)
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, "/draft/patient/1") }()
-	for w.view.looks("llm") == 0 {
+	for w.view.countLookups("llm") == 0 {
 		assert.NilError(t, t.Context().Err())
 	}
 	return w, done
--- a/forward/forget_test.go
+++ b/forward/forget_test.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// tableView is a view of a route table alone.
+// tableView is a view with a route table and nothing else.
 type tableView struct{ table *route.Table }
 
 func (v tableView) Table() *route.Table                      { return v.table }
@@ -27,24 +27,24 @@
 func (v tableView) Others() int                              { return 0 }
 func (v tableView) Routers() int                             { return 1 }
 
-// silentEngines are engines that say nothing.
-type silentEngines struct{ Engines }
+// noSignalEngines are engines that send no signals.
+type noSignalEngines struct{ Engines }
 
-func (silentEngines) OnSignals(func(registry.Server, Signals)) {}
+func (noSignalEngines) OnSignals(func(registry.Server, Signals)) {}
 
-// TestForgetRoutes: a gateway runs for months while routes come and go under new names; what it
-// learned of those that are gone must not stay.
+// TestForgetRoutes guards against a leak: a gateway runs for months while routes are added and removed under new
+// names; the state of removed routes must be dropped.
 func TestForgetRoutes(t *testing.T) {
 	table := &route.Table{Routes: []route.Route{{Name: "stays"}}}
 	table.Build()
-	f := New(Config{View: tableView{table}, Engines: silentEngines{}, Metrics: metrics.NewSet()})
+	f := New(Config{View: tableView{table}, Engines: noSignalEngines{}, Metrics: metrics.NewSet()})
 	s := f.service("llm")
 	for _, name := range []string{"stays", "gone"} {
 		s.engines.newRun(name, &Meta{MaxTokens: 100}, 100)
-		s.returned(&job{route: &route.Route{Name: name}, meta: Meta{ClientTimeout: time.Second}})
+		s.isRetry(&job{route: &route.Route{Name: name}, meta: Meta{ClientTimeout: time.Second}})
 	}
 	f.Forget(func(string) bool { return true })
 	assert.Equal(t, len(s.engines.lengths), 1)
-	assert.Equal(t, len(s.returners), 1)
-	assert.Assert(t, s.engines.lengths["stays"] != nil && s.returners["stays"] != nil)
+	assert.Equal(t, len(s.retryDetectors), 1)
+	assert.Assert(t, s.engines.lengths["stays"] != nil && s.retryDetectors["stays"] != nil)
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -31,12 +31,12 @@
 		{"unsafe and failed is passed on", "/unsafe/1", site.Fail, 500, "failed at p1", "plain p1"},
 		{"unsafe and lost may have run", "/unsafe/1", site.Reset, 502, "", "plain p1"},
 		{"unsafe and cut may have run", "/unsafe/1", site.Short, 502, "", "plain p1"},
-		{"unsafe and refused goes on", "/unsafe/1", site.Shed, 200, "answer of p2 to /unsafe/1", "plain p1, plain p2"},
+		{"unsafe and refused is retried", "/unsafe/1", site.Shed, 200, "answer of p2 to /unsafe/1", "plain p1, plain p2"},
 		{"one attempt, refused", "/once/1", site.Shed, 503, "", "plain p1"},
 		{"the route's timeout", "/brief/1", site.Mute, 504, "", "plain p1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := plain(t)
+			w := newPlainEnv(t)
 			w.servers["p1"].Behave(c.first)
 			got := w.post(t, c.path)
 			assert.Equal(t, got.status, c.status)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestFailureEverywhere hands on the last failure as its server made it.
+// TestFailureEverywhere passes on the last failure as the server sent it.
 func TestFailureEverywhere(t *testing.T) {
-	w := plain(t)
+	w := newPlainEnv(t)
 	for _, s := range w.servers {
 		s.Behave(site.Fail)
 	}
@@ -60,19 +60,19 @@
 	assert.Equal(t, len(w.log.Calls()), 2, "no more than the route's attempts")
 }
 
-// TestEndedServer refuses connections: the request was not sent, and goes elsewhere even
-// though it must not run twice.
-func TestEndedServer(t *testing.T) {
-	w := plain(t)
+// TestTerminatedServer: a terminated server refuses connections, so the request was not sent, and goes elsewhere even
+// if it must not run twice.
+func TestTerminatedServer(t *testing.T) {
+	w := newPlainEnv(t)
 	w.servers["p1"].Close()
 	got := w.post(t, "/once/1")
 	assert.Equal(t, got.body, "answer of p2 to /once/1")
 	assert.DeepEqual(t, w.down, []string{"p1"})
 }
 
-// TestAddressUsedAgain: another server answers at the address.
-func TestAddressUsedAgain(t *testing.T) {
-	w := plain(t)
+// TestAddressReused: another server answers at the address.
+func TestAddressReused(t *testing.T) {
+	w := newPlainEnv(t)
 	w.servers["p1"].ID = "other"
 	got := w.post(t, "/unsafe/1")
 	assert.Equal(t, got.body, "answer of p2 to /unsafe/1")
@@ -80,7 +80,7 @@
 }
 
 func TestRejected(t *testing.T) {
-	w := plain(t)
+	w := newPlainEnv(t)
 	for _, c := range []struct {
 		name, path string
 		extra      []string
@@ -98,8 +98,8 @@
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
 
-// TestClientLeaves: whatever a server does for a client ends once it has left.
-func TestClientLeaves(t *testing.T) {
+// TestClientDisconnects: servers stop working for a client that has disconnected.
+func TestClientDisconnects(t *testing.T) {
 	for _, c := range []struct {
 		path, tokens, kind, server string
 		behave                     site.Behaviour
@@ -109,19 +109,19 @@
 		{"/draft/1", site.Tokens + ": 1000,200\r\n", site.Decode, "", site.Silent},
 	} {
 		t.Run(c.path+c.kind, func(t *testing.T) {
-			w := plain(t)
+			w := newPlainEnv(t)
 			w.add(t, "pre", "llm", registry.Prefill)
 			w.add(t, "d1", "llm", registry.Decode)
 			w.add(t, "d2", "llm", registry.Decode)
 			if c.server != "" {
 				w.servers[c.server].Behave(c.behave)
 			} else {
-				w.both(c.behave)
+				w.setDecodeBehaviour(c.behave)
 			}
 			conn, err := net.Dial("tcp", w.addr)
 			assert.NilError(t, err)
 			_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h\r\n%s: id-2\r\n%s: %s\r\n%sContent-Length: 0\r\n\r\n",
-				c.path, site.RequestID, site.Deadline, patience, c.tokens)
+				c.path, site.RequestID, site.Deadline, clientDeadline, c.tokens)
 			assert.NilError(t, err)
 			w.log.Wait(t, false, func(got site.Call) bool { return got.Kind == c.kind })
 			assert.NilError(t, conn.Close())
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestDraining answers all the same, and asks for another connection.
+// TestDraining: a draining process still answers, and asks for another connection.
 func TestDraining(t *testing.T) {
-	w := plain(t)
+	w := newPlainEnv(t)
 	w.fwd.Drain(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
 	conn, err := net.Dial("tcp", w.addr)
 	assert.NilError(t, err)
@@ -145,40 +145,40 @@
 	assert.Assert(t, res.Close)
 }
 
-// TestDrainTakesWhatItCanFinish: what would be cut off by the end of the process is turned
-// away at once, with proof and when to come back.
-func TestDrainTakesWhatItCanFinish(t *testing.T) {
-	w := engines(t)
+// TestDrainAcceptsWhatItCanFinish: a request that the end of the process would cut off is rejected at once as not run,
+// with a Retry-After.
+func TestDrainAcceptsWhatItCanFinish(t *testing.T) {
+	w := newEngineEnv(t)
 	w.add(t, "p1", "plain", registry.Whole)
 	w.fwd.Drain(time.Now(), time.Now().Add(10*time.Second))
 	got := w.post(t, "/draft/1")
 	assert.Equal(t, got.status, 503)
-	assert.Equal(t, got.header.Get("Retry-After"), "3.00", "once the next process is ready here")
+	assert.Equal(t, got.header.Get("Retry-After"), "3.00", "when the next process is ready here")
 	w.others = 1
-	assert.Equal(t, w.post(t, "/draft/1").header.Get("Retry-After"), "0.50", "to another one")
+	assert.Equal(t, w.post(t, "/draft/1").header.Get("Retry-After"), "0.50", "at another gateway")
 	assert.Equal(t, w.post(t, "/safe/1").status, 503, "its timeout is thirty seconds")
 	assert.Equal(t, w.post(t, "/brief/1").status, 200)
 	assert.Equal(t, w.log.Kinds(), "plain p1")
 }
 
-// TestPlacementIsTold as it changes, and ends with the run.
-func TestPlacementIsTold(t *testing.T) {
-	w := engines(t)
+// TestPlacementIsReported: placement is reported as it changes, and ends with the run.
+func TestPlacementIsReported(t *testing.T) {
+	w := newEngineEnv(t)
 	w.post(t, "/draft/1")
 	<-w.fwd.PlacementChanged()
 	changed := w.fwd.TakeChangedPlacements()
-	assert.Equal(t, len(changed), 2, "the engine that read the prompt and the one that generated")
+	assert.Equal(t, len(changed), 2, "the prefill engine and the decode engine")
 	assert.DeepEqual(t, changed[0].Load, kvmemory.Load{})
 	assert.DeepEqual(t, changed[1].Load, kvmemory.Load{})
 	assert.Equal(t, len(w.fwd.Placements()), 0)
 	full := kvmemory.Load{Tokens: 10_000, Ahead: kvmemory.Constant(10_000)}
 	w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d1": full, "d2": full})
-	assert.Equal(t, w.post(t, "/draft/1").status, 503, "others have placed everything")
+	assert.Equal(t, w.post(t, "/draft/1").status, 503, "peers use all memory")
 }
 
 // TestRetryAfterIsRoundedDown: a client honours at most a third of the time that it has left.
 func TestRetryAfterIsRoundedDown(t *testing.T) {
-	w := engines(t)
+	w := newEngineEnv(t)
 	w.servers["d1"].SetFull(true)
 	w.servers["d2"].SetFull(true)
 	got := w.post(t, "/draft/1", site.Tokens, "20000,10", site.Deadline, "5000")
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -29,7 +29,7 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// Config is what a Forwarder needs. All fields are required.
+// Config holds the dependencies and settings of a Forwarder. All fields are required.
 type Config struct {
 	Codec   Codec
 	Engines Engines
@@ -40,108 +40,110 @@
 	Quota   Quota
 	Log     *log.Logger
 	Metrics *metrics.Set
-	// VM and Zone are those of this process.
+	// VM and Zone identify this process.
 	VM, Zone string
-	// Retry bounds the repeats over all routers.
+	// Retry bounds the retries of all routers together.
 	Retry retrybudget.Limits
-	// Off are the mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off mechanism.Set
 }
 
-// Forwarder answers requests. It is an http.Handler, safe for concurrent use.
+// Forwarder is the http.Handler that forwards requests to servers. It is safe for concurrent use.
 type Forwarder struct {
 	Config
 	// drain is nil while the process does not drain.
 	drain atomic.Pointer[drain]
-	// streams is the number of streams in progress.
+	// streams counts the streams in progress.
 	streams atomic.Int64
-	// placed is sent to when the placement on decode engines has changed.
-	placed chan struct{}
-	// attempts are those in progress.
+	// placementChanged is signalled when the placement on decode engines has changed.
+	placementChanged chan struct{}
+	// attempts are the attempts in progress.
 	attempts *attempts
-	// interrupted is which of them were in progress at servers that ended.
+	// interrupted tracks the attempts that were in progress at servers that terminated.
 	interrupted *interrupted
-	// doubts are engines at which requests fail.
-	doubts *doubts
-	// limits are what servers say that they take, faults is what can't be understood of what they say.
-	limits *ServerLimits
-	faults *faults
-	// rests are servers that want nothing from this process for a while.
-	rests *rests
-	// refusals are the last requests that were turned away for keys and quotas.
+	// suspicions tracks engines at which requests fail.
+	suspicions *suspicions
+	// limits are the request rates that servers declare, invalidFields the fields of their answers that can't be
+	// parsed.
+	limits        *ServerLimits
+	invalidFields *invalidFields
+	// cooldowns tracks servers that asked this process to send them nothing for a while.
+	cooldowns *cooldowns
+	// refusals are the last requests that were rejected for their key or quota.
 	refusals refusals
 
 	mu sync.Mutex
-	// services is the state for each service, by name; guarded by mu.
+	// services is the state of each service, by name; guarded by mu.
 	services map[string]*service
 }
 
-// service is what a process learned of one service. Fields are guarded by Forwarder.mu
-// but for engines, which has its own lock.
+// service is the local state of one service. Fields are guarded by Forwarder.mu, except engines, which has its own
+// lock.
 type service struct {
 	budget retrybudget.Budget
-	// outliers is what was observed of whole answers.
+	// outliers tracks the failure rate of each server.
 	outliers    *outlier.Tracker
 	outstanding map[string]int
-	// limits is how many calls each server of a plain service gets.
+	// limits decides how many calls each server of a plain service gets.
 	limits *overload.Limiter
-	// returners tells who has come back, by route.
-	returners map[string]*waitqueue.Returners
-	// readers are the engines that read prompts, engines those that generate.
-	readers *prefillpool.Pool
-	engines *engines
-	// arriving is the rate of prompts, in tokens per second.
-	arriving stages.Mean
-	// wanting is the rate of memory that requests ask for, in tokens per second, weighted
-	// the same with each multiplied by the tokens that it generates; hold is how long runs
-	// hold memory.
-	wanting, weighted stages.Mean
-	hold              stages.Hold
+	// retryDetectors recognizes retries after a rejection, by route.
+	retryDetectors map[string]*waitqueue.Returners
+	// prefillPool chooses prefill engines, engines the decode engines.
+	prefillPool *prefillpool.Pool
+	engines     *engines
+	// promptRate is the arrival rate of prompts, in tokens per second.
+	promptRate stages.Mean
+	// memoryRate is the rate at which requests ask for memory, in tokens per second; weightedMemoryRate weights each
+	// request by the tokens that it generates. holdTime is how long runs hold memory.
+	memoryRate, weightedMemoryRate stages.Mean
+	holdTime                       stages.Hold
 }
 
 // New returns a Forwarder.
 func New(c Config) *Forwarder {
 	f := &Forwarder{
-		Config: c, services: map[string]*service{}, placed: make(chan struct{}, 1), attempts: newAttempts(),
-		interrupted: newInterrupted(), doubts: newDoubts(c.VM), limits: newServerLimits(c.VM), faults: &faults{fields: map[string]string{}}, rests: newRests(),
+		Config: c, services: map[string]*service{}, placementChanged: make(chan struct{}, 1), attempts: newAttempts(),
+		interrupted: newInterrupted(), suspicions: newSuspicions(c.VM), limits: newServerLimits(c.VM), invalidFields: &invalidFields{byServer: map[string]string{}}, cooldowns: newCooldowns(),
 	}
-	c.Engines.OnSignals(f.hear)
+	c.Engines.OnSignals(f.receiveSignals)
 	c.Metrics.GaugeFunc(metrics.ServersLimited, f.limits.count.Load)
 	return f
 }
 
-// PlacementChanged is sent to when TakeChangedPlacements has something to return.
-func (f *Forwarder) PlacementChanged() <-chan struct{} { return f.placed }
+// PlacementChanged is signalled when TakeChangedPlacements or TakeFailures has something to return.
+func (f *Forwarder) PlacementChanged() <-chan struct{} { return f.placementChanged }
 
-func (f *Forwarder) tellPlaced() {
+func (f *Forwarder) notifyPlacementChanged() {
 	select {
-	case f.placed <- struct{}{}:
+	case f.placementChanged <- struct{}{}:
 	default:
 	}
 }
 
-// drain is how a process ends: it begins no stream from streams on, and is gone at end.
-type drain struct{ streams, end time.Time }
+// drain is the schedule of a shutdown: no stream is started from noStreamsFrom on, and the process exits at exitAt.
+type drain struct{ noStreamsFrom, exitAt time.Time }
 
-// Drain makes all further answers close their connection. Streams are begun until streams,
-// and calls as long as they will be answered before the process ends.
-func (f *Forwarder) Drain(streams, end time.Time) { f.drain.Store(&drain{streams: streams, end: end}) }
+// Drain makes all further answers close their connection. Streams are accepted until streams, and calls as long as
+// their deadline is before end, when the process exits.
+func (f *Forwarder) Drain(streams, end time.Time) {
+	f.drain.Store(&drain{noStreamsFrom: streams, exitAt: end})
+}
 
 func (f *Forwarder) draining() bool { return f.drain.Load() != nil }
 
-// ActiveStreams is the number of streams in progress.
+// ActiveStreams returns the number of streams in progress.
 func (f *Forwarder) ActiveStreams() int { return int(f.streams.Load()) }
 
 const (
-	// drainRetry is when to come back to another gateway.
+	// drainRetry is the Retry-After for a retry at another gateway.
 	drainRetry = 500 * time.Millisecond
-	// restartRetry is when to come back where there is no other: streams in progress take
-	// some four seconds to end, and the next process half a second to be ready.
+	// restartRetry is the Retry-After if there is no other gateway: streams in progress take about four seconds to
+	// finish, and the next process half a second to become ready.
 	restartRetry = 3 * time.Second
 )
 
-// drained answers a request that this process will not begin any more.
-func (f *Forwarder) drained(j *job) {
+// refuseWhileDraining refuses a request that the draining process does not start any more.
+func (f *Forwarder) refuseWhileDraining(j *job) {
 	after := drainRetry
 	if f.View.Others() == 0 {
 		after = restartRetry
@@ -149,28 +151,28 @@
 	f.refuse(j, outcome.Draining, min(after, j.left(j.arrived)/3))
 }
 
-// fitsDrain reports whether a request may be begun though the process drains.
-func (f *Forwarder) fitsDrain(j *job) bool {
+// acceptsWhileDraining reports whether a request may be started although the process drains.
+func (f *Forwarder) acceptsWhileDraining(j *job) bool {
 	d := f.drain.Load()
 	switch {
 	case d == nil:
 		return true
-	case j.streams():
-		return j.arrived.Before(d.streams)
+	case j.isStream():
+		return j.arrived.Before(d.noStreamsFrom)
 	default:
-		return d.end.After(j.deadline)
+		return d.exitAt.After(j.deadline)
 	}
 }
 
-// service returns the state of a service.
+// service returns the state of a service, created on first use.
 func (f *Forwarder) service(name string) *service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.services[name]
 	if !ok {
 		s = &service{
-			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waitqueue.Returners{},
-			readers: prefillpool.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
+			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), retryDetectors: map[string]*waitqueue.Returners{},
+			prefillPool: prefillpool.New(prefillConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.suspicions.suspected, f.unavailable, f.notifyPlacementChanged),
 		}
 		f.services[name] = s
 	}
@@ -184,11 +186,11 @@
 	if !f.admit(j) {
 		return
 	}
-	if !f.fitsDrain(j) {
-		f.drained(j)
+	if !f.acceptsWhileDraining(j) {
+		f.refuseWhileDraining(j)
 		return
 	}
-	if left, held := f.held(j); held {
+	if left, held := f.quarantined(j); held {
 		f.refuse(j, outcome.Quarantined, left)
 		return
 	}
@@ -199,23 +201,22 @@
 	ctx, end := f.Watcher.Watch(j.caller, j.deadline)
 	defer end()
 	f.countRequest(j)
-	if j.streams() {
+	if j.isStream() {
 		f.streams.Add(1)
 		defer f.streams.Add(-1)
-		r := &stream{course: course{f: f, j: j}, lastEvent: j.meta.LastEventID}
+		r := &stream{baseRequest: baseRequest{f: f, j: j}, lastEvent: j.meta.LastEventID}
 		r.finish(lifecycle.Run(ctx, r))
-		f.freeExport(j, r.takeKept())
+		f.freeExport(j, r.takeSpareExport())
 		return
 	}
-	c := &call{course{f: f, j: j}}
+	c := &call{baseRequest{f: f, j: j}}
 	c.finish(lifecycle.Run(ctx, c))
 }
 
-// streams reports whether the request needs a prefill and a decode engine.
-func (j *job) streams() bool { return j.table.Services[j.service].Engine != nil }
+// isStream reports whether the request needs a prefill and a decode engine.
+func (j *job) isStream() bool { return j.table.Services[j.service].Engine != nil }
 
-// admit finds the route of a request and reads it. When it returns false the request
-// has been answered.
+// admit parses a request and finds its route. When it returns false the request has been answered.
 func (f *Forwarder) admit(j *job) bool {
 	var err error
 	j.meta, err = f.Codec.ParseRequest(j.r.Header)
@@ -254,11 +255,11 @@
 	return true
 }
 
-// unconfiguredRetry is when to come back to a process that knows no configuration yet;
-// one that has just started reads it within some tens of milliseconds.
+// unconfiguredRetry is the Retry-After of a process without a configuration; one that has just started reads it within
+// some tens of milliseconds.
 const unconfiguredRetry = 300 * time.Millisecond
 
-// hostOf is the host that a request names, without its port.
+// hostOf returns the host of a request, without the port.
 func hostOf(r *http.Request) string {
 	if host, _, err := net.SplitHostPort(r.Host); err == nil {
 		return host
@@ -271,29 +272,29 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.budget.Request(f.Retry, j.arrived)
-	j.late = s.returned(j)
-	if j.late {
+	j.retried = s.isRetry(j)
+	if j.retried {
 		f.Metrics.Counter(metrics.Returners).Inc(1)
 	}
-	if j.streams() {
-		s.arriving.Add(float64(j.meta.PromptTokens), j.arrived)
-		s.wanting.Add(float64(j.need()), j.arrived)
-		s.weighted.Add(float64(j.need()*j.generates()), j.arrived)
+	if j.isStream() {
+		s.promptRate.Add(float64(j.meta.PromptTokens), j.arrived)
+		s.memoryRate.Add(float64(j.memoryNeed()), j.arrived)
+		s.weightedMemoryRate.Add(float64(j.memoryNeed()*j.expectedOutput()), j.arrived)
 	}
 }
 
-// returned reports whether the client of a job has come back after a refusal.
-func (s *service) returned(j *job) bool {
-	r, ok := s.returners[j.route.Name]
+// isRetry reports whether a request is a client's retry after a rejection.
+func (s *service) isRetry(j *job) bool {
+	r, ok := s.retryDetectors[j.route.Name]
 	if !ok {
 		r = &waitqueue.Returners{}
-		s.returners[j.route.Name] = r
+		s.retryDetectors[j.route.Name] = r
 	}
 	return r.Returned(j.meta.ClientTimeout)
 }
 
-// mayRepeat takes one repeat from the budget of the job's service.
-func (f *Forwarder) mayRepeat(j *job) bool {
+// takeRetry takes one retry from the budget of the job's service.
+func (f *Forwarder) takeRetry(j *job) bool {
 	s := f.service(j.service)
 	routers := f.View.Routers()
 	f.mu.Lock()
@@ -305,59 +306,59 @@
 	return ok
 }
 
-// Forget drops what was learned of servers that known does not name, and of routes that are
-// not in the table any more: their names change with the configuration.
+// Forget drops the state of servers that known does not report, and of routes that are no longer in the table: route
+// names change with the configuration.
 func (f *Forwarder) Forget(known func(id string) bool) {
-	for _, id := range f.interrupted.missing(known) {
-		f.serverEnded(id, endedGone)
+	for _, id := range f.interrupted.unlisted(known) {
+		f.serverTerminated(id, signUnlisted)
 	}
 	f.limits.forget(known)
-	f.faults.forget(known)
-	f.rests.forget(known)
+	f.invalidFields.forget(known)
+	f.cooldowns.forget(known)
 	table := f.View.Table()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.services {
 		s.outliers.Forget(known)
-		s.readers.Forget(known)
+		s.prefillPool.Forget(known)
 		s.limits.Forget(known)
 		if table == nil {
 			continue
 		}
 		s.engines.forget(table.Has)
-		maps.DeleteFunc(s.returners, func(name string, _ *waitqueue.Returners) bool { return !table.Has(name) })
+		maps.DeleteFunc(s.retryDetectors, func(name string, _ *waitqueue.Returners) bool { return !table.Has(name) })
 	}
 }
 
-// ServiceLoads is the use of the engines of each model service; see ServiceLoad.
+// ServiceLoads returns the load of each model service; see ServiceLoad.
 func (f *Forwarder) ServiceLoads() map[string]stages.Load {
 	f.mu.Lock()
 	names := slices.Collect(maps.Keys(f.services))
 	f.mu.Unlock()
 	out := map[string]stages.Load{}
 	for _, name := range names {
-		if use := f.ServiceLoad(name); use.ReadRate > 0 {
-			out[name] = use
+		if load := f.ServiceLoad(name); load.ReadRate > 0 {
+			out[name] = load
 		}
 	}
 	return out
 }
 
-// ServiceLoad is the use of one service's engines by this process: how fast one engine reads, the
-// prompts that arrive, and the memory that they would hold if none had to wait.
+// ServiceLoad returns the load that this process puts on one service's engines: the prefill rate of one engine, the
+// arrival rate of prompts, and the memory that they would hold if none had to wait.
 func (f *Forwarder) ServiceLoad(name string) stages.Load {
 	s := f.service(name)
 	now := time.Now()
-	short := s.engines.isShort(now)
+	short := s.engines.memoryShort(now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return stages.Load{
 		Short:    short,
-		ReadRate: s.arriving.At(now), EngineRate: s.readers.PerSecond(), Held: s.hold.Want(s.wanting.At(now), s.weighted.At(now)),
+		ReadRate: s.promptRate.At(now), EngineRate: s.prefillPool.PerSecond(), Held: s.holdTime.Want(s.memoryRate.At(now), s.weightedMemoryRate.At(now)),
 	}
 }
 
-// reasonOf tells why a request's context ended.
+// reasonOf returns why a request's context ended.
 func reasonOf(ctx context.Context) outcome.Reason {
 	if context.Cause(ctx) == httpserver.ErrCallerGone {
 		return outcome.CallerGone
--- a/forward/interrupted.go
+++ b/forward/interrupted.go
@@ -7,52 +7,52 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 )
 
-// interrupted is which requests were in progress at servers that ended. It is safe for concurrent use.
+// interrupted tracks which requests were in progress at servers that terminated. It is safe for concurrent use.
 type interrupted struct {
-	mu   sync.Mutex
-	ends *quarantine.Ends
-	// asked are the servers that are being asked whether they are there.
-	asked map[string]struct{}
+	mu      sync.Mutex
+	tracker *quarantine.Ends
+	// probed are the servers that are being probed.
+	probed map[string]struct{}
 }
 
 func newInterrupted() *interrupted {
-	return &interrupted{ends: quarantine.NewEnds(), asked: map[string]struct{}{}}
+	return &interrupted{tracker: quarantine.NewEnds(), probed: map[string]struct{}{}}
 }
 
-// broke reports whether the server of an attempt that broke is known to have ended, and whether it is to be
-// asked: if it cut the connection, and by one request at a time.
-func (r *interrupted) broke(id string, b quarantine.Broken, cut bool) (ended, ask bool) {
+// add records an interrupted attempt. It returns whether its server is known to have terminated, and whether to probe
+// it: if it cut the connection and no other probe is in progress.
+func (r *interrupted) add(id string, b quarantine.Broken, cut bool) (terminated, probe bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ends.Broke(id, b, time.Now()) {
+	if r.tracker.Broke(id, b, time.Now()) {
 		return true, false
 	}
-	if _, ok := r.asked[id]; ok || !cut {
+	if _, ok := r.probed[id]; ok || !cut {
 		return false, false
 	}
-	r.asked[id] = struct{}{}
+	r.probed[id] = struct{}{}
 	return false, true
 }
 
-func (r *interrupted) answered(id string) {
+func (r *interrupted) endProbe(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.asked, id)
+	delete(r.probed, id)
 }
 
-func (r *interrupted) ended(id string) []quarantine.Broken {
+func (r *interrupted) serverTerminated(id string) []quarantine.Broken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends.Ended(id, time.Now())
+	return r.tracker.Ended(id, time.Now())
 }
 
-// missing returns the servers at which attempts broke and that known does not name, and forgets what is old.
-func (r *interrupted) missing(known func(id string) bool) []string {
+// unlisted returns the servers with interrupted attempts that known does not report, and drops expired entries.
+func (r *interrupted) unlisted(known func(id string) bool) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ends.Expire(time.Now())
+	r.tracker.Expire(time.Now())
 	var out []string
-	for _, id := range r.ends.Waiting() {
+	for _, id := range r.tracker.Waiting() {
 		if !known(id) {
 			out = append(out, id)
 		}
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -9,7 +9,7 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
-// memoryConfig is how decode engines are chosen without the mechanisms that are off.
+// memoryConfig returns the configuration for choosing decode engines without the disabled mechanisms.
 func memoryConfig(off mechanism.Set) kvmemory.Config {
 	c := kvmemory.DefaultConfig()
 	if off.Has(mechanism.Turns) {
@@ -24,8 +24,8 @@
 	return c
 }
 
-// readingConfig is the same for who reads prompts.
-func readingConfig(off mechanism.Set) prefillpool.Config {
+// prefillConfig returns the configuration for choosing prefill engines without the disabled mechanisms.
+func prefillConfig(off mechanism.Set) prefillpool.Config {
 	c := prefillpool.DefaultConfig()
 	if off.Has(mechanism.SelfRead) {
 		c.Self = 0
@@ -33,8 +33,8 @@
 	return c
 }
 
-// waitingTerms is the same for requests that wait.
-func waitingTerms(off mechanism.Set) waitqueue.Terms {
+// queueTerms returns the terms of the wait queue without the disabled mechanisms.
+func queueTerms(off mechanism.Set) waitqueue.Terms {
 	t := waitqueue.DefaultTerms()
 	if off.Has(mechanism.LateWait) {
 		t.LateWait = 0
--- a/forward/prefill.go
+++ b/forward/prefill.go
@@ -14,100 +14,98 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// source is an exported KV cache and the engine that holds it.
-type source struct {
+// kvSource is an exported KV cache and the engine that holds it.
+type kvSource struct {
 	Export
 	server registry.Server
-	// readAt is when it was exported.
-	readAt time.Time
+	// exportedAt is when the KV cache was exported.
+	exportedAt time.Time
 }
 
-// prefillTries bounds how often a prompt is sent to prefill engines before the decode
-// engine reads it itself.
-const prefillTries = 2
+// maxPrefillTries bounds how often a prompt is sent to prefill engines before the decode engine prefills it itself.
+const maxPrefillTries = 2
 
-// prefill has the prompt read and returns where the KV cache is, or nil when the decode
-// engine of the lease has to read it itself. A reading that was sent and did not succeed makes whatever is
-// sent next a repeat; owed is set when that was not taken from the budget yet.
-func (f *Forwarder) prefill(ctx context.Context, j *job, l *lease) (export *source, owed bool) {
+// prefill has the prompt prefilled and returns where the KV cache is, or nil if the decode engine of the lease has to
+// prefill it itself. After a prefill that was sent and failed, whatever is sent next is a retry; retryDue is set while
+// that has not been taken from the budget.
+func (f *Forwarder) prefill(ctx context.Context, j *job, l *lease) (export *kvSource, retryDue bool) {
 	var tried []string
-	for len(tried) < prefillTries {
-		if _, held := f.held(j); held {
-			return nil, owed
+	for len(tried) < maxPrefillTries {
+		if _, held := f.quarantined(j); held {
+			return nil, retryDue
 		}
 		c, ok := f.choosePrefill(j, l, tried)
 		if !ok {
-			return nil, owed
+			return nil, retryDue
 		}
-		if owed && !f.mayRepeat(j) {
+		if retryDue && !f.takeRetry(j) {
 			return nil, true
 		}
 		tried = append(tried, c.Server.ID)
-		export, err := f.read(ctx, j, c)
+		export, err := f.runPrefill(ctx, j, c)
 		if err == nil {
-			return &source{Export: export, server: c.Server, readAt: time.Now()}, false
+			return &kvSource{Export: export, server: c.Server, exportedAt: time.Now()}, false
 		}
-		f.attemptLost(j, c.Server, f.explain(ctx, err), err)
-		if errors.Is(err, errBarred) {
+		f.attemptLost(j, c.Server, f.reasonFor(ctx, err), err)
+		if errors.Is(err, errBlocked) {
 			break
 		}
-		owed = !errors.Is(err, upstream.ErrNotSent)
+		retryDue = !errors.Is(err, upstream.ErrNotSent)
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, owed
+	return nil, retryDue
 }
 
-// choosePrefill returns the engine that is to read the prompt, or none when the decode engine
-// of the lease had better read it.
+// choosePrefill returns the engine to prefill the prompt, or none if the decode engine of the lease had better do it.
 func (f *Forwarder) choosePrefill(j *job, l *lease, tried []string) (prefillpool.Choice, bool) {
 	servers := f.View.Servers(j.service)
 	s := f.service(j.service)
 	ask := prefillpool.Ask{
-		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, Crowd: s.engines.crowd(l.server.ID), Exclude: tried,
-		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.doubts.doubtful, Closed: f.closed,
+		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, Crowd: s.engines.slotLoad(l.server.ID), Exclude: tried,
+		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.suspicions.suspected, Closed: f.unavailable,
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.readers.Pick(servers, ask, time.Now())
+	return s.prefillPool.Pick(servers, ask, time.Now())
 }
 
-// read sends the prompt to one prefill engine.
-func (f *Forwarder) read(ctx context.Context, j *job, c prefillpool.Choice) (Export, error) {
+// runPrefill sends the prompt to one prefill engine.
+func (f *Forwarder) runPrefill(ctx context.Context, j *job, c prefillpool.Choice) (Export, error) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.Limit)
 	defer cancel()
 	ctx, end := f.attempts.begin(ctx, c.Server.ID)
 	defer end()
-	f.readingBegins(j, c)
-	export, err := f.askExport(ctx, j, c.Server)
+	f.prefillBegins(j, c)
+	export, err := f.requestExport(ctx, j, c.Server)
 	took := time.Since(start)
-	j.read += took
+	j.prefillTime += took
 	if err == nil {
-		f.doubts.succeeded(c.Server.ID)
+		f.suspicions.succeeded(c.Server.ID)
 	}
-	f.readingEnds(j, c, err == nil, took)
+	f.prefillEnds(j, c, err == nil, took)
 	return export, err
 }
 
-func (f *Forwarder) readingBegins(j *job, c prefillpool.Choice) {
+func (f *Forwarder) prefillBegins(j *job, c prefillpool.Choice) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.readers.Begin(c.Server.ID, j.meta.PromptTokens)
-	s.engines.noteReading(c.Server.ID, s.readers.OwnAt(c.Server.ID))
+	s.prefillPool.Begin(c.Server.ID, j.meta.PromptTokens)
+	s.engines.recordPrefill(c.Server.ID, s.prefillPool.OwnAt(c.Server.ID))
 }
 
-func (f *Forwarder) readingEnds(j *job, c prefillpool.Choice, ok bool, took time.Duration) {
+func (f *Forwarder) prefillEnds(j *job, c prefillpool.Choice, ok bool, took time.Duration) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.readers.End(c, j.meta.PromptTokens, ok, took, time.Now())
-	s.engines.noteReading(c.Server.ID, s.readers.OwnAt(c.Server.ID))
+	s.prefillPool.End(c, j.meta.PromptTokens, ok, took, time.Now())
+	s.engines.recordPrefill(c.Server.ID, s.prefillPool.OwnAt(c.Server.ID))
 }
 
-func (f *Forwarder) askExport(ctx context.Context, j *job, s registry.Server) (Export, error) {
+func (f *Forwarder) requestExport(ctx context.Context, j *job, s registry.Server) (Export, error) {
 	res, err := f.send(ctx, j, s, Send{PrefillOnly: true})
 	if err != nil {
 		return Export{}, err
@@ -127,27 +125,28 @@
 	}
 }
 
-// keptShare is the part of an exported KV cache's life after which another engine would hardly fetch it in time.
-const keptShare = 0.8
+// exportReuseShare is the share of an exported KV cache's time to live after which another engine could hardly fetch
+// it in time.
+const exportReuseShare = 0.8
 
-// keep keeps the KV cache of a run that did not come to be, for the next attempt.
-func (r *stream) keep(export *source) { r.kept = export }
+// keepExport keeps the KV cache of a run that was not started, for the next attempt.
+func (r *stream) keepExport(export *kvSource) { r.spareExport = export }
 
-// takeKept returns the KV cache that was kept, if it can still be fetched.
-func (r *stream) takeKept() *source {
-	export := r.kept
-	r.kept = nil
-	life := r.j.table.Services[r.j.service].Engine.ExportLife
-	if export == nil || time.Since(export.readAt) > time.Duration(keptShare*float64(life)) {
+// takeSpareExport returns the KV cache kept for this attempt, if it can still be fetched.
+func (r *stream) takeSpareExport() *kvSource {
+	export := r.spareExport
+	r.spareExport = nil
+	lifetime := r.j.table.Services[r.j.service].Engine.ExportLife
+	if export == nil || time.Since(export.exportedAt) > time.Duration(exportReuseShare*float64(lifetime)) {
 		return nil
 	}
 	return export
 }
 
-// freeExport frees a KV cache that will not be fetched, without waiting for it. At an engine that wants nothing it lapses
-// by itself.
-func (f *Forwarder) freeExport(j *job, e *source) {
-	if e == nil || f.rests.left(e.server.ID) > 0 {
+// freeExport frees a KV cache that will not be fetched, in the background. At an engine in a cooldown it expires by
+// itself.
+func (f *Forwarder) freeExport(j *job, e *kvSource) {
+	if e == nil || f.cooldowns.remaining(e.server.ID) > 0 {
 		return
 	}
 	go func() {
@@ -157,9 +156,9 @@
 	}()
 }
 
-func (f *Forwarder) shun(j *job, c registry.Server) {
+func (f *Forwarder) avoidPrefillEngine(j *job, c registry.Server) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.readers.Shun(c.ID, time.Now())
+	s.prefillPool.Shun(c.ID, time.Now())
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -22,22 +22,22 @@
 	maxEvent = 1 << 20
 )
 
-// errSilent ends an attempt whose engine sends no more events.
-var errSilent = errors.New("engine went silent")
+// errStalled ends an attempt whose engine sends no more events.
+var errStalled = errors.New("engine went silent")
 
-// relay hands the events of an engine to the client as they arrive. Only whole events
-// are handed on, so that a stream that breaks can go on elsewhere.
+// relay forwards the events of an engine to the client as they arrive. Only whole events are forwarded, so that an
+// interrupted stream can be resumed elsewhere.
 func (a *streamAttempt) relay(ctx context.Context, head AnswerHead, res *upstream.Response) outcome.Outcome {
 	f, j, s := a.r.f, a.r.j, a.lease.server
 	err := a.r.copyEvents(head, res)
-	f.observe(j, s, err == nil)
+	f.observeOutcome(j, s, err == nil)
 	if err == nil {
-		f.answered(j)
+		f.recordSuccess(j)
 		f.observeHold(j, a.lease)
 		f.service(j.service).engines.finished(a.lease.run)
 		return outcome.Outcome{Kind: outcome.Completed}
 	}
-	reason := f.explain(ctx, err)
+	reason := f.reasonFor(ctx, err)
 	if errors.Is(err, errClient) {
 		reason = outcome.CallerGone
 	}
@@ -45,23 +45,23 @@
 	return j.unanswered(reason)
 }
 
-// errClient means that the client takes no more events.
-var errClient = errors.New("client left")
+// errClient means that the client accepts no more events.
+var errClient = errors.New("client disconnected")
 
 func (r *stream) copyEvents(head AnswerHead, res *upstream.Response) error {
-	stop := r.watchSilence(res)
-	defer stop.end()
+	stall := r.watchStall(res)
+	defer stall.end()
 	br := bufio.NewReaderSize(res.Body, eventBuffer)
 	for {
 		event, err := readEvent(br)
 		if err != nil && err != io.EOF {
-			if stop.silent() {
-				return errSilent
+			if stall.stalled() {
+				return errStalled
 			}
 			return err
 		}
-		stop.reset()
-		r.j.heard = time.Now()
+		stall.reset()
+		r.j.lastActivity = time.Now()
 		if len(event) > 0 {
 			if werr := r.deliver(head, event, !wholeEventBuffered(br)); werr != nil {
 				return werr
@@ -73,18 +73,17 @@
 	}
 }
 
-// deliver hands one event to the client. The head of the first engine goes before the
-// first event.
+// deliver writes one event to the client. The head of the first engine's answer goes before the first event.
 func (r *stream) deliver(head AnswerHead, event []byte, flush bool) error {
 	j := r.j
 	if !j.started {
 		r.f.head(j, head, unknownLength)
-		j.first = time.Since(j.arrived)
-		r.f.Metrics.Timer(metrics.FirstEventTime).Update(j.first)
+		j.firstEvent = time.Since(j.arrived)
+		r.f.Metrics.Timer(metrics.FirstEventTime).Update(j.firstEvent)
 	}
 	if id, ok := eventID(event); ok {
 		r.lastEvent = id
-		r.progress(time.Now())
+		r.recordEvent(time.Now())
 	}
 	if _, err := j.w.Write(event); err != nil {
 		return errClient
@@ -95,19 +94,18 @@
 	return nil
 }
 
-// progress notes one more event of the stream.
-func (r *stream) progress(now time.Time) {
+// recordEvent records one more event of the stream.
+func (r *stream) recordEvent(now time.Time) {
 	j := r.j
 	j.generated += max(j.table.Services[j.service].Engine.EventTokens, 1)
 	r.run.Generated(j.generated)
-	if !r.eventAt.IsZero() {
-		j.pause = max(j.pause, now.Sub(r.eventAt))
+	if !r.lastEventAt.IsZero() {
+		j.maxEventGap = max(j.maxEventGap, now.Sub(r.lastEventAt))
 	}
-	r.eventAt = now
+	r.lastEventAt = now
 }
 
-// readEvent reads up to the empty line that ends an event. At the end of the stream it
-// returns what is left with io.EOF.
+// readEvent reads up to the empty line that ends an event. At the end of the stream it returns the rest with io.EOF.
 func readEvent(br *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -141,41 +139,40 @@
 	return "", false
 }
 
-// silenceLimit is the pause after which a stream that can be resumed is given to
-// another engine. Clients leave after a pause of 3.6 s; usual pauses are far below 0.3 s.
-const silenceLimit = 1500 * time.Millisecond
+// stallLimit is the interval without events after which a resumable stream is moved to another engine. Clients leave
+// after 3.6 s without an event; usual intervals are far below 0.3 s.
+const stallLimit = 1500 * time.Millisecond
 
-// silence closes an answer whose engine sends nothing for silenceLimit, where the stream
-// can go on elsewhere.
-type silence struct {
+// stallTimer closes an answer whose engine sends nothing for stallLimit, if the stream can be resumed elsewhere.
+type stallTimer struct {
 	timer *time.Timer
 	fired *atomic.Bool
 }
 
-func (r *stream) watchSilence(res *upstream.Response) silence {
+func (r *stream) watchStall(res *upstream.Response) stallTimer {
 	if !r.j.route.Resumable || r.j.sends >= r.j.route.Attempts {
-		return silence{}
+		return stallTimer{}
 	}
 	fired := new(atomic.Bool)
-	t := time.AfterFunc(silenceLimit, func() {
+	t := time.AfterFunc(stallLimit, func() {
 		fired.Store(true)
 		_ = res.Body.Close()
 	})
-	return silence{timer: t, fired: fired}
+	return stallTimer{timer: t, fired: fired}
 }
 
-func (s silence) reset() {
+func (s stallTimer) reset() {
 	if s.timer != nil {
-		s.timer.Reset(silenceLimit)
+		s.timer.Reset(stallLimit)
 	}
 }
 
-func (s silence) end() {
+func (s stallTimer) end() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 }
 
-func (s silence) silent() bool {
+func (s stallTimer) stalled() bool {
 	return s.fired != nil && s.fired.Load()
 }
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -16,20 +16,20 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-// lease is room for one request at a decode engine. It belongs to the request's goroutine.
+// lease is memory reserved for one request at a decode engine. It belongs to the request's goroutine.
 type lease struct {
 	server registry.Server
 	run    *kvmemory.Run
-	// reservation is the engine's name for it; empty once it was used.
+	// reservation is the engine's ID of the reservation; empty once it was used.
 	reservation string
-	// since is when it was granted.
+	// since is when the memory was granted.
 	since time.Time
-	// refused is set when the engine took no run though it had granted memory.
+	// refused is set when the engine granted memory but refused the run.
 	refused bool
 }
 
-// Place implements lifecycle.Request: it waits in the line until a decode engine is thought to
-// have room.
+// Place implements lifecycle.Request: it waits in the queue until a decode engine is expected to have enough free
+// memory.
 func (r *stream) Place(ctx context.Context) (*streamAttempt, outcome.Outcome, bool) {
 	f, j := r.f, r.j
 	start := time.Now()
@@ -40,90 +40,91 @@
 		r.waiter = j.newWaiter(e.terms)
 		r.run, j.expected = e.newRun(j.route.Name, &j.meta, r.waiter.Need)
 		if r.waiter.Need > spec.KVTokens {
-			return nil, r.noServer(outcome.PromptTooLong), false
+			return nil, r.noServerLeft(outcome.PromptTooLong), false
 		}
-		if e.hopeless(r.waiter, f.holdTime(j), start) {
-			return nil, r.noServer(outcome.NoPlace), false
+		if e.rejectsEarly(r.waiter, f.holdTime(j), start) {
+			return nil, r.noServerLeft(outcome.NoPlace), false
 		}
 	}
 	r.waiter.Exclude = r.tried
-	if why, closed := r.allClosed(); closed {
-		return nil, r.noServer(why), false
+	if why, unavailable := r.allUnavailable(); unavailable {
+		return nil, r.noServerLeft(why), false
 	}
 	for {
-		id, ok := e.await(ctx, r.waiter, turn{run: r.run, held: r.held, reserve: r.reserveAt}, spec.KVTokens, spec.Slots)
+		id, ok := e.await(ctx, r.waiter, queueEntry{run: r.run, quarantined: r.quarantined, reserve: r.reserveAt}, spec.KVTokens, spec.Slots)
 		if !ok && ctx.Err() != nil {
 			return nil, j.unanswered(reasonOf(ctx)), false
 		}
-		if !ok && r.held() {
+		if !ok && r.quarantined() {
 			return nil, j.unanswered(outcome.Quarantined), false
 		}
 		if !ok {
-			return nil, r.noServer(outcome.NoPlace), false
+			return nil, r.noServerLeft(outcome.NoPlace), false
 		}
-		if s, ok := find(f.View.Servers(j.service), id); ok {
-			j.room = r.run.Room
+		if s, ok := findServer(f.View.Servers(j.service), id); ok {
+			j.freeMemory = r.run.Room
 			return &streamAttempt{r: r, lease: &lease{server: s, run: r.run}}, outcome.Outcome{}, true
 		}
 		e.failed(id, r.run)
 	}
 }
 
-// reserveAt takes the run from what an engine says that it takes.
+// reserveAt takes one request from the rate limit that the engine has declared.
 func (r *stream) reserveAt(id string) bool { return r.f.reserveSend(r.j, id) }
 
-// allClosed reports whether engines generate, and none of them takes the request, by what they say, as long as it can wait.
-func (r *stream) allClosed() (why outcome.Reason, closed bool) {
+// allUnavailable reports whether there are untried decode engines but each has signalled that it takes nothing for
+// longer than the request can wait.
+func (r *stream) allUnavailable() (why outcome.Reason, unavailable bool) {
 	left := time.Until(r.waiter.Until)
 	for _, s := range r.f.View.Servers(r.j.service) {
 		if s.Stage != registry.Decode || slices.Contains(r.tried, s.ID) {
 			continue
 		}
-		wait, reason := r.f.closedFor(s.ID)
+		wait, reason := r.f.unavailableFor(s.ID)
 		if wait <= max(left, 0) {
 			return "", false
 		}
-		why, closed = reason, true
+		why, unavailable = reason, true
 	}
-	return why, closed
+	return why, unavailable
 }
 
-// held reports whether the request is sent to no server any more.
-func (r *stream) held() bool {
-	_, held := r.f.held(r.j)
+// quarantined reports whether the request may not be sent to any server.
+func (r *stream) quarantined() bool {
+	_, held := r.f.quarantined(r.j)
 	return held
 }
 
-// newWaiter is the request's turn in the line.
+// newWaiter returns the request's entry in the wait queue.
 func (j *job) newWaiter(terms waitqueue.Terms) *waitqueue.Waiter {
 	return &waitqueue.Waiter{
-		Need: j.need(), Arrived: j.arrived, Late: j.late, Priority: j.priority(),
-		Until: terms.Until(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.late),
+		Need: j.memoryNeed(), Arrived: j.arrived, Late: j.retried, Priority: j.priority(),
+		Until: terms.Until(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.retried),
 	}
 }
 
-// Reserve implements lifecycle.Attempt: the engine itself grants the memory, since other
-// gateways place requests on it too.
+// Reserve implements lifecycle.Attempt: the engine itself grants the memory, since other gateways place requests on it
+// too.
 func (a *streamAttempt) Reserve(ctx context.Context) (outcome.Outcome, bool) {
 	f, j, l := a.r.f, a.r.j, a.lease
 	start := time.Now()
 	defer func() { j.waited += time.Since(start) }()
-	life := j.table.Services[j.service].Engine.MaxHold
-	reservation, err := f.Engines.Reserve(ctx, l.server, j.reserves(), life)
+	lifetime := j.table.Services[j.service].Engine.MaxHold
+	reservation, err := f.Engines.Reserve(ctx, l.server, j.reservedTokens(), lifetime)
 	if err != nil {
 		a.lease = nil
-		return f.notGranted(ctx, j, l, err), false
+		return f.reservationFailed(ctx, j, l, err), false
 	}
 	l.reservation, l.since = reservation, time.Now()
 	if f.View.Leaving(l.server.ID) {
 		a.lease = nil
-		f.giveBack(j, l)
+		f.releaseLease(j, l)
 		return j.unanswered(outcome.Leaving), false
 	}
 	if a.r.yields(l, l.since) {
 		a.lease = nil
 		f.Metrics.Counter(metrics.ReservationsYielded).Inc(1)
-		f.giveBack(j, l)
+		f.releaseLease(j, l)
 		return j.unanswered(outcome.NoPlace), false
 	}
 	a.r.tried = append(a.r.tried, l.server.ID)
@@ -131,33 +132,32 @@
 }
 
 const (
-	// mostYields bounds how often a request leaves an engine that granted its memory.
-	mostYields = 2
-	// yieldLeast is the time that a request must have left to wait for another engine: a few turns of other
-	// gateways.
-	yieldLeast = 50 * time.Millisecond
+	// maxYields bounds how often a request leaves an engine that has granted its memory.
+	maxYields = 2
+	// minYieldTime is the remaining wait time that a request needs to try another engine: a few staggered delays of
+	// other gateways.
+	minYieldTime = 50 * time.Millisecond
 )
 
-// yields reports whether a request leaves the engine that has just granted its memory, since others were placed
-// there in the meantime. Nothing of it was sent yet.
+// yields reports whether a request leaves the engine that has just granted its memory, because other requests were
+// placed there in the meantime. Nothing of the request has been sent yet.
 func (r *stream) yields(l *lease, now time.Time) bool {
-	if r.yielded >= mostYields || r.waiter.Until.Sub(now) < yieldLeast || !r.f.service(r.j.service).engines.crowded(l.server.ID) {
+	if r.yieldCount >= maxYields || r.waiter.Until.Sub(now) < minYieldTime || !r.f.service(r.j.service).engines.saturated(l.server.ID) {
 		return false
 	}
-	r.yielded++
+	r.yieldCount++
 	return true
 }
 
-// reserves is the memory that is reserved at the engine, in tokens: what the run holds until
-// its first event is there. An engine sets reserved memory apart as long as the run lasts, used
-// or not: with the memory of the whole run reserved, they preempted 47 of 500 runs in half a
-// minute of bursts while they had room, and none with this.
-func (j *job) reserves() int {
+// reservedTokens is the memory to reserve at the engine, in tokens: what the run holds until its first event. An
+// engine keeps memory reserved for the whole run, used or not: with the memory of the whole run reserved, engines
+// preempted 47 of 500 runs in half a minute of bursts although they had free memory, and none with this.
+func (j *job) reservedTokens() int {
 	return j.meta.PromptTokens + max(j.table.Services[j.service].Engine.EventTokens, 1)
 }
 
-// notGranted notes why an engine reserved nothing.
-func (f *Forwarder) notGranted(ctx context.Context, j *job, l *lease, err error) outcome.Outcome {
+// reservationFailed records why an engine granted no reservation, and returns the outcome.
+func (f *Forwarder) reservationFailed(ctx context.Context, j *job, l *lease, err error) outcome.Outcome {
 	e := f.service(j.service).engines
 	switch {
 	case errors.Is(err, ErrFull):
@@ -165,31 +165,32 @@
 		e.refused(l.server.ID, l.run)
 		return j.unanswered(outcome.NoPlace)
 	case errors.Is(err, ErrStopping):
-		// As a refusal it would be forgotten whenever a run ends there, and the engine asked again by every gateway.
+		// Recorded as a refusal it would be forgotten whenever a run completes at the engine, and every gateway would
+		// ask the engine again.
 		f.Metrics.Counter(metrics.ReservationsRefused).Inc(1)
-		f.doubt(l.server)
+		f.suspect(l.server)
 		e.failed(l.server.ID, l.run)
 		return j.unanswered(outcome.NoPlace)
 	case ctx.Err() != nil:
 		e.release(l.server.ID, l.run)
 		return j.unanswered(reasonOf(ctx))
 	default:
-		f.noteReach(l.server, err)
+		f.recordConnectError(l.server, err)
 		f.attemptFailed(j, l.server, outcome.EngineLost, err)
 		e.failed(l.server.ID, l.run)
 		return j.unanswered(outcome.EngineLost)
 	}
 }
 
-// holdTime is the mean time that a run holds memory; zero while it is not known.
+// holdTime returns the mean time that a run holds memory; zero while it is not known.
 func (f *Forwarder) holdTime(j *job) time.Duration {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.hold.Mean()
+	return s.holdTime.Mean()
 }
 
-func find(servers []registry.Server, id string) (registry.Server, bool) {
+func findServer(servers []registry.Server, id string) (registry.Server, bool) {
 	for _, s := range servers {
 		if s.ID == id {
 			return s, true
@@ -198,9 +199,9 @@
 	return registry.Server{}, false
 }
 
-// giveBack ends a lease. A reservation that was not used is returned to the engine
-// without waiting for it; it lapses by itself when that fails.
-func (f *Forwarder) giveBack(j *job, l *lease) {
+// releaseLease ends a lease. An unused reservation is returned to the engine in the background; it expires by itself
+// if that fails.
+func (f *Forwarder) releaseLease(j *job, l *lease) {
 	e := f.service(j.service).engines
 	if l.refused {
 		e.failed(l.server.ID, l.run)
@@ -212,7 +213,7 @@
 	}
 	s, reservation := l.server, l.reservation
 	l.reservation = ""
-	if f.rests.left(s.ID) > 0 {
+	if f.cooldowns.remaining(s.ID) > 0 {
 		return
 	}
 	go func() {
@@ -222,19 +223,19 @@
 	}()
 }
 
-// Placements is what this process placed on engines: runs that generate, prompts that are read.
+// Placements returns the load that this process placed on engines: decode runs and prompts being prefilled.
 func (f *Forwarder) Placements() []kvmemory.Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []kvmemory.Share
 	for _, s := range f.services {
-		out = append(out, s.engines.own()...)
+		out = append(out, s.engines.ownLoads()...)
 	}
 	return out
 }
 
-// TakeChangedPlacements returns what this process placed on the engines whose placement changed
-// since the last call.
+// TakeChangedPlacements returns the load that this process placed on each engine whose placement has changed since the
+// last call.
 func (f *Forwarder) TakeChangedPlacements() []kvmemory.Share {
 	f.mu.Lock()
 	all := slices.Collect(maps.Values(f.services))
@@ -246,7 +247,7 @@
 	return out
 }
 
-// MemoryInUse is the memory that all processes placed on the engines of a service, in tokens.
+// MemoryInUse returns the memory that all processes placed on the engines of a service, in tokens.
 func (f *Forwarder) MemoryInUse(service string) int {
 	e := f.service(service).engines
 	e.mu.Lock()
@@ -255,62 +256,62 @@
 	return used
 }
 
-// SetPeerLoads takes what other processes placed on some engines. Waiting
-// requests are looked at again, since memory may have become free.
+// SetPeerLoads takes the load of some engines as reported by peers. Queued requests are checked again, since memory
+// may have become free.
 func (f *Forwarder) SetPeerLoads(loads map[string]kvmemory.Load) {
 	routers := f.View.Others() + 1
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.services {
-		s.engines.setOthers(loads, routers)
+		s.engines.setPeerLoads(loads, routers)
 		if f.Off.Has(mechanism.ReaderLines) {
 			continue
 		}
 		for id, l := range loads {
-			s.readers.SetOthers(id, l.Tokens)
+			s.prefillPool.SetOthers(id, l.Tokens)
 		}
 	}
 }
 
-// observeHold notes how long a whole run held the memory of its lease.
+// observeHold records how long a whole run held the memory of its lease.
 func (f *Forwarder) observeHold(j *job, l *lease) {
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.hold.Observe(j.read, time.Since(l.since)-j.read, j.generates())
+	s.holdTime.Observe(j.prefillTime, time.Since(l.since)-j.prefillTime, j.expectedOutput())
 }
 
-// comeBack is when a client that is turned away should come back. For one that is held back it is the truth, though no
-// client waits that long: to come before is in vain.
-func (f *Forwarder) comeBack(j *job, reason outcome.Reason) time.Duration {
+// retryAfter is the Retry-After of a rejected request. A quarantined request gets the true time, though no client
+// waits that long: an earlier retry would be in vain.
+func (f *Forwarder) retryAfter(j *job, reason outcome.Reason) time.Duration {
 	if reason == outcome.Quarantined {
-		left, _ := f.held(j)
+		left, _ := f.quarantined(j)
 		return left
 	}
 	if j.table == nil || j.route == nil {
 		return unconfiguredRetry
 	}
 	terms, left := f.service(j.service).engines.terms, j.left(time.Now())
-	if rest := f.allRest(j.service); rest > 0 {
-		return terms.ComeBackIn(rest, left, rand.Float64())
+	if cooldown := f.serviceCooldown(j.service); cooldown > 0 {
+		return terms.ComeBackIn(cooldown, left, rand.Float64())
 	}
 	return terms.ComeBack(left, rand.Float64())
 }
 
-// allRest is how long no server of a service that answers requests wants any from this process.
-func (f *Forwarder) allRest(service string) time.Duration {
-	var least time.Duration
+// serviceCooldown is how long all servers of a service that answer requests are in a cooldown; zero if one is not.
+func (f *Forwarder) serviceCooldown(service string) time.Duration {
+	var shortest time.Duration
 	for _, s := range f.View.Servers(service) {
 		if s.Stage == registry.Prefill {
 			continue
 		}
-		rest := f.rests.left(s.ID)
-		if rest == 0 {
+		cooldown := f.cooldowns.remaining(s.ID)
+		if cooldown == 0 {
 			return 0
 		}
-		if least == 0 || rest < least {
-			least = rest
+		if shortest == 0 || cooldown < shortest {
+			shortest = cooldown
 		}
 	}
-	return least
+	return shortest
 }
--- a/forward/restart_test.go
+++ b/forward/restart_test.go
@@ -9,9 +9,9 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// restarted sends a request that its first server never answers, has that server start again, silently,
+// restartDuring sends a request that its first server never answers, restarts that server without closing connections,
 // and returns the answer and the calls.
-func restarted(t *testing.T, w *world, path, kind string) (answer, []site.Call) {
+func restartDuring(t *testing.T, w *testEnv, path, kind string) (answer, []site.Call) {
 	t.Helper()
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, path) }()
@@ -25,9 +25,9 @@
 	return <-done, w.log.Calls()
 }
 
-// TestStartEnded: what runs at a server that has started again has ended without an answer, though its
-// connection is open. It goes on as after a crash: repeated, resumed or told, by its route.
-func TestStartEnded(t *testing.T) {
+// TestIncarnationTerminated: a run at a server that has restarted is lost, although its connection is open. It is
+// handled as after a crash: retried, resumed or failed, depending on its route.
+func TestIncarnationTerminated(t *testing.T) {
 	for _, c := range []struct {
 		path   string
 		status int
@@ -37,36 +37,36 @@
 		{"/unsafe/1", http.StatusBadGateway, 1},
 		{"/once/1", http.StatusBadGateway, 1},
 	} {
-		w := plain(t)
+		w := newPlainEnv(t)
 		for _, s := range w.servers {
 			s.Behave(site.Mute)
 		}
-		got, calls := restarted(t, w, c.path, site.Plain)
+		got, calls := restartDuring(t, w, c.path, site.Plain)
 		assert.Equal(t, got.status, c.status, c.path)
 		assert.Equal(t, len(calls), c.runs, c.path)
 	}
 }
 
-func TestStreamOfAnEndedStart(t *testing.T) {
-	w := engines(t)
-	w.both(site.Silent)
-	got, _ := restarted(t, w, "/resume/1", site.Decode)
+func TestStreamOfATerminatedIncarnation(t *testing.T) {
+	w := newEngineEnv(t)
+	w.setDecodeBehaviour(site.Silent)
+	got, _ := restartDuring(t, w, "/resume/1", site.Decode)
 	assert.Equal(t, got.body, whole)
 	assert.Assert(t, !got.cut, "resumed")
 
-	w = engines(t)
-	w.both(site.Silent)
-	got, _ = restarted(t, w, "/draft/1", site.Decode)
-	// Before the first event has gone out there is still an answer to give.
-	assert.Assert(t, got.cut || got.status == http.StatusBadGateway, "not taken for whole: %d %q", got.status, got.body)
+	w = newEngineEnv(t)
+	w.setDecodeBehaviour(site.Silent)
+	got, _ = restartDuring(t, w, "/draft/1", site.Decode)
+	// Before the first event is sent, the request can still be answered with an error.
+	assert.Assert(t, got.cut || got.status == http.StatusBadGateway, "an incomplete answer was reported as complete: %d %q", got.status, got.body)
 }
 
-func TestPromptOfAnEndedStart(t *testing.T) {
-	w := engines(t)
+func TestPrefillOfATerminatedIncarnation(t *testing.T) {
+	w := newEngineEnv(t)
 	w.servers["pre"].Behave(site.Mute)
-	got, calls := restarted(t, w, "/draft/1", site.Prefill)
+	got, calls := restartDuring(t, w, "/draft/1", site.Prefill)
 	assert.Equal(t, got.body, whole)
 	last := calls[len(calls)-1]
 	assert.Equal(t, last.Kind, site.Decode)
-	assert.Equal(t, last.KVFrom, "", "the decode engine reads the prompt itself")
+	assert.Equal(t, last.KVFrom, "", "the decode engine prefills the prompt itself")
 }
--- a/forward/serverlimits.go
+++ b/forward/serverlimits.go
@@ -10,24 +10,24 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/serverlimit"
 )
 
-// ServerLimits keep this router and all others together to what servers say that they take. It joins policy/serverlimit to
-// clocks and is safe for concurrent use.
+// ServerLimits keep this router and all others together within the request rates that servers declare. It adds clocks
+// and locking to policy/serverlimit and is safe for concurrent use.
 type ServerLimits struct {
-	// count is the number of servers with a limit, so that the others need not be looked at.
+	// count is the number of servers with a limit; while it is zero, lookups need no lock.
 	count atomic.Int64
-	// changed is sent to when other routers are to be told at once.
+	// changed is signalled when there are updates to report to other routers at once.
 	changed chan struct{}
 
 	mu     sync.Mutex
 	limits *serverlimit.Limits
-	// news are servers of whose limits the others have to be told.
-	news map[string]struct{}
+	// updates are servers whose limits have changed since they were last reported to the others.
+	updates map[string]struct{}
 }
 
-// ServerLimitUpdates is what one router tells of servers with limits.
+// ServerLimitUpdates is one router's report about servers with limits.
 type ServerLimitUpdates struct {
 	Limits []serverlimit.Told
-	// Used is what was sent there; Informed is that of limit.Shared.Tell.
+	// Used is the number of requests sent there; Informed is that of limit.Shared.Tell.
 	Used     []limit.Told
 	Informed bool
 }
@@ -35,20 +35,21 @@
 func newServerLimits(router string) *ServerLimits {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(router)) // A hash takes everything.
-	return &ServerLimits{changed: make(chan struct{}, 1), limits: serverlimit.New(seed.Sum64(), time.Now()), news: map[string]struct{}{}}
+	return &ServerLimits{changed: make(chan struct{}, 1), limits: serverlimit.New(seed.Sum64(), time.Now()), updates: map[string]struct{}{}}
 }
 
-// Changed is sent to when Report has updates.
+// Changed is signalled when Report has updates.
 func (l *ServerLimits) Changed() <-chan struct{} { return l.changed }
 
-// name takes a limit that a server names, and reports whether it has changed.
-func (l *ServerLimits) name(id string, perSecond float64) bool {
+// set takes a limit that a server declares, and reports whether it has changed.
+func (l *ServerLimits) set(id string, perSecond float64) bool {
 	now := time.Now()
 	return l.update(id, serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: perSecond}, At: now}, now)
 }
 
-// end takes that a server names no limit in the answer to a request that was sent at a time, and reports whether it had one.
-func (l *ServerLimits) end(id string, sent time.Time) bool {
+// clear records that a server declares no limit in the answer to a request sent at the given time, and reports whether
+// it had one.
+func (l *ServerLimits) clear(id string, sent time.Time) bool {
 	return l.count.Load() > 0 && l.update(id, serverlimit.Statement{At: sent}, time.Now())
 }
 
@@ -58,24 +59,24 @@
 	if !l.limits.Update(id, st, now) {
 		return false
 	}
-	l.news[id] = struct{}{}
-	l.recount()
-	l.wake()
+	l.updates[id] = struct{}{}
+	l.updateCount()
+	l.notify()
 	return true
 }
 
-// recount is called with mu held.
-func (l *ServerLimits) recount() { l.count.Store(int64(l.limits.Count())) }
+// updateCount must be called with mu held.
+func (l *ServerLimits) updateCount() { l.count.Store(int64(l.limits.Count())) }
 
-// wake is called with mu held.
-func (l *ServerLimits) wake() {
+// notify must be called with mu held.
+func (l *ServerLimits) notify() {
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-// wait is how long a server is to be sent no request; zero if it may be sent one now.
+// wait is how long a server may be sent no request; zero if it may be sent one now.
 func (l *ServerLimits) wait(id string) time.Duration {
 	if l.count.Load() == 0 {
 		return 0
@@ -85,7 +86,7 @@
 	return l.limits.Wait(id, time.Now())
 }
 
-// take notes a request that is about to be sent to a server, and reports whether it may be.
+// take counts a request that is about to be sent to a server, and reports whether it may be sent.
 func (l *ServerLimits) take(id string) bool {
 	if l.count.Load() == 0 {
 		return true
@@ -94,20 +95,20 @@
 	defer l.mu.Unlock()
 	ok := l.limits.Take(id, time.Now())
 	if l.limits.Used().Untold(time.Now()) {
-		l.wake()
+		l.notify()
 	}
 	return ok
 }
 
-// giveBack notes that a request that was taken is not sent.
-func (l *ServerLimits) giveBack(id string) {
+// putBack undoes take for a request that is not sent.
+func (l *ServerLimits) putBack(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.GiveBack(id, time.Now())
 }
 
-// of is the limit of a server.
-func (l *ServerLimits) of(id string) serverlimit.Limit {
+// limitOf returns the limit of a server.
+func (l *ServerLimits) limitOf(id string) serverlimit.Limit {
 	if l.count.Load() == 0 {
 		return serverlimit.Limit{}
 	}
@@ -116,55 +117,55 @@
 	return l.limits.Of(id)
 }
 
-// forget drops servers that known does not name.
+// forget drops servers that known does not report.
 func (l *ServerLimits) forget(known func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.Forget(known)
-	l.recount()
+	l.updateCount()
 }
 
-// Report returns what other routers are to know: with changes what they were not told yet, without all. Told in a datagram,
-// it is told once; a report makes good for one that was lost.
+// Report returns what to report to other routers: only updates since the last call if changes is set, everything
+// otherwise. An update is sent once, in a datagram; a lost one is made up for by the next full report.
 func (l *ServerLimits) Report(changes bool) ServerLimitUpdates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	var out ServerLimitUpdates
 	for _, t := range l.limits.Tell(now) {
-		if _, news := l.news[t.ID]; news || !changes {
+		if _, pending := l.updates[t.ID]; pending || !changes {
 			out.Limits = append(out.Limits, t)
 		}
 	}
 	if changes {
-		clear(l.news)
+		clear(l.updates)
 	}
 	out.Used, out.Informed = l.limits.Used().Tell(changes, now)
 	return out
 }
 
-// Receive takes what the router at an address told, in a report, which names all, or in a datagram.
-func (l *ServerLimits) Receive(addr string, incarnation uint64, all bool, news ServerLimitUpdates) {
+// Receive takes a report from the router at an address: everything if all is set, updates from a datagram otherwise.
+func (l *ServerLimits) Receive(addr string, incarnation uint64, all bool, updates ServerLimitUpdates) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for _, t := range news.Limits {
+	for _, t := range updates.Limits {
 		l.limits.Update(t.ID, t.Statement, now)
 	}
-	l.recount()
-	l.limits.Used().Hear(addr, incarnation, news.Informed, all, news.Used, now)
+	l.updateCount()
+	l.limits.Used().Hear(addr, incarnation, updates.Informed, all, updates.Used, now)
 }
 
-// CheckMembers looks for routers that have fallen silent, of so many that exchange reports with that pause.
-func (l *ServerLimits) CheckMembers(routers int, pace time.Duration) {
+// CheckMembers checks for routers that no longer report, given the number of routers and their report interval.
+func (l *ServerLimits) CheckMembers(routers int, interval time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.SetRouters(routers)
-	l.limits.Used().SetPace(pace)
+	l.limits.Used().SetPace(interval)
 	l.limits.Used().Refresh(time.Now())
 }
 
-// MarkUnresponsive notes that the router at an address does not answer.
+// MarkUnresponsive records that the router at an address does not answer.
 func (l *ServerLimits) MarkUnresponsive(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -15,82 +15,83 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// Signals is what a server says of itself in an answer, beside the answer.
+// Signals is what a server reports about itself in the headers of an answer.
 type Signals struct {
-	// Limited is set if the server takes no more than Limit requests a second, of all routers together.
+	// Limited is set if the server takes no more than Limit requests per second from all routers together.
 	Limited bool
 	Limit   float64
-	// Leaving is set if the server stops soon and takes nothing new.
+	// Leaving is set if the server shuts down soon and takes no new requests.
 	Leaving bool
-	// Cooldown is for how long the server, which has turned a request away, wants nothing from this router.
+	// Cooldown is how long the server, having rejected a request, asks this router to send it nothing.
 	Cooldown time.Duration
-	// InvalidField names the field of the answer that can't be understood; what was said before it holds on.
+	// InvalidField names a field of the answer that can't be parsed; earlier signals remain in force.
 	InvalidField string
 }
 
-// Errors of requests that were not sent for what their server said.
+// Errors of requests withheld because of their server's signals.
 var (
-	// errLimited: it takes no more for now.
-	errLimited = errors.New("the server takes no more requests for now")
-	// errResting: it has asked for rest.
-	errResting = errors.New("the server has asked for rest")
-	// errLeaving: it stops.
-	errLeaving = errors.New("the server has said that it stops")
+	// errLimited: the server's rate limit is used up for now.
+	errLimited = errors.New("the server's rate limit is used up for now")
+	// errCooldown: the server is in a cooldown.
+	errCooldown = errors.New("the server has asked for a cooldown")
+	// errLeaving: the server is shutting down.
+	errLeaving = errors.New("the server is shutting down")
 )
 
-// faults are servers whose last answer had a field that can't be understood. It is safe for concurrent use.
-type faults struct {
-	mu     sync.Mutex
-	fields map[string]string
+// invalidFields are the servers whose last answer had a field that can't be parsed. It is safe for concurrent use.
+type invalidFields struct {
+	mu       sync.Mutex
+	byServer map[string]string
 }
 
-// begins notes the fault of a server's answer, or that it has none, and reports whether it is another than before.
-func (f *faults) begins(id, field string) bool {
+// changed records the invalid field of a server's answer, empty if it has none, and reports whether there is a new
+// one.
+func (f *invalidFields) changed(id, field string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fields[id] == field {
+	if f.byServer[id] == field {
 		return false
 	}
 	if field == "" {
-		delete(f.fields, id)
+		delete(f.byServer, id)
 		return false
 	}
-	f.fields[id] = field
+	f.byServer[id] = field
 	return true
 }
 
-// forget drops servers that known does not name.
-func (f *faults) forget(known func(id string) bool) {
+// forget drops servers that known does not report.
+func (f *invalidFields) forget(known func(id string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	maps.DeleteFunc(f.fields, func(id, _ string) bool { return !known(id) })
+	maps.DeleteFunc(f.byServer, func(id, _ string) bool { return !known(id) })
 }
 
-// hearAnswer takes what a server says of itself in the answer to a request that was sent to it at a time. A limit that an
-// answer of success does not name any more has ended; refusals and failures may come from what knows of none.
-func (f *Forwarder) hearAnswer(s registry.Server, head AnswerHead, sent time.Time) {
-	f.hear(s, head.Signals)
-	names := head.Signals.Limited || head.Signals.InvalidField != ""
-	if !names && head.Status < http.StatusMultipleChoices && f.limits.end(s.ID, sent) {
+// receiveAnswer takes the signals in the answer to a request that was sent at the given time. A limit ends when a
+// successful answer no longer declares it; refusals and failures may come from components that don't know the limit.
+func (f *Forwarder) receiveAnswer(s registry.Server, head AnswerHead, sent time.Time) {
+	f.receiveSignals(s, head.Signals)
+	namesLimit := head.Signals.Limited || head.Signals.InvalidField != ""
+	if !namesLimit && head.Status < http.StatusMultipleChoices && f.limits.clear(s.ID, sent) {
 		f.logLimit(s, head.Signals)
 	}
 }
 
-// hear takes what a server says of itself in any answer.
-func (f *Forwarder) hear(s registry.Server, sig Signals) {
-	if f.faults.begins(s.ID, sig.InvalidField) {
+// receiveSignals takes a server's signals from any answer.
+func (f *Forwarder) receiveSignals(s registry.Server, sig Signals) {
+	if f.invalidFields.changed(s.ID, sig.InvalidField) {
 		event.SignalInvalid.Log(f.Log).Str("server", s.ID).Str("field", sig.InvalidField).Msg("")
 	}
-	if sig.Limited && f.limits.name(s.ID, sig.Limit) {
+	if sig.Limited && f.limits.set(s.ID, sig.Limit) {
 		f.logLimit(s, sig)
 	}
 	if sig.Cooldown > 0 {
-		f.rests.asked(s.ID, sig.Cooldown)
+		f.cooldowns.requested(s.ID, sig.Cooldown)
 		f.Metrics.Counter(metrics.RestsAsked).Inc(1)
 		event.ServerRests.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Dur("rest", sig.Cooldown).Msg("")
 	}
 	if sig.Leaving && f.View.MarkLeaving(s) {
-		f.tellPlaced()
+		f.notifyPlacementChanged()
 		event.ServerLeaves.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Msg("")
 	}
 }
@@ -100,30 +101,32 @@
 	event.ServerLimited.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Bool("limited", sig.Limited).Float64("per_second", sig.Limit).Msg("")
 }
 
-// ServerLimits are what servers say that they take of all routers together.
+// ServerLimits returns the request rates that servers declare for all routers together.
 func (f *Forwarder) ServerLimits() *ServerLimits { return f.limits }
 
-// closedFor is how long a server is to be sent nothing, by what it said, and why; zero if it may be sent a request now.
-func (f *Forwarder) closedFor(id string) (time.Duration, outcome.Reason) {
-	limited, resting := f.limits.wait(id), f.rests.left(id)
-	if resting >= limited {
-		return resting, outcome.ServerResting
+// unavailableFor is how long a server is to be sent nothing because of its signals, and why; zero if it may be sent a
+// request now.
+func (f *Forwarder) unavailableFor(id string) (time.Duration, outcome.Reason) {
+	limited, cooldown := f.limits.wait(id), f.cooldowns.remaining(id)
+	if cooldown >= limited {
+		return cooldown, outcome.ServerResting
 	}
 	return limited, outcome.ServerLimited
 }
 
-// closed reports whether a server is to be sent nothing now.
-func (f *Forwarder) closed(id string) bool {
-	wait, _ := f.closedFor(id)
+// unavailable reports whether a server has signalled that it takes nothing now.
+func (f *Forwarder) unavailable(id string) bool {
+	wait, _ := f.unavailableFor(id)
 	return wait > 0
 }
 
-// CoolingDown reports whether a server wants nothing from this process for now.
-func (f *Forwarder) CoolingDown(id string) bool { return f.rests.left(id) > 0 }
+// CoolingDown reports whether a server is in a cooldown towards this process.
+func (f *Forwarder) CoolingDown(id string) bool { return f.cooldowns.remaining(id) > 0 }
 
-// reserveSend takes one request from what a server says that it takes, to be sent there later, and reports whether it may be.
+// reserveSend counts one request against a server's declared limit, to be sent there later, and reports whether it may
+// be sent.
 func (f *Forwarder) reserveSend(j *job, id string) bool {
-	limited := f.limits.of(id).Named
+	limited := f.limits.limitOf(id).Named
 	if !f.limits.take(id) {
 		return false
 	}
@@ -133,40 +136,41 @@
 	return true
 }
 
-// admitSend tells why the request may not be sent to a server now, or nil. What a server takes was reserved before or is taken
-// now.
+// admitSend returns why the request may not be sent to a server now, or nil. It uses an earlier reserveSend, or counts
+// the request against the server's limit now.
 func (f *Forwarder) admitSend(j *job, id string) error {
 	if f.View.Leaving(id) {
-		return f.heldBack(errLeaving)
+		return f.withheld(errLeaving)
 	}
-	if f.rests.left(id) > 0 {
-		return f.heldBack(errResting)
+	if f.cooldowns.remaining(id) > 0 {
+		return f.withheld(errCooldown)
 	}
 	if i := slices.Index(j.reserved, id); i >= 0 {
 		j.reserved = slices.Delete(j.reserved, i, i+1)
 		return nil
 	}
 	if !f.limits.take(id) {
-		return f.heldBack(errLimited)
+		return f.withheld(errLimited)
 	}
 	return nil
 }
 
-// heldBack is the error of a request that is not sent to its server.
-func (f *Forwarder) heldBack(why error) error {
+// withheld is the error of a request that is not sent because of its server's signals.
+func (f *Forwarder) withheld(why error) error {
 	f.Metrics.Counter(metrics.SendsHeldBack).Inc(1)
 	return errors.Join(upstream.ErrNotSent, why)
 }
 
-// isHeldBack reports whether an attempt was not sent for what its server had said, which is no fault of the server.
-func isHeldBack(err error) bool {
-	return errors.Is(err, errLimited) || errors.Is(err, errResting) || errors.Is(err, errLeaving)
+// isWithheld reports whether an attempt was not sent because of its server's signals, which is no failure of the
+// server.
+func isWithheld(err error) bool {
+	return errors.Is(err, errLimited) || errors.Is(err, errCooldown) || errors.Is(err, errLeaving)
 }
 
-// giveBackSends returns what was reserved and not sent.
-func (f *Forwarder) giveBackSends(j *job) {
+// returnSends returns sends that were reserved and not used.
+func (f *Forwarder) returnSends(j *job) {
 	for _, id := range j.reserved {
-		f.limits.giveBack(id)
+		f.limits.putBack(id)
 	}
 	j.reserved = nil
 }
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -11,17 +11,17 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// TestLimitsAreLogged: what a server names is in the log when it begins, changes and ends, and once each.
+// TestLimitsAreLogged: a declared limit is logged when it begins, changes and ends, once each.
 func TestLimitsAreLogged(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	s := w.add(t, "p1", "plain", registry.Whole)
 	logged := func(text string) int { return strings.Count(w.logged.String(), text) }
 	limited := func() int64 { return w.met.Gauge(metrics.ServersLimited).Value() }
-	// A server with a limit may take a while until it is asked again.
+	// A server with a limit may not be called again for a while.
 	ask := func(limit, text string) {
 		s.SetLimit(limit)
-		const most = 5000
-		for i := 0; i < most && logged(text) == 0; i++ {
+		const maxCalls = 5000
+		for i := 0; i < maxCalls && logged(text) == 0; i++ {
 			w.post(t, "/safe/1")
 		}
 		w.post(t, "/safe/2")
@@ -36,10 +36,10 @@
 	assert.Equal(t, limited(), int64(0))
 }
 
-// TestLimitsThatCanNotBe: a limit that is no number of requests is told in the log, and limits nothing.
-func TestLimitsThatCanNotBe(t *testing.T) {
+// TestInvalidLimits: a limit that is not a valid number of requests is logged and limits nothing.
+func TestInvalidLimits(t *testing.T) {
 	for _, limit := range []string{"x", "-1", "NaN", "+Inf", "1e999"} {
-		w := newWorld(t)
+		w := newTestEnv(t)
 		w.add(t, "p1", "plain", registry.Whole).SetLimit(limit)
 		assert.Equal(t, w.post(t, "/safe/1").status, 200)
 		assert.Assert(t, strings.Contains(w.logged.String(), `"event":738`), "%q", limit)
@@ -47,9 +47,9 @@
 	}
 }
 
-// Reservations are answered too, and what an engine says there counts as much.
+// Signals in answers to reservations count as well.
 func TestLimitInAnswerToReservation(t *testing.T) {
-	w := engines(t)
+	w := newEngineEnv(t)
 	w.servers["d1"].SetFull(true)
 	w.servers["d2"].SetFull(true)
 	w.servers["d1"].SetLimit("3000")
@@ -57,9 +57,9 @@
 	assert.Assert(t, strings.Contains(w.logged.String(), `"server":"d1","service":"llm","limited":true`))
 }
 
-// TestLeavingAndRestAreLogged: what answers say of them is in the log.
-func TestLeavingAndRestAreLogged(t *testing.T) {
-	w := plain(t)
+// TestLeavingAndCooldownAreLogged: an announced shutdown and a requested cooldown are logged.
+func TestLeavingAndCooldownAreLogged(t *testing.T) {
+	w := newPlainEnv(t)
 	w.servers["p1"].Behave(site.Answer, site.Shed)
 	w.servers["p1"].SetRest("0.25")
 	assert.Equal(t, w.post(t, "/unsafe/1").status, 200)
@@ -72,10 +72,10 @@
 	assert.Assert(t, strings.Contains(w.logged.String(), `"event":740`))
 }
 
-// TestRestThatCanNotBe: a refusal that asks for no number of seconds is told in the log.
-func TestRestThatCanNotBe(t *testing.T) {
+// TestInvalidCooldowns: a refusal whose cooldown is not a valid number of seconds is logged.
+func TestInvalidCooldowns(t *testing.T) {
 	for _, rest := range []string{"soon", "-1", "NaN", "Thu, 03 Dec 2026 10:00:00 GMT"} {
-		w := plain(t)
+		w := newPlainEnv(t)
 		w.servers["p1"].Behave(site.Shed)
 		w.servers["p1"].SetRest(rest)
 		assert.Equal(t, w.post(t, "/unsafe/1").status, 200)
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -11,11 +11,11 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// Six engines were taken out of service while the platform's store was silent, so that thirty gateways didn't learn of it.
-// They refused reservations, 7,304 in six seconds, each on a new connection since they closed the one on which it had
-// come: whenever a run ended there, every gateway took its memory to be free and asked again.
-func TestEnginesThatStopAreNotAskedAgain(t *testing.T) {
-	w := newWorld(t)
+// Six engines were shut down while the platform's store was unresponsive, so that thirty gateways did not learn of it.
+// They refused 7,304 reservations in six seconds, each on a new connection since they closed the old one: whenever a
+// run ended there, every gateway assumed that memory had become free and asked again.
+func TestStoppingEnginesAreNotAskedAgain(t *testing.T) {
+	w := newTestEnv(t)
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.add(t, "d2", "llm", registry.Decode)
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -14,53 +14,52 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// stream is a request of a model service over all its attempts. Memory for the whole run is
-// reserved at a decode engine first, then the prompt is read elsewhere, then tokens are
-// generated. So no prompt is read for which there is no room.
+// stream is a request of a model service over all its attempts. Memory for the whole run is reserved at a decode
+// engine first; then another engine prefills the prompt, and tokens are generated. So no prompt is prefilled without
+// memory to decode it.
 type stream struct {
-	course
-	// lastEvent is the last event that the client has.
+	baseRequest
+	// lastEvent is the ID of the last event delivered to the client.
 	lastEvent string
-	// waiter is the request's turn in the line for memory; nil before it first waits.
+	// waiter is the request's entry in the wait queue for memory; nil before it is first queued.
 	waiter *waitqueue.Waiter
-	// run is what placement knows of it; nil as long.
+	// run is the request's memory forecast for placement; nil while waiter is.
 	run *kvmemory.Run
-	// kept is the KV cache of an attempt whose run was refused or not sent, for the next one.
-	kept *source
-	// yielded is how often it left an engine that had granted its memory.
-	yielded int
-	// eventAt is when the last event came.
-	eventAt time.Time
+	// spareExport is the KV cache of an attempt whose run was refused or not sent, for the next attempt.
+	spareExport *kvSource
+	// yieldCount is how often the request left an engine that had granted its memory.
+	yieldCount int
+	// lastEventAt is when the last event arrived.
+	lastEventAt time.Time
 }
 
-// need is the memory that the run is thought to take at its end, in tokens.
-func (j *job) need() int { return j.meta.PromptTokens + j.generates() }
+// memoryNeed is the expected memory of the run at its end, in tokens.
+func (j *job) memoryNeed() int { return j.meta.PromptTokens + j.expectedOutput() }
 
-// generates is the number of tokens that the run is thought to generate.
-func (j *job) generates() int {
+// expectedOutput is the expected number of generated tokens.
+func (j *job) expectedOutput() int {
 	if j.meta.LengthHint <= 0 {
 		return j.meta.MaxTokens
 	}
 	return min(j.meta.LengthHint, j.meta.MaxTokens)
 }
 
-// streamAttempt is one try of a stream at one decode engine. It implements lifecycle.Attempt.
+// streamAttempt is one attempt of a stream at one decode engine. It implements lifecycle.Attempt.
 type streamAttempt struct {
 	r *stream
-	// lease is the room at the engine; nil when the engine did not grant it.
+	// lease is the memory at the engine; nil if the engine did not grant it.
 	lease *lease
-	// export is where the KV cache of the prompt is; nil if the engine reads the prompt.
-	export *source
+	// export is where the KV cache of the prompt is; nil if the decode engine prefills the prompt.
+	export *kvSource
 }
 
-// Ended implements lifecycle.Request. An engine that grants nothing costs no repeat, since
-// nothing of the request was sent to it. After a run that broke the stream waits for room
-// anew.
+// Ended implements lifecycle.Request. An engine that grants no memory costs no retry, since nothing of the request was
+// sent to it. After an interrupted run the stream waits for memory again.
 func (r *stream) Ended(ctx context.Context, a *streamAttempt, o outcome.Outcome) (outcome.Outcome, bool) {
 	if a.lease == nil && ctx.Err() == nil {
 		return outcome.Outcome{}, true
 	}
-	final, again := r.ended(ctx, o)
+	final, again := r.afterAttempt(ctx, o)
 	if again {
 		terms := r.f.service(r.j.service).engines.terms
 		r.waiter.Until = terms.Again(r.waiter.Until, time.Now(), r.j.deadline)
@@ -71,16 +70,16 @@
 // Prefill implements lifecycle.Attempt.
 func (a *streamAttempt) Prefill(ctx context.Context) (outcome.Outcome, bool) {
 	f, j := a.r.f, a.r.j
-	if a.export = a.r.takeKept(); a.export != nil {
+	if a.export = a.r.takeSpareExport(); a.export != nil {
 		return outcome.Outcome{}, true
 	}
-	var owed bool
-	a.export, owed = f.prefill(ctx, j, a.lease)
+	var retryDue bool
+	a.export, retryDue = f.prefill(ctx, j, a.lease)
 	if ctx.Err() != nil {
 		f.freeExport(j, a.export)
 		return j.unanswered(reasonOf(ctx)), false
 	}
-	if owed && !f.mayRepeat(j) {
+	if retryDue && !f.takeRetry(j) {
 		return j.unanswered(outcome.RetryBudgetSpent), false
 	}
 	return outcome.Outcome{}, true
@@ -93,29 +92,29 @@
 	defer end()
 	head, res, err := a.start(run)
 	if err != nil {
-		reason := f.explain(ctx, err)
-		a.lease.refused = ctx.Err() == nil && !barred(reason) && !isHeldBack(err)
-		if isHeldBack(err) || errors.Is(err, errNotRun) && f.closed(a.lease.server.ID) {
-			a.r.keep(a.export)
+		reason := f.reasonFor(ctx, err)
+		a.lease.refused = ctx.Err() == nil && !blocked(reason) && !isWithheld(err)
+		if isWithheld(err) || errors.Is(err, errNotRun) && f.unavailable(a.lease.server.ID) {
+			a.r.keepExport(a.export)
 		}
 		f.attemptLost(j, a.lease.server, reason, err)
 		return j.unanswered(reason)
 	}
 	defer func() { _ = res.Body.Close() }()
-	f.service(j.service).engines.worked(a.lease.server.ID)
+	f.service(j.service).engines.succeeded(a.lease.server.ID)
 	if head.Status != http.StatusOK {
-		return a.failed(head, res)
+		return a.keepFailure(head, res)
 	}
-	f.doubts.succeeded(a.lease.server.ID)
+	f.suspicions.succeeded(a.lease.server.ID)
 	return a.relay(ctx, head, res)
 }
 
-// start has the engine begin the run. With its memory reserved, an engine that says nothing else refuses only
-// because it could not fetch the KV cache; it can read the prompt itself.
+// start sends the run to the engine. With its memory reserved, an engine that signals nothing else refuses a run only
+// because it could not fetch the KV cache; it can prefill the prompt itself.
 func (a *streamAttempt) start(ctx context.Context) (AnswerHead, *upstream.Response, error) {
 	f, j := a.r.f, a.r.j
 	o := Send{Reservation: a.lease.reservation, LastEventID: a.r.lastEvent}
-	if a.export != nil && f.attempts.hasEnded(a.export.server.ID) {
+	if a.export != nil && f.attempts.hasTerminated(a.export.server.ID) {
 		a.export = nil
 	}
 	if a.export != nil {
@@ -123,12 +122,12 @@
 	}
 	a.lease.reservation = ""
 	head, res, err := a.open(ctx, o)
-	if !errors.Is(err, errNotRun) || a.export == nil || head.Replaced || f.closed(a.lease.server.ID) {
+	if !errors.Is(err, errNotRun) || a.export == nil || head.Replaced || f.unavailable(a.lease.server.ID) {
 		return head, res, err
 	}
-	f.shun(j, a.export.server)
+	f.avoidPrefillEngine(j, a.export.server)
 	f.attemptFailed(j, a.export.server, outcome.KVLost, err)
-	if !f.mayRepeat(j) {
+	if !f.takeRetry(j) {
 		return head, res, err
 	}
 	o.KVFrom = ""
@@ -136,12 +135,12 @@
 	return a.open(ctx, o)
 }
 
-// reserveAgain reserves at the same engine after a reservation was used up by a request
-// that was refused. Without one the request waits in the engine's own queue.
+// reserveAgain reserves at the same engine after a refused request has used up its reservation. Without a reservation
+// the request waits in the engine's own queue.
 func (a *streamAttempt) reserveAgain(ctx context.Context) string {
 	f, j := a.r.f, a.r.j
-	life := j.table.Services[j.service].Engine.MaxHold
-	reservation, err := f.Engines.Reserve(ctx, a.lease.server, j.reserves(), life)
+	lifetime := j.table.Services[j.service].Engine.MaxHold
+	reservation, err := f.Engines.Reserve(ctx, a.lease.server, j.reservedTokens(), lifetime)
 	if err != nil {
 		f.attemptFailed(j, a.lease.server, outcome.NoPlace, err)
 	}
@@ -166,14 +165,14 @@
 	return head, res, nil
 }
 
-// discard reads a short body to its end so that the connection can be used again.
+// discard reads a short body to its end so that the connection can be reused.
 func discard(res *upstream.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxAnswer))
 	_ = res.Body.Close()
 }
 
-// failed keeps a failure of an engine, to be passed on unless another engine does better.
-func (a *streamAttempt) failed(head AnswerHead, res *upstream.Response) outcome.Outcome {
+// keepFailure keeps an engine's error answer, passed on if no other engine does better.
+func (a *streamAttempt) keepFailure(head AnswerHead, res *upstream.Response) outcome.Outcome {
 	j := a.r.j
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
 	if err == nil && !j.started {
@@ -186,6 +185,6 @@
 // Release implements lifecycle.Attempt.
 func (a *streamAttempt) Release() {
 	if a.lease != nil {
-		a.r.f.giveBack(a.r.j, a.lease)
+		a.r.f.releaseLease(a.r.j, a.lease)
 	}
 }
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -19,23 +19,23 @@
 func TestStreams(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		set        func(w *world)
+		set        func(w *testEnv)
 		status     int
 		body       string
 		cut        bool
 		calls      string
 	}{
-		{"reserved, read, generated", "/draft/1", func(*world) {}, 200, whole, false, "hold D, prefill pre, decode D"},
-		{"reading fails", "/draft/1", func(w *world) { w.servers["pre"].Behave(site.Fail) }, 200, whole, false, "hold D, prefill pre, decode D"},
-		{"reading is lost", "/draft/1", func(w *world) { w.servers["pre"].Behave(site.Reset) }, 200, whole, false, "hold D, prefill pre, decode D"},
-		{"the cache can't be fetched", "/draft/1", func(w *world) { w.both(site.LostKV) }, 200, whole, false, "hold D, prefill pre, decode D, hold D, decode D"},
-		{"generating fails", "/draft/1", func(w *world) { w.both(site.Fail) }, 500, "failed at D", false, "hold D, prefill pre, decode D"},
-		{"lost before the first event", "/draft/1", func(w *world) { w.both(site.Reset) }, 502, "", false, "hold D, prefill pre, decode D"},
-		{"cut midway", "/draft/1", func(w *world) { w.both(site.CutStream) }, 200, whole[:42], true, "hold D, prefill pre, decode D"},
-		{"no stamp", "/draft/1", func(w *world) { w.both(site.Unstamped) }, 502, "", false, "hold D, prefill pre, decode D"},
+		{"reserved, prefilled, generated", "/draft/1", func(*testEnv) {}, 200, whole, false, "hold D, prefill pre, decode D"},
+		{"prefill fails", "/draft/1", func(w *testEnv) { w.servers["pre"].Behave(site.Fail) }, 200, whole, false, "hold D, prefill pre, decode D"},
+		{"prefill is lost", "/draft/1", func(w *testEnv) { w.servers["pre"].Behave(site.Reset) }, 200, whole, false, "hold D, prefill pre, decode D"},
+		{"the cache can't be fetched", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.LostKV) }, 200, whole, false, "hold D, prefill pre, decode D, hold D, decode D"},
+		{"generating fails", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.Fail) }, 500, "failed at D", false, "hold D, prefill pre, decode D"},
+		{"lost before the first event", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.Reset) }, 502, "", false, "hold D, prefill pre, decode D"},
+		{"cut midway", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.CutStream) }, 200, whole[:42], true, "hold D, prefill pre, decode D"},
+		{"no stamp", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.Unstamped) }, 502, "", false, "hold D, prefill pre, decode D"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := engines(t)
+			w := newEngineEnv(t)
 			c.set(w)
 			got := w.post(t, c.path)
 			calls := w.log.Kinds()
@@ -48,14 +48,14 @@
 	}
 }
 
-// both sets how the decode engines behave.
-func (w *world) both(b site.Behaviour) {
+// setDecodeBehaviour sets the behaviour of both decode engines.
+func (w *testEnv) setDecodeBehaviour(b site.Behaviour) {
 	w.servers["d1"].Behave(b)
 	w.servers["d2"].Behave(b)
 }
 
-func TestRunGetsWhatWasReservedAndRead(t *testing.T) {
-	w := engines(t)
+func TestRunGetsReservationAndKVCache(t *testing.T) {
+	w := newEngineEnv(t)
 	w.post(t, "/draft/1", site.Reservation, "theirs", site.KVFrom, "theirs")
 	calls := w.log.Calls()
 	assert.Equal(t, calls[0].Tokens, 1001, "the prompt and the first event")
@@ -64,15 +64,15 @@
 	assert.Equal(t, calls[2].KVFrom, w.servers["pre"].Addr()+"/kv-id-1")
 }
 
-// TestResumed: a stream that breaks goes on at another engine, without a token twice and
-// under the head of the first.
+// TestResumed: an interrupted stream is resumed at another engine, without repeating a token and under the head of the
+// first answer.
 func TestResumed(t *testing.T) {
 	for _, b := range []site.Behaviour{site.CutStream, site.Silent} {
-		w := engines(t)
-		w.both(b)
+		w := newEngineEnv(t)
+		w.setDecodeBehaviour(b)
 		w.servers["d1"].Behave(site.Answer, b)
 		w.servers["d2"].Behave(site.Answer, b)
-		// Whichever is first breaks; the other one is asked once and must not break.
+		// Whichever is first breaks off; the other one is called once and must not.
 		done := make(chan answer, 1)
 		go func() { done <- w.post(t, "/resume/1") }()
 		first := w.log.Wait(t, false, func(c site.Call) bool { return c.Kind == site.Decode })
@@ -92,10 +92,9 @@
 	}
 }
 
-// TestNoRoom: no prompt is read for which there is no memory, and the client is told when
-// to come back.
-func TestNoRoom(t *testing.T) {
-	w := engines(t)
+// TestNoFreeMemory: no prompt is prefilled without free memory to decode it, and the client gets a Retry-After.
+func TestNoFreeMemory(t *testing.T) {
+	w := newEngineEnv(t)
 	w.servers["d1"].SetFull(true)
 	w.servers["d2"].SetFull(true)
 	got := w.post(t, "/draft/1")
@@ -106,22 +105,22 @@
 	assert.Equal(t, got.status, 503, "larger than any engine")
 }
 
-// TestReturnersAreCounted: who has come back, and who was turned away again.
-func TestReturnersAreCounted(t *testing.T) {
-	w := enginesWith(t, unlimited)
+// TestRetriedRequestsAreCounted: retries after a rejection are counted, and those rejected again.
+func TestRetriedRequestsAreCounted(t *testing.T) {
+	w := newEngineEnvWith(t, unlimited)
 	assert.Equal(t, w.post(t, "/draft/1").status, 200)
-	assert.Equal(t, w.post(t, "/draft/2", site.Deadline, "9000").status, 200, "it has waited for seconds elsewhere")
+	assert.Equal(t, w.post(t, "/draft/2", site.Deadline, "9000").status, 200, "the client has already waited for seconds elsewhere")
 	assert.Equal(t, w.post(t, "/draft/3", site.Deadline, "9000", site.Tokens, "20000,200").status, 503, "larger than any engine")
 	assert.Equal(t, w.met.Counter(metrics.Returners).Count(), int64(2))
 	assert.Equal(t, w.met.Counter(metrics.ReturnersRefused).Count(), int64(1))
 }
 
-// TestFailedReadingIsARepeat: a reading that fails counts against the budget, whatever
-// comes after it. With nothing left the request is turned away, and has not run.
-func TestFailedReadingIsARepeat(t *testing.T) {
-	w := enginesWith(t, retrybudget.Limits{Window: time.Hour})
+// TestFailedPrefillTakesRetryBudget: a failed prefill is charged to the retry budget, whatever follows it. With the
+// budget exhausted the request is rejected as not run.
+func TestFailedPrefillTakesRetryBudget(t *testing.T) {
+	w := newEngineEnvWith(t, retrybudget.Limits{Window: time.Hour})
 	got := w.post(t, "/draft/1")
-	assert.Equal(t, got.status, 200, "the usual way needs no repeat")
+	assert.Equal(t, got.status, 200, "no retry is needed")
 	w.servers["pre"].Behave(site.Fail)
 	got = w.post(t, "/draft/2")
 	assert.Equal(t, got.status, 503)
@@ -129,19 +128,19 @@
 	assert.Assert(t, calls[len(calls)-1].Kind != site.Decode, "%s", w.log.Kinds())
 }
 
-// TestReadingThatWasNotSentIsNoRepeat: an engine that has ended refuses the connection, so that nothing of the
-// request reached it. When a quarter of the engines crash at once, that is no reason to turn requests away.
-func TestReadingThatWasNotSentIsNoRepeat(t *testing.T) {
-	w := enginesWith(t, retrybudget.Limits{Window: time.Hour})
+// TestUnsentPrefillTakesNoRetryBudget: a terminated engine refuses the connection, so nothing of the request reached
+// it. When a quarter of the engines crash at once, requests must not be rejected for that.
+func TestUnsentPrefillTakesNoRetryBudget(t *testing.T) {
+	w := newEngineEnvWith(t, retrybudget.Limits{Window: time.Hour})
 	w.servers["pre"].Close()
 	got := w.post(t, "/draft/1")
-	assert.Equal(t, got.status, 200, "the decode engine reads the prompt")
+	assert.Equal(t, got.status, 200, "the decode engine prefills the prompt")
 }
 
-// TestNoRoomAfterAFailure: a stream whose engine was lost asks for room elsewhere once, and
-// ends when there is none. It does not use up the repeats of others by asking again.
-func TestNoRoomAfterAFailure(t *testing.T) {
-	w := newWorldWith(t, retrybudget.Limits{Ratio: 100, Window: time.Hour})
+// TestNoFreeMemoryAfterAFailure: a stream whose engine was lost asks for memory elsewhere once, and ends if there is
+// none. It does not use up the retry budget of others by asking again.
+func TestNoFreeMemoryAfterAFailure(t *testing.T) {
+	w := newTestEnvWith(t, retrybudget.Limits{Ratio: 100, Window: time.Hour})
 	w.add(t, "d1", "llm", registry.Decode)
 	w.servers["d1"].Behave(site.Reset)
 	got := w.post(t, "/resume/1")
@@ -150,10 +149,10 @@
 	assert.Equal(t, w.met.Counter(metrics.RetriedPrefix+string(outcome.NoPlace)).Count(), int64(0))
 }
 
-// TestResumedOnceThereIsRoom: a stream that breaks when no other engine has room waits for
-// it a moment, although the time in which it could begin in time has passed.
-func TestResumedOnceThereIsRoom(t *testing.T) {
-	w := newWorld(t)
+// TestResumedOnceMemoryIsFree: a stream that breaks off when no other engine has free memory waits for it briefly,
+// although it is past its latency objective.
+func TestResumedOnceMemoryIsFree(t *testing.T) {
+	w := newTestEnv(t)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.servers["d1"].Behave(site.Silent)
 	done := make(chan answer, 1)
@@ -168,12 +167,12 @@
 	assert.Assert(t, !got.cut)
 }
 
-// Model servers ended faster than others came, and for a moment a gateway had no engine left. A ruling that had come in
-// that moment waited "waited":9844 ms, to the end of its time, and was turned away, "reason":"no_decode_place", though the
-// list of servers had a new engine after 0.6 s: who waited looked at the engines of the moment when it began to wait,
-// until another request came.
-func TestWaitingRequestLearnsOfNewEngines(t *testing.T) {
-	w, done := waitsForEngine(t)
+// Model servers terminated faster than new ones came, and for a moment a gateway had no engine left. A request that
+// arrived then waited until its deadline ("waited":9844 ms) and was rejected ("reason":"no_decode_place"), although a
+// new engine was listed after 0.6 s: queued requests used the list of engines from when they were queued, until
+// another request arrived.
+func TestQueuedRequestSeesNewEngines(t *testing.T) {
+	w, done := startQueuedStream(t)
 	w.add(t, "d1", "llm", registry.Decode)
 	got := <-done
 	assert.Equal(t, got.body, whole)
--- /dev/null
+++ b/forward/suspicions.go
@@ -0,0 +1,84 @@
+package forward
+
+import (
+	"sync"
+	"time"
+
+	"github.com/hibiscusspur/hibiscusspur/outcome"
+	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
+	"github.com/hibiscusspur/hibiscusspur/policy/suspicion"
+	"github.com/hibiscusspur/hibiscusspur/registry"
+)
+
+// suspicions are the engines at which requests of any gateway failed recently. It adds clocks and locking to
+// policy/suspicion and is safe for concurrent use.
+type suspicions struct {
+	mu      sync.Mutex
+	tracker *suspicion.Tracker
+	// updates are engines whose failures are to be reported to the other gateways.
+	updates []string
+}
+
+func newSuspicions(router string) *suspicions { return &suspicions{tracker: suspicion.New(router)} }
+
+// failed records a failure observed here and returns whether to report it to the other gateways.
+func (d *suspicions) failed(id string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.tracker.Failed(id, time.Now()) {
+		return false
+	}
+	d.updates = append(d.updates, id)
+	return true
+}
+
+func (d *suspicions) reported(from, id string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.tracker.Told(from, id, time.Now())
+}
+
+func (d *suspicions) succeeded(id string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.tracker.Succeeded(id)
+}
+
+func (d *suspicions) suspected(id string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.tracker.Doubtful(id, time.Now())
+}
+
+func (d *suspicions) takeUpdates() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := d.updates
+	d.updates = nil
+	return out
+}
+
+// engineFailed records a failure of an engine, as opposed to a refusal, and reports it to the other gateways.
+func (f *Forwarder) engineFailed(s registry.Server, reason outcome.Reason) {
+	if s.Stage != registry.Whole && (reason == outcome.EngineLost || reason == outcome.EngineError) {
+		f.suspect(s)
+	}
+}
+
+// suspect makes this and the other gateways prefer other engines for a while.
+func (f *Forwarder) suspect(s registry.Server) {
+	if !f.Off.Has(mechanism.Doubts) && f.suspicions.failed(s.ID) {
+		f.notifyPlacementChanged()
+	}
+}
+
+// TakeFailures returns the engines at which requests failed here since the last call. PlacementChanged is signalled
+// when there are any.
+func (f *Forwarder) TakeFailures() []string { return f.suspicions.takeUpdates() }
+
+// ReceiveFailure takes another gateway's report that a request has failed at an engine.
+func (f *Forwarder) ReceiveFailure(gateway, id string) {
+	if !f.Off.Has(mechanism.Doubts) {
+		f.suspicions.reported(gateway, id)
+	}
+}
