--- a/forward/broken_test.go
+++ b/forward/terminations_test.go
@@ -18,8 +18,8 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// counted waits until a counter has reached a value.
-func (w *world) counted(t *testing.T, name string, want int64) {
+// awaitCounter waits until a counter has reached a value.
+func (w *testEnv) awaitCounter(t *testing.T, name string, want int64) {
 	t.Helper()
 	for w.met.Counter(name).Count() < want {
 		assert.NilError(t, t.Context().Err())
@@ -27,10 +27,10 @@
 	assert.Equal(t, w.met.Counter(name).Count(), want, name)
 }
 
-// TestServerEndsUnderRequests: a server that ends is found at once, with the requests that were in progress
-// there, though nothing else is sent to it.
-func TestServerEndsUnderRequests(t *testing.T) {
-	w := plain(t)
+// TestServerTerminatesDuringRequests: the termination of a server is detected at once, with the requests that were in
+// progress there, although nothing else is sent to it.
+func TestServerTerminatesDuringRequests(t *testing.T) {
+	w := newPlainEnv(t)
 	p1 := w.servers["p1"]
 	p1.Behave(site.Answer, site.Mute)
 	p1.EndUnder("question", nil)
@@ -40,7 +40,7 @@
 		assert.Check(t, err)
 		r.Host = "h"
 		r.Header.Set(site.RequestID, "id-2")
-		r.Header.Set(site.Deadline, patience)
+		r.Header.Set(site.Deadline, clientDeadline)
 		res, err := http.DefaultClient.Do(r)
 		assert.Check(t, err)
 		slow <- answer{status: res.StatusCode}
@@ -48,22 +48,22 @@
 	w.log.Wait(t, false, func(c site.Call) bool { return c.ID == "id-2" })
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
 	assert.Equal(t, (<-slow).status, http.StatusBadGateway)
-	w.counted(t, metrics.ServersEnded, 1)
-	w.counted(t, metrics.RequestsBroken, 2)
+	w.awaitCounter(t, metrics.ServersEnded, 1)
+	w.awaitCounter(t, metrics.RequestsBroken, 2)
 }
 
-// TestBrokenAtALiveServer: connections that a server breaks without ending tell nothing of a request, nor do
-// those at a server that has said that it stops.
-func TestBrokenAtALiveServer(t *testing.T) {
-	w := plain(t)
+// TestResetByALiveServer: connections that a server resets without terminating raise no suspicion against a request,
+// nor do those of a server that has announced its shutdown.
+func TestResetByALiveServer(t *testing.T) {
+	w := newPlainEnv(t)
 	w.servers["p1"].Behave(site.Reset)
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
 	w.fwd.Forget(w.view.Listed)
 	assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), int64(0))
 
-	w = plain(t)
+	w = newPlainEnv(t)
 	w.servers["p1"].EndUnder("question", nil)
-	// It says so once the request has reached it: before, it would get none.
+	// Announced only after the request has reached it; otherwise it would get none.
 	w.log.Watch(func(c site.Call) {
 		w.view.mu.Lock()
 		defer w.view.mu.Unlock()
@@ -73,19 +73,19 @@
 	assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), int64(0))
 }
 
-// TestRepeatsEndWithTheThirdServer: a call that may be repeated crashes the server that it was sent to, and the next
-// one. Once three have ended under it, it is sent to none, and its client is told for how long; another call of the
-// same path is answered.
-func TestRepeatsEndWithTheThirdServer(t *testing.T) {
-	w := plain(t)
+// TestQuarantineAfterThreeTerminations: a retryable call crashes the server that it was sent to, and the next one.
+// After three terminations it is sent to no server, and its client gets the remaining time; another call of the same
+// path is answered.
+func TestQuarantineAfterThreeTerminations(t *testing.T) {
+	w := newPlainEnv(t)
 	w.add(t, "p4", "plain", registry.Whole)
 	for _, s := range w.servers {
 		s.EndUnder("question", nil)
 	}
 	assert.Equal(t, w.post(t, "/safe/1").status, http.StatusBadGateway)
-	w.counted(t, metrics.ServersEnded, 2)
+	w.awaitCounter(t, metrics.ServersEnded, 2)
 	assert.Equal(t, w.post(t, "/safe/1").status, http.StatusBadGateway)
-	w.counted(t, metrics.ServersEnded, 4)
+	w.awaitCounter(t, metrics.ServersEnded, 4)
 	for w.met.Counter(metrics.Holds).Count() == 0 {
 		assert.NilError(t, t.Context().Err())
 	}
@@ -100,10 +100,10 @@
 	assert.Equal(t, w.post(t, "/safe/2").body, "answer of p5 to /safe/2")
 }
 
-// TestHeldWhileItWaits: it becomes known that servers end under a request while it waits for memory. It is sent to none
-// when its turn comes, and no engine is left alone for it.
-func TestHeldWhileItWaits(t *testing.T) {
-	w := engines(t)
+// TestQuarantinedBeforeDispatch: a request is quarantined while it waits for memory. It is not sent when it leaves the
+// queue, and no engine is avoided because of it.
+func TestQuarantinedBeforeDispatch(t *testing.T) {
+	w := newEngineEnv(t)
 	for _, id := range []string{"d1", "d2"} {
 		w.servers[id].SetFull(true)
 	}
@@ -118,17 +118,17 @@
 	}
 	got := <-done
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
-	assert.Assert(t, time.Since(now) < seconds)
+	assert.Assert(t, time.Since(now) < longTimeout)
 	for _, c := range w.log.Calls() {
 		assert.Assert(t, c.Kind == site.Hold || c.Kind == site.Drop, "%s reached %s", c.Kind, c.Server)
 	}
 	assert.Equal(t, w.post(t, "/draft/patient/2").body, whole)
 }
 
-// TestAnsweredRequestIsNotSuspect: servers end by themselves under a call that is asked all the time and answered in
-// between: it is never held.
-func TestAnsweredRequestIsNotSuspect(t *testing.T) {
-	w := newWorld(t)
+// TestAnsweredRequestIsNotSuspected: servers terminate for other reasons during a call that is repeated all the time
+// and answered in between: it is never quarantined.
+func TestAnsweredRequestIsNotSuspected(t *testing.T) {
+	w := newTestEnv(t)
 	for i := range quarantine.MostEnds + 1 {
 		s := w.add(t, fmt.Sprint("p", i), "plain", registry.Whole)
 		s.Behave(site.Mute)
@@ -137,12 +137,12 @@
 		w.log.Wait(t, false, func(c site.Call) bool { return c.Server == s.ID })
 		s.Crash()
 		assert.Equal(t, (<-done).status, http.StatusBadGateway)
-		w.counted(t, metrics.ServersEnded, int64(i+1))
+		w.awaitCounter(t, metrics.ServersEnded, int64(i+1))
 		w.view.mu.Lock()
 		w.view.servers = nil
 		w.view.mu.Unlock()
-		sound := w.add(t, fmt.Sprint("sound", i), "plain", registry.Whole)
-		assert.Equal(t, w.post(t, "/once/1").body, "answer of "+sound.ID+" to /once/1")
+		healthy := w.add(t, fmt.Sprint("sound", i), "plain", registry.Whole)
+		assert.Equal(t, w.post(t, "/once/1").body, "answer of "+healthy.ID+" to /once/1")
 		w.view.mu.Lock()
 		w.view.servers = nil
 		w.view.mu.Unlock()
@@ -150,12 +150,12 @@
 	assert.Assert(t, !w.guard.Active())
 }
 
-// TestFailureTellsNothing: a server that fails a call may have done so before it began to run it.
-func TestFailureTellsNothing(t *testing.T) {
-	w := plain(t)
+// TestFailureDoesNotClearSuspicion: a server may fail a call before it starts to run it.
+func TestFailureDoesNotClearSuspicion(t *testing.T) {
+	w := newPlainEnv(t)
 	w.servers["p1"].EndUnder("question", nil)
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
-	w.counted(t, metrics.ServersEnded, 1)
+	w.awaitCounter(t, metrics.ServersEnded, 1)
 	for _, id := range []string{"p2", "p3"} {
 		w.servers[id].Behave(site.Fail)
 	}
@@ -163,21 +163,21 @@
 	assert.Assert(t, w.guard.Active())
 }
 
-// TestServerGoesDark: a server ends without a word: no connection breaks, and the request there has no answer until its
-// time is over. It was in progress at the end all the same, once the server's entry has lapsed; not if the server lives,
-// and not if it has said that it stops.
-func TestServerGoesDark(t *testing.T) {
+// TestServerBecomesUnresponsive: a server terminates without closing its connections, and the request there gets no
+// answer until its deadline. It still counts as in progress at the termination once the server's entry has expired,
+// but not if the server is alive, and not if it has announced its shutdown.
+func TestServerBecomesUnresponsive(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		listed, leaving bool
 		ends            int64
 	}{
-		{"its entry lapses", false, false, 1},
+		{"its entry expires", false, false, 1},
 		{"it hangs", true, false, 0},
 		{"it leaves", false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnv(t)
 			w.add(t, "p1", "plain", registry.Whole).Behave(site.Mute)
 			done := make(chan answer, 1)
 			go func() { done <- w.post(t, "/slow/1") }()
@@ -197,23 +197,23 @@
 	}
 }
 
-// TestHeldRequestStopsWaiting: it becomes known that servers end under a request while it waits for memory that does not
-// come. It is refused at once, not at the end of its time, and told for how long it is held.
-func TestHeldRequestStopsWaiting(t *testing.T) {
-	w, done := waitsForEngine(t)
+// TestQuarantinedRequestLeavesQueue: a request is quarantined while it waits for memory that does not become free. It
+// is refused at once, not at its deadline, with the remaining time of the quarantine.
+func TestQuarantinedRequestLeavesQueue(t *testing.T) {
+	w, done := startQueuedStream(t)
 	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
 	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 500_000, ForMs: 500_000}}}, "g2")
 	got := <-done
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
-	assert.Assert(t, after > seconds.Seconds(), "held, not turned away for want of memory: %v", after)
+	assert.Assert(t, after > longTimeout.Seconds(), "rejected for want of memory instead of quarantined: %v", after)
 }
 
-// TestHeldRequestBlamesNoServer: a call becomes known for servers that end under it while its first attempt is in
-// progress. The second attempt is not made, and the server that it would have gone to has failed nothing.
-func TestHeldRequestBlamesNoServer(t *testing.T) {
-	w := plain(t)
+// TestQuarantinedRequestCountsNoFailure: a call is quarantined while its first attempt is in progress. There is no
+// second attempt, and no failure is counted for the server that it would have gone to.
+func TestQuarantinedRequestCountsNoFailure(t *testing.T) {
+	w := newPlainEnv(t)
 	w.servers["p1"].Behave(site.Mute)
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, "/safe/1") }()
--- a/forward/types.go
+++ b/forward/types.go
@@ -1,10 +1,9 @@
-// Package forward is the life of one request: it is admitted, placed, sent to servers,
-// resumed where the route allows it, and answered once.
+// Package forward handles one request from its arrival to its answer: it is admitted, placed, sent to servers, resumed
+// if the route allows it, and answered exactly once.
 //
-// The package decides nothing by itself that depends on load: who waits and which
-// engine is asked is in policy/waitqueue and policy/kvmemory, which server a plain call
-// goes to in policy/outlier, how much may be repeated in policy/retrybudget. How a
-// request looks on the wire is the Codec's.
+// Decisions that depend on load are made in other packages: policy/waitqueue orders waiting requests and
+// policy/kvmemory chooses their engine, policy/outlier affects which server gets a plain call, and policy/retrybudget
+// bounds retries. The Codec defines the format on the wire.
 package forward
 
 import (
@@ -22,49 +21,50 @@
 
 // Errors of reservations.
 var (
-	// ErrFull means that an engine has no room for it.
-	ErrFull = errors.New("engine has no room")
-	// ErrStopping means that an engine has none and closes its connection as well, as one does that is about to stop.
-	ErrStopping = errors.New("engine has no room and closes the connection")
+	// ErrFull means that an engine has no free capacity for a reservation.
+	ErrFull = errors.New("engine has no free capacity")
+	// ErrStopping means that an engine has no free capacity and also closes its connection, as one does that is
+	// shutting down.
+	ErrStopping = errors.New("engine has no free capacity and closes the connection")
 )
 
-// Meta is what a client says of its request.
+// Meta is the metadata in a client's request.
 type Meta struct {
-	// ID names this attempt of the client.
+	// ID identifies this attempt of the client.
 	ID string
-	// ClientTimeout is how long the client waits; zero means that it did not say.
+	// ClientTimeout is how long the client waits; zero if it is not given.
 	ClientTimeout time.Duration
-	// PromptTokens and MaxTokens are the size of the prompt and the most that may be generated.
+	// PromptTokens and MaxTokens are the size of the prompt and the maximum number of generated tokens.
 	PromptTokens, MaxTokens int
-	// LengthHint is the client's guess of the tokens that will be generated; zero if none.
+	// LengthHint is the client's estimate of the number of generated tokens; zero if none.
 	LengthHint int
-	// LastEventID is the last event that the client has of a stream that broke.
+	// LastEventID is the last event that the client received of an interrupted stream.
 	LastEventID string
-	// Caller is who asks, as the credentials of the request say; empty if it has none.
+	// Caller is the caller's identity by the request's credentials; empty if it has none.
 	Caller string
 	// Key is the hash of the API key, if HasKey is set.
 	Key    apikey.Hash
 	HasKey bool
-	// Sized is set when the request says its size in tokens.
+	// Sized is set if the request gives its size in tokens.
 	Sized bool
 }
 
-// Send is what the router tells a server beside the client's own headers.
+// Send is the metadata of a request to a server, besides the client's own headers.
 type Send struct {
-	// TimeLeft is the time that the server has.
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
-	// Instance is the server that is meant; another one refuses.
+	// Instance is the instance that the request is for; any other refuses it.
 	Instance string
-	// PrefillOnly asks for the prompt to be read and its KV cache to be exported.
+	// PrefillOnly asks for the prompt to be prefilled and its KV cache to be exported.
 	PrefillOnly bool
-	// KVFrom is where the KV cache of the prompt is to be fetched from.
+	// KVFrom is where to fetch the KV cache of the prompt.
 	KVFrom string
-	// Reservation is the room that was reserved for the request.
+	// Reservation is the memory reserved for the request.
 	Reservation string
 	// LastEventID is the last event of the stream that was delivered.
 	LastEventID string
-	// Keyed is set where the configuration knows customers by keys. Then the server is told the customer, empty
-	// if the request has none, and is not shown the key.
+	// Keyed is set if the configuration has customers with keys. The server is then sent the customer's name, empty if
+	// the request has none, and not the key.
 	Keyed    bool
 	Customer string
 }
@@ -72,92 +72,90 @@
 // AnswerHead is the head of a server's answer.
 type AnswerHead struct {
 	Status int
-	// Header is what may be passed on to the client.
+	// Header is the part that may be passed on to the client.
 	Header http.Header
-	// NotRun is set when the server proves that the request did not run there.
+	// NotRun is set if the server proves that it did not run the request.
 	NotRun bool
-	// Stamped is set when the answer bears the mark of a server.
+	// Stamped is set if the answer carries a server's stamp.
 	Stamped bool
-	// Encoded is set when the body is not the server's own bytes.
+	// Encoded is set if the body is not the server's own bytes.
 	Encoded bool
-	// Replaced is set when another server than the one that was meant answered.
+	// Replaced is set if another server than the intended one answered.
 	Replaced bool
-	// Signals is what the server says of itself.
+	// Signals is what the server reports about itself.
 	Signals Signals
 }
 
-// Export is a KV cache that an engine keeps for another one to fetch.
+// Export is a KV cache that an engine holds for another one to fetch.
 type Export struct {
 	Handle string
 	Tokens int
 }
 
-// Codec translates requests and answers. It must be safe for concurrent use.
+// Codec encodes requests to servers and decodes requests and answers. It must be safe for concurrent use.
 type Codec interface {
-	// ParseRequest decodes what a client says; an error means that the request is malformed.
+	// ParseRequest decodes a client's header; an error means that the request is malformed.
 	ParseRequest(h http.Header) (Meta, error)
-	// Outgoing returns the head for a server; the client's is not changed.
+	// Outgoing returns the header for a server; the client's is not changed.
 	Outgoing(client http.Header, s Send) http.Header
-	// Matches reports whether an answer with this head belongs to the request of that id.
+	// Matches reports whether an answer with this header belongs to the request with that ID.
 	Matches(id string, h http.Header) bool
 	ParseAnswer(status int, h http.Header) AnswerHead
-	// DecodeExport decodes the answer to a request that was sent with PrefillOnly.
+	// DecodeExport decodes the answer to a request sent with PrefillOnly.
 	DecodeExport(body []byte) (Export, error)
 	// ExportSource is the value of Send.KVFrom for an export that s holds.
 	ExportSource(s registry.Server, handle string) string
 }
 
-// Engines are the calls of model engines beside the requests themselves. It must be
-// safe for concurrent use.
+// Engines makes the calls to model engines other than the requests themselves. It must be safe for concurrent use.
 type Engines interface {
-	// Reserve reserves a slot and memory for life; ErrFull or ErrStopping if there is no room.
+	// Reserve reserves a slot and memory for life; it returns ErrFull or ErrStopping if there is no free capacity.
 	Reserve(ctx context.Context, s registry.Server, tokens int, life time.Duration) (string, error)
-	// Unreserve gives a reservation back that was not used.
+	// Unreserve returns an unused reservation.
 	Unreserve(ctx context.Context, s registry.Server, reservation string) error
-	// FreeExport frees an exported KV cache that nobody will fetch.
+	// FreeExport frees an exported KV cache that will not be fetched.
 	FreeExport(ctx context.Context, s registry.Server, handle string) error
-	// OnSignals has f called with what engines say of themselves in answers to these calls. It is called once, before any
-	// other.
+	// OnSignals registers f to be called with the signals in answers to these calls. It is called once, before any
+	// other method.
 	OnSignals(f func(s registry.Server, signals Signals))
 }
 
-// Quarantine holds back requests under which servers end. It must be safe for concurrent use.
+// Quarantine withholds requests during which servers repeatedly terminated. It must be safe for concurrent use.
 type Quarantine interface {
-	// Active reports whether any request is suspect or held, so that the others need not be looked at.
+	// Active reports whether any request is suspected or quarantined; if not, no request needs to be looked up.
 	Active() bool
-	// Held reports for how long a request is held back still.
+	// Held reports whether a request is quarantined, and for how much longer.
 	Held(d fingerprint.Digest) (time.Duration, bool)
-	// ServerTerminated takes the requests that were in progress at a server that ended.
+	// ServerTerminated takes the requests that were in progress at a terminated server.
 	ServerTerminated(server string, broken []quarantine.Broken)
-	// RequestSucceeded notes that a server answered a request with success.
+	// RequestSucceeded records that a server answered a request successfully.
 	RequestSucceeded(d fingerprint.Digest)
 }
 
-// View is what the process believes of configuration and servers. It must be safe for
-// concurrent use.
+// View is the process's local state of configuration and servers. It must be safe for concurrent use.
 type View interface {
-	// Table is the configuration in force, or nil while none is known.
+	// Table is the configuration in force; nil while there is none.
 	Table() *route.Table
-	// Proved reports whether the configuration is proved to be recent enough to serve requests with keys. It waits
-	// a moment for a proof if it is not.
+	// Proved reports whether the configuration is proved to be recent enough to serve requests with keys. If not, it
+	// waits briefly for a proof.
 	Proved(ctx context.Context) bool
-	// ProvedForUnknownKey reports the same for a key that is not known to be refused as unknown.
+	// ProvedForUnknownKey reports whether it is proved to be recent enough to reject an unknown key.
 	ProvedForUnknownKey(ctx context.Context) bool
-	// Servers are those of a service that may get new work. Nobody changes a list that was
-	// returned; a changed one is another slice.
+	// Servers returns the servers of a service that may get new work. The returned list is never modified; a changed
+	// list is another slice.
 	Servers(service string) []registry.Server
-	// Listed reports whether a server is in the list and has not said that it stops.
+	// Listed reports whether a server is listed and has not announced its shutdown.
 	Listed(id string) bool
-	// Leaving reports whether a server has said that it stops, also when it is not in the list any more.
+	// Leaving reports whether a server has announced its shutdown, even if it is no longer listed.
 	Leaving(id string) bool
-	// MarkLeaving notes that a server has said in an answer that it stops, and reports whether that is news.
+	// MarkLeaving records that a server has announced its shutdown in an answer, and reports whether that was unknown.
 	MarkLeaving(s registry.Server) bool
-	// MarkDown notes that nothing listens at a server's address: it has ended.
+	// MarkDown records that nothing listens at a server's address: it has terminated.
 	MarkDown(s registry.Server)
-	// MarkReplaced notes that another server answers at a server's address.
+	// MarkReplaced records that another server answers at a server's address.
 	MarkReplaced(s registry.Server)
-	// Others is the number of other processes that are known to take requests.
+	// Others is the number of other processes known to accept requests.
 	Others() int
-	// Routers is the number of processes that forward requests, this one included.
+	// Routers is the number of processes that forward requests, including this one.
 	Routers() int
 }
--- a/forward/yield_test.go
+++ b/forward/yield_test.go
@@ -15,46 +15,46 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// crowding lets others place requests on an engine while its memory is being reserved, most times.
-type crowding struct {
+// saturatingEngines places requests of others on an engine during each of the first maxTimes reservations.
+type saturatingEngines struct {
 	forward.Engines
 	fwd *forward.Forwarder
 
-	mu    sync.Mutex
-	most  int
-	asked []string
+	mu       sync.Mutex
+	maxTimes int
+	asked    []string
 }
 
 // Reserve implements forward.Engines.
-func (c *crowding) Reserve(ctx context.Context, s registry.Server, tokens int, life time.Duration) (string, error) {
+func (c *saturatingEngines) Reserve(ctx context.Context, s registry.Server, tokens int, life time.Duration) (string, error) {
 	reservation, err := c.Engines.Reserve(ctx, s, tokens, life)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked = append(c.asked, s.ID)
-	if len(c.asked) <= c.most {
+	if len(c.asked) <= c.maxTimes {
 		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Ahead: kvmemory.Constant(10_000)}
 		c.fwd.SetPeerLoads(map[string]kvmemory.Load{s.ID: full})
 	}
 	return reservation, err
 }
 
-// TestCrowdedEngineIsLeft: a request whose engine was chosen by others in the same moment gives its reservation back
-// and goes to another engine, before anything of it was sent. When it has done so twice it stays.
-func TestCrowdedEngineIsLeft(t *testing.T) {
+// TestSaturatedEngineIsYielded: a request whose engine was chosen by others at the same moment returns its reservation
+// and goes to another engine, before anything of it was sent. After two such moves it stays.
+func TestSaturatedEngineIsYielded(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		crowded, want int
+		name            string
+		saturated, want int
 	}{
-		{"one crowded", 1, 2},
-		{"two crowded", 2, 3},
-		{"all crowded", 9, 3},
+		{"one saturated", 1, 2},
+		{"two saturated", 2, 3},
+		{"all saturated", 9, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnv(t)
 			for _, id := range []string{"d1", "d2", "d3", "d4"} {
 				w.add(t, id, "llm", registry.Decode)
 			}
-			engines := &crowding{Engines: w.fwd.Engines, fwd: w.fwd, most: c.crowded}
+			engines := &saturatingEngines{Engines: w.fwd.Engines, fwd: w.fwd, maxTimes: c.saturated}
 			w.fwd.Engines = engines
 			assert.Equal(t, w.post(t, "/draft/patient/1").status, 200)
 			assert.Equal(t, len(engines.asked), c.want, "%v", engines.asked)
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -12,19 +12,19 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-// script is how one attempt goes: the step that ends it, and its outcome.
+// script is the course of one attempt: the step that ends it, and its outcome.
 type script struct {
 	endsAt string
 	out    outcome.Outcome
 }
 
-// request plays its scripts, one an attempt, and notes what is called.
+// request runs its scripts, one per attempt, and records the calls.
 type request struct {
 	scripts []script
 	calls   []string
 	placed  int
-	// most is the number of attempts that the policy allows.
-	most int
+	// maxAttempts is the number of attempts that the policy allows.
+	maxAttempts int
 }
 
 type attempt struct {
@@ -34,10 +34,10 @@
 
 var noServer = outcome.Refuse(outcome.NoBackend, time.Second)
 
-func (r *request) note(call string) { r.calls = append(r.calls, call) }
+func (r *request) record(call string) { r.calls = append(r.calls, call) }
 
 func (r *request) Place(context.Context) (*attempt, outcome.Outcome, bool) {
-	r.note("place")
+	r.record("place")
 	if r.placed == len(r.scripts) {
 		return nil, noServer, false
 	}
@@ -46,21 +46,21 @@
 }
 
 func (r *request) Ended(_ context.Context, _ *attempt, o outcome.Outcome) (outcome.Outcome, bool) {
-	r.note("ended")
-	return o, o.Kind != outcome.Completed && r.placed < r.most
+	r.record("ended")
+	return o, o.Kind != outcome.Completed && r.placed < r.maxAttempts
 }
 
 func (a *attempt) step(name string) (outcome.Outcome, bool) {
-	a.r.note(name)
+	a.r.record(name)
 	return a.out, name != a.endsAt
 }
 
 func (a *attempt) Reserve(context.Context) (outcome.Outcome, bool) { return a.step("reserve") }
 func (a *attempt) Prefill(context.Context) (outcome.Outcome, bool) { return a.step("prefill") }
-func (a *attempt) Release()                                        { a.r.note("release") }
+func (a *attempt) Release()                                        { a.r.record("release") }
 
 func (a *attempt) Answer(context.Context) outcome.Outcome {
-	a.r.note("answer")
+	a.r.record("answer")
 	return a.out
 }
 
@@ -69,23 +69,23 @@
 	full := outcome.Refuse(outcome.NoPlace, time.Second)
 	lost := outcome.Unsure(outcome.LinkDown, "")
 	for _, c := range []struct {
-		name    string
-		scripts []script
-		most    int
-		calls   string
-		end     outcome.Outcome
+		name        string
+		scripts     []script
+		maxAttempts int
+		calls       string
+		end         outcome.Outcome
 	}{
 		{"answered", []script{{"answer", whole}}, 2, "place reserve prefill answer release ended", whole},
 		{"no server", nil, 2, "place", noServer},
-		{"no room, then answered", []script{{"reserve", full}, {"answer", whole}}, 2,
+		{"no free memory, then answered", []script{{"reserve", full}, {"answer", whole}}, 2,
 			"place reserve release ended place reserve prefill answer release ended", whole},
-		{"prompt not read, no other attempt", []script{{"prefill", lost}}, 1, "place reserve prefill release ended", lost},
+		{"prefill failed, no other attempt", []script{{"prefill", lost}}, 1, "place reserve prefill release ended", lost},
 		{"lost, and no other server", []script{{"answer", lost}}, 2, "place reserve prefill answer release ended place", noServer},
 		{"no third attempt", []script{{"answer", lost}, {"answer", lost}, {"answer", whole}}, 2,
 			"place reserve prefill answer release ended place reserve prefill answer release ended", lost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := &request{scripts: c.scripts, most: c.most}
+			r := &request{scripts: c.scripts, maxAttempts: c.maxAttempts}
 			end := lifecycle.Run(context.Background(), r)
 			assert.Equal(t, end, c.end)
 			assert.Equal(t, strings.Join(r.calls, " "), c.calls)
@@ -93,27 +93,27 @@
 	}
 }
 
-// broken is an attempt whose answer breaks an invariant.
-type broken struct{ attempt }
+// panicking is an attempt whose answer panics.
+type panicking struct{ attempt }
 
-func (b *broken) Answer(context.Context) outcome.Outcome { panic("invariant") }
+func (b *panicking) Answer(context.Context) outcome.Outcome { panic("invariant") }
 
-type brokenRequest struct{ *request }
+type panickingRequest struct{ *request }
 
-func (r brokenRequest) Place(context.Context) (*broken, outcome.Outcome, bool) {
-	return &broken{attempt{r: r.request}}, outcome.Outcome{}, true
+func (r panickingRequest) Place(context.Context) (*panicking, outcome.Outcome, bool) {
+	return &panicking{attempt{r: r.request}}, outcome.Outcome{}, true
 }
 
-func (r brokenRequest) Ended(context.Context, *broken, outcome.Outcome) (outcome.Outcome, bool) {
+func (r panickingRequest) Ended(context.Context, *panicking, outcome.Outcome) (outcome.Outcome, bool) {
 	return outcome.Outcome{}, false
 }
 
-// TestReleasedInAPanic: what an attempt holds is given up even then.
-func TestReleasedInAPanic(t *testing.T) {
+// TestReleasedOnPanic: an attempt is released even if it panics.
+func TestReleasedOnPanic(t *testing.T) {
 	r := &request{}
 	defer func() {
 		assert.Equal(t, recover(), "invariant")
 		assert.Equal(t, strings.Join(r.calls, " "), "reserve prefill release")
 	}()
-	lifecycle.Run(context.Background(), brokenRequest{r})
+	lifecycle.Run(context.Background(), panickingRequest{r})
 }
