--- a/forward/doubts.go
+++ b/forward/doubts.go
@@ -67,7 +67,7 @@
 
 // doubt prefers other engines for a moment, here and at the other gateways.
 func (f *Forwarder) doubt(s registry.Server) {
-	if !f.Off.Has(mechanism.Doubts) && f.doubts.failed(s.ID) {
+	if !f.Off.Has(mechanism.Suspicion) && f.doubts.failed(s.ID) {
 		f.tellPlaced()
 	}
 }
@@ -78,7 +78,7 @@
 
 // Failing takes from another gateway that a request has failed at an engine.
 func (f *Forwarder) Failing(gateway, id string) {
-	if !f.Off.Has(mechanism.Doubts) {
+	if !f.Off.Has(mechanism.Suspicion) {
 		f.doubts.told(gateway, id)
 	}
 }
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -12,10 +12,10 @@
 // memoryConfig is how decode engines are chosen without the mechanisms that are off.
 func memoryConfig(off mechanism.Set) kvmemory.Config {
 	c := kvmemory.DefaultConfig()
-	if off.Has(mechanism.Turns) {
+	if off.Has(mechanism.Stagger) {
 		c.Turn = 0
 	}
-	if off.Has(mechanism.LateSpare) {
+	if off.Has(mechanism.LateHeadroom) {
 		c.LateSpare = 0
 	}
 	if off.Has(mechanism.ZoneBonus) {
@@ -27,7 +27,7 @@
 // readingConfig is the same for who reads prompts.
 func readingConfig(off mechanism.Set) reading.Config {
 	c := reading.DefaultConfig()
-	if off.Has(mechanism.SelfRead) {
+	if off.Has(mechanism.LocalPrefill) {
 		c.Self = 0
 	}
 	return c
@@ -36,10 +36,10 @@
 // waitingTerms is the same for requests that wait.
 func waitingTerms(off mechanism.Set) waiting.Terms {
 	t := waiting.DefaultTerms()
-	if off.Has(mechanism.LateWait) {
+	if off.Has(mechanism.RetryQueueing) {
 		t.LateWait = 0
 	}
-	if off.Has(mechanism.Hopeless) {
+	if off.Has(mechanism.EarlyRejection) {
 		t.Doubt = math.Inf(1)
 	}
 	return t
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -263,7 +263,7 @@
 	defer f.mu.Unlock()
 	for _, s := range f.services {
 		s.engines.setOthers(loads, routers)
-		if f.Off.Has(mechanism.ReaderLines) {
+		if f.Off.Has(mechanism.PrefillQueues) {
 			continue
 		}
 		for id, l := range loads {
--- a/policy/admission/advance.go
+++ b/policy/admission/advance.go
@@ -9,12 +9,12 @@
 )
 
 // Advance returns what has become due: reservations and waits that have lapsed
-// (Refused), held runs that may start now (Started), and new grants (Granted).
+// (Rejected), held runs that may start now (Started), and new grants (Granted).
 // Call it after every other call and at the time given by NextWake.
 func (d *Decode) Advance(now time.Time) []Decision {
 	out := d.lapse(now)
 	for _, p := range d.ordered {
-		if p.state == held && d.busy < d.cfg.Places {
+		if p.state == held && d.busy < d.cfg.Slots {
 			out = append(out, d.start(now, p))
 		}
 	}
@@ -76,7 +76,7 @@
 			return false
 		}
 		claimed++
-		return claimed < d.cfg.Places
+		return claimed < d.cfg.Slots
 	})
 	return found, ok
 }
@@ -85,9 +85,9 @@
 	r := d.waiting[key]
 	delete(d.waiting, key)
 	d.queue.Take(key)
-	g := d.link.Plan(now, key, now.Add(r.Prefill), r.KVBytes)
-	p := &place{req: r, lengths: d.class(r), need: g.End(), early: len(d.ordered) >= d.cfg.Places}
-	p.expires = p.need.Add(r.Prefill + d.cfg.Grace)
+	g := d.link.Plan(now, key, now.Add(r.PrefillTime), r.KVBytes)
+	p := &place{req: r, lengths: d.class(r), need: g.End(), early: len(d.ordered) >= d.cfg.Slots}
+	p.expires = p.need.Add(r.PrefillTime + d.cfg.Grace)
 	if p.early {
 		d.counts.Early++
 	}
@@ -104,11 +104,11 @@
 	}
 	return Decision{
 		Key: p.req.Key, Verdict: Granted, Wait: wait,
-		LinkTime: g.Duration, Expires: max(0, p.expires.Sub(now)),
+		LinkTime: g.Duration, ExpiresIn: max(0, p.expires.Sub(now)),
 	}
 }
 
 // transfer returns when the KV cache of r could come over the link, at the earliest.
-func (d *Decode) transfer(now time.Time, r Request) kvlink.Grant {
-	return d.link.Quote(now, now.Add(r.Prefill), r.KVBytes)
+func (d *Decode) transfer(now time.Time, r DecodeRequest) kvlink.Grant {
+	return d.link.Quote(now, now.Add(r.PrefillTime), r.KVBytes)
 }
--- a/policy/admission/decode.go
+++ b/policy/admission/decode.go
@@ -26,10 +26,10 @@
 	lookahead = 8
 )
 
-// DecodeConfig describes a decode server. Places must be positive.
+// DecodeConfig describes a decode server. Slots must be positive.
 type DecodeConfig struct {
-	// Places is how many requests the engine decodes at once.
-	Places int
+	// Slots is how many requests the engine decodes at once.
+	Slots int
 	// StepBase and StepPerRun give the time of one decode step.
 	StepBase, StepPerRun time.Duration
 	// LinkBytesPerSecond is the rate of the inbound KV link; 0 means unlimited.
@@ -45,8 +45,8 @@
 	Hold time.Duration
 	// MaxWait bounds the wait of a request without a target.
 	MaxWait time.Duration
-	// Queue bounds the number of waiting requests.
-	Queue int
+	// MaxQueued bounds the number of waiting requests.
+	MaxQueued int
 	// FIFO serves in order of arrival, whatever the customer and urgency.
 	FIFO bool
 }
@@ -54,12 +54,12 @@
 // DefaultDecodeConfig returns the settings for a server with the given places.
 func DefaultDecodeConfig(places int) DecodeConfig {
 	return DecodeConfig{
-		Places:  places,
-		Ahead:   places / 4,
-		Grace:   DefaultGrace,
-		Hold:    DefaultHold,
-		MaxWait: DefaultMaxWait,
-		Queue:   DefaultQueue,
+		Slots:     places,
+		Ahead:     places / 4,
+		Grace:     DefaultGrace,
+		Hold:      DefaultHold,
+		MaxWait:   DefaultMaxWait,
+		MaxQueued: DefaultQueue,
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // place is one reservation or run.
 type place struct {
-	req     Request
+	req     DecodeRequest
 	lengths *lengths // of its class
 	state   state
 	// early places were promised on runs expected to end.
@@ -102,7 +102,7 @@
 type Decode struct {
 	cfg     DecodeConfig
 	queue   *fairshare.Queue[Key]
-	waiting map[Key]Request
+	waiting map[Key]DecodeRequest
 	places  map[Key]*place
 	ordered []*place // by time of the grant
 	busy    int      // number in state running
@@ -122,20 +122,20 @@
 func NewDecode(cfg DecodeConfig) *Decode {
 	return &Decode{
 		cfg:     cfg,
-		queue:   fairshare.New[Key](fairshare.DefaultConfig(cfg.Places)),
-		waiting: make(map[Key]Request),
+		queue:   fairshare.New[Key](fairshare.DefaultConfig(cfg.Slots)),
+		waiting: make(map[Key]DecodeRequest),
 		places:  make(map[Key]*place),
 		link:    kvlink.New[Key](cfg.LinkBytesPerSecond),
 		steps:   steps{base: cfg.StepBase, perRun: cfg.StepPerRun, scale: 1},
 		classes: make(map[classKey]*lengths),
 		caution: minCaution,
-		owed:    newOwed(cfg.Places),
+		owed:    newOwed(cfg.Slots),
 	}
 }
 
-// Reserve asks for a place. The decision is Refused or Waiting; the grant comes
+// Reserve asks for a place. The decision is Rejected or Waiting; the grant comes
 // from Advance, at once when a place is free. Repeating a call changes nothing.
-func (d *Decode) Reserve(now time.Time, r Request) Decision {
+func (d *Decode) Reserve(now time.Time, r DecodeRequest) Decision {
 	r = d.normal(r)
 	if p := d.places[r.Key]; p != nil {
 		return d.granted(now, p, d.link.Quote(now, p.need, 0))
@@ -165,12 +165,12 @@
 		p = nil
 	}
 	if p == nil {
-		return d.refuse(now, Request{Key: key}, outcome.ReservationLapsed, 0)
+		return d.refuse(now, DecodeRequest{Key: key}, outcome.ReservationLapsed, 0)
 	}
 	if p.state == running {
 		return Decision{Key: key, Verdict: Started}
 	}
-	if d.busy < d.cfg.Places {
+	if d.busy < d.cfg.Slots {
 		return d.start(now, p)
 	}
 	if p.state == promised {
@@ -193,9 +193,9 @@
 	return Decision{Key: p.req.Key, Verdict: Started, Wait: g.Start.Sub(now), LinkTime: g.Duration}
 }
 
-// Imported notes that the first token of a run has come, so long after its start:
+// FirstToken notes that the first token of a run has come, so long after its start:
 // its KV cache has arrived, and one step was done.
-func (d *Decode) Imported(key Key, took time.Duration) {
+func (d *Decode) FirstToken(key Key, took time.Duration) {
 	if p := d.places[key]; p != nil && d.link.Release(key) {
 		d.link.Observe(p.req.KVBytes, took-d.steps.of(d.busy))
 	}
@@ -208,13 +208,13 @@
 	}
 }
 
-// Observe feeds back the measured time of a decode step with the present batch.
-func (d *Decode) Observe(step time.Duration) {
+// ObserveStep feeds back the measured time of a decode step with the present batch.
+func (d *Decode) ObserveStep(step time.Duration) {
 	d.steps.observe(max(d.busy, 1), step)
 }
 
-// Ended gives back the place of a run that was completed with so many tokens.
-func (d *Decode) Ended(now time.Time, key Key, tokens int) {
+// Completed gives back the place of a run that was completed with so many tokens.
+func (d *Decode) Completed(now time.Time, key Key, tokens int) {
 	p := d.places[key]
 	if p == nil {
 		return
@@ -226,9 +226,9 @@
 	d.release(p)
 }
 
-// Cancelled gives up whatever is held under key: a wait, a reservation or a run.
+// Cancel gives up whatever is held under key: a wait, a reservation or a run.
 // It reports whether there was any.
-func (d *Decode) Cancelled(key Key) bool {
+func (d *Decode) Cancel(key Key) bool {
 	if p := d.places[key]; p != nil {
 		d.release(p)
 		return true
@@ -254,7 +254,7 @@
 }
 
 // normal fills in defaults, and hides customers from a queue that is to be FIFO.
-func (d *Decode) normal(r Request) Request {
+func (d *Decode) normal(r DecodeRequest) DecodeRequest {
 	if r.MaxTokens <= 0 {
 		r.MaxTokens = DefaultMaxTokens
 	}
@@ -265,7 +265,7 @@
 }
 
 // class returns the lengths of the class of r, kept from now on.
-func (d *Decode) class(r Request) *lengths {
+func (d *Decode) class(r DecodeRequest) *lengths {
 	k := classKey{r.Customer, r.Class}
 	l := d.classes[k]
 	if l == nil && len(d.classes) >= maxClasses {
@@ -289,7 +289,7 @@
 
 // Load is the server's own view of its promises.
 type Load struct {
-	Places, Used, Queued int
+	Slots, UsedSlots, Queued int
 	// LinkBacklog is the time of the link that is granted from now on.
 	LinkBacklog time.Duration
 	// Step is the time of a decode step with the present batch.
@@ -299,7 +299,7 @@
 // Load returns the present load.
 func (d *Decode) Load(now time.Time) Load {
 	return Load{
-		Places: d.cfg.Places, Used: len(d.ordered), Queued: len(d.waiting),
+		Slots: d.cfg.Slots, UsedSlots: len(d.ordered), Queued: len(d.waiting),
 		LinkBacklog: d.link.Backlog(now), Step: d.steps.of(max(d.busy, 1)),
 	}
 }
--- a/policy/admission/decode_test.go
+++ b/policy/admission/decode_test.go
@@ -20,8 +20,8 @@
 
 func key(n int) Key { return Key{RequestID: fmt.Sprint("r", n), Attempt: 1} }
 
-func request(n int, customer string) Request {
-	return Request{Key: key(n), Customer: customer, Class: "c", Share: 0.5, Urgency: contract.Prompt, TTFT: time.Second, TBT: 50 * ms, MaxTokens: 100, Prefill: 100 * ms}
+func request(n int, customer string) DecodeRequest {
+	return DecodeRequest{Key: key(n), Customer: customer, Class: "c", Share: 0.5, Urgency: contract.Prompt, TTFT: time.Second, TBT: 50 * ms, MaxTokens: 100, PrefillTime: 100 * ms}
 }
 
 // server returns a server with a step of 20 ms at 20 places.
@@ -35,7 +35,7 @@
 }
 
 // take reserves and starts a place, which must be free.
-func take(t *testing.T, d *Decode, now time.Time, r Request) {
+func take(t *testing.T, d *Decode, now time.Time, r DecodeRequest) {
 	t.Helper()
 	d.Reserve(now, r)
 	got := d.Advance(now)
@@ -57,22 +57,22 @@
 		name    string
 		running int
 		after   time.Duration
-		change  func(*Request)
+		change  func(*DecodeRequest)
 		want    Verdict
 		reason  outcome.Reason
 	}{
-		{"free", 0, 0, func(*Request) {}, Granted, ""},
-		{"full", 20, 0, func(*Request) {}, Refused, outcome.NoPlace},
-		{"full, above its share, but nobody else wants one", 20, 0, func(r *Request) { r.Customer = "a" }, Refused, outcome.NoPlace},
-		{"full, but may wait", 20, 0, func(r *Request) { r.TTFT = 5 * time.Second }, Waiting, ""},
-		{"full until its prefill is done", 20, 0, func(r *Request) { r.Prefill, r.TTFT = 2100*ms, 2200*ms }, Granted, ""},
-		{"full, but all are at their bound", 20, 2 * time.Second, func(*Request) {}, Granted, ""},
-		{"prefill too long", 0, 0, func(r *Request) { r.Prefill = 2 * time.Second }, Refused, outcome.TargetUnreachable},
-		{"step too slow", 0, 0, func(r *Request) { r.TBT = 10 * ms }, Refused, outcome.TargetUnreachable},
-		{"batch too large for its tokens", 12, 0, func(r *Request) { r.TBT = 16 * ms }, Refused, outcome.NoPlace},
-		{"batch small enough for its tokens", 7, 0, func(r *Request) { r.TBT = 16 * ms }, Granted, ""},
-		{"link busy", 0, 0, func(r *Request) { r.TTFT, r.KVBytes = 2*time.Second, 1e9 }, Refused, outcome.LinkBusy},
-		{"transfer too long", 0, 0, func(r *Request) { r.KVBytes = 1e10 }, Refused, outcome.TargetUnreachable},
+		{"free", 0, 0, func(*DecodeRequest) {}, Granted, ""},
+		{"full", 20, 0, func(*DecodeRequest) {}, Rejected, outcome.NoPlace},
+		{"full, above its share, but nobody else wants one", 20, 0, func(r *DecodeRequest) { r.Customer = "a" }, Rejected, outcome.NoPlace},
+		{"full, but may wait", 20, 0, func(r *DecodeRequest) { r.TTFT = 5 * time.Second }, Waiting, ""},
+		{"full until its prefill is done", 20, 0, func(r *DecodeRequest) { r.PrefillTime, r.TTFT = 2100*ms, 2200*ms }, Granted, ""},
+		{"full, but all are at their bound", 20, 2 * time.Second, func(*DecodeRequest) {}, Granted, ""},
+		{"prefill too long", 0, 0, func(r *DecodeRequest) { r.PrefillTime = 2 * time.Second }, Rejected, outcome.TargetUnreachable},
+		{"step too slow", 0, 0, func(r *DecodeRequest) { r.TBT = 10 * ms }, Rejected, outcome.TargetUnreachable},
+		{"batch too large for its tokens", 12, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Rejected, outcome.NoPlace},
+		{"batch small enough for its tokens", 7, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Granted, ""},
+		{"link busy", 0, 0, func(r *DecodeRequest) { r.TTFT, r.KVBytes = 2*time.Second, 1e9 }, Rejected, outcome.LinkBusy},
+		{"transfer too long", 0, 0, func(r *DecodeRequest) { r.KVBytes = 1e10 }, Rejected, outcome.TargetUnreachable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			}
 			assert.Equal(t, got.Verdict, c.want)
 			assert.Equal(t, got.Reason, c.reason)
-			assert.Assert(t, got.Verdict != Refused || got.RetryAfter >= minRetryAfter)
+			assert.Assert(t, got.Verdict != Rejected || got.RetryAfter >= minRetryAfter)
 		})
 	}
 }
@@ -118,7 +118,7 @@
 			now := at(600 * ms)
 			for i := range 20 {
 				r := request(100+i, "b")
-				r.Prefill, r.TTFT = c.prefill, 10*time.Second
+				r.PrefillTime, r.TTFT = c.prefill, 10*time.Second
 				d.Reserve(now, r)
 			}
 			assert.Equal(t, len(d.Advance(now)), c.want)
@@ -136,7 +136,7 @@
 	teach(d, "a", 10)
 	for i := 100; i < 102; i++ {
 		r := request(i, "b")
-		r.Prefill, r.TTFT = 300*ms, 2*time.Second
+		r.PrefillTime, r.TTFT = 300*ms, 2*time.Second
 		d.Reserve(epoch, r)
 	}
 	assert.Equal(t, len(d.Advance(epoch)), 2)
@@ -144,7 +144,7 @@
 	assert.Equal(t, d.Start(now, key(100)).Verdict, Held)
 	assert.Equal(t, d.Start(now, key(101)).Verdict, Held)
 	assert.Assert(t, d.caution > minCaution)
-	d.Ended(now, key(3), 10)
+	d.Completed(now, key(3), 10)
 	got := d.Advance(now)
 	assert.Assert(t, len(got) == 1 && got[0].Key == key(100) && got[0].Verdict == Started)
 	got = d.Advance(now.Add(DefaultHold))
@@ -168,7 +168,7 @@
 		first := 0
 		for i := range 10 {
 			now := at(time.Duration(i+1) * 10 * ms)
-			d.Ended(now, key(i), 50)
+			d.Completed(now, key(i), 50)
 			for _, got := range d.Advance(now) {
 				if got.Key.RequestID >= "r200" {
 					first++
@@ -193,14 +193,14 @@
 	more := request(101, "a")
 	more.TTFT = time.Minute
 	d.Reserve(epoch, more)
-	d.Ended(epoch, key(0), 50)
+	d.Completed(epoch, key(0), 50)
 	assert.Equal(t, len(d.Advance(epoch)), 0)
 	later := at(back.RetryAfter + owedGrace)
 	assert.Equal(t, len(d.Advance(later.Add(-ms))), 0)
 	d.Reserve(later.Add(-ms), b)
 	got := d.Advance(later.Add(-ms))
 	assert.Assert(t, len(got) == 1 && got[0].Key == b.Key)
-	d.Cancelled(b.Key)
+	d.Cancel(b.Key)
 	assert.Equal(t, len(d.Advance(later)), 1)
 }
 
@@ -232,15 +232,15 @@
 		case 0, 1:
 			r := request(i, fmt.Sprint(rng.IntN(8)))
 			r.Urgency, r.Share = contract.Urgency(rng.IntN(3)), rng.Float64()
-			r.Prefill, r.KVBytes = time.Duration(rng.IntN(900))*ms, rng.Int64N(1e8)
+			r.PrefillTime, r.KVBytes = time.Duration(rng.IntN(900))*ms, rng.Int64N(1e8)
 			r.TTFT = time.Duration(rng.IntN(4000)) * ms
 			log = append(log, d.Reserve(now, r))
 		case 2, 3:
 			log = append(log, d.Start(now, k))
 		case 4:
-			d.Ended(now, k, 1+rng.IntN(100))
+			d.Completed(now, k, 1+rng.IntN(100))
 		case 5:
-			d.Cancelled(k)
+			d.Cancel(k)
 		}
 		log = append(log, d.Advance(now)...)
 		assert.Assert(t, d.busy <= 20 && len(d.ordered) <= 20+ahead, "busy %d given out %d", d.busy, len(d.ordered))
@@ -249,9 +249,9 @@
 		assert.Assert(t, d.link.Len() <= len(d.places))
 	}
 	for i := range 3000 {
-		d.Cancelled(key(i))
+		d.Cancel(key(i))
 	}
-	assert.Equal(t, d.Load(now), Load{Places: 20, Step: d.steps.of(1)})
+	assert.Equal(t, d.Load(now), Load{Slots: 20, Step: d.steps.of(1)})
 	assert.Equal(t, d.queue.Customers()+d.link.Len()+d.busy, 0)
 	return log
 }
@@ -270,7 +270,7 @@
 	for _, places := range []int{20, 64} {
 		b.Run(fmt.Sprint(places), func(b *testing.B) {
 			d := NewDecode(DefaultDecodeConfig(places))
-			d.cfg.StepBase, d.steps.base, d.cfg.Queue = 10*ms, 10*ms, 1<<20
+			d.cfg.StepBase, d.steps.base, d.cfg.MaxQueued = 10*ms, 10*ms, 1<<20
 			ask := func(i int) {
 				r := request(i, fmt.Sprint("customer-", i%340))
 				r.Share, r.TTFT, r.Urgency = 0.003, time.Hour, contract.Urgency(i%3)
@@ -285,7 +285,7 @@
 			b.ReportAllocs()
 			for i := 2000 + places; b.Loop(); i++ {
 				ask(i)
-				d.Ended(epoch, d.ordered[0].req.Key, 50)
+				d.Completed(epoch, d.ordered[0].req.Key, 50)
 				for _, g := range d.Advance(epoch) {
 					d.Start(epoch, g.Key)
 				}
--- a/policy/admission/predict.go
+++ b/policy/admission/predict.go
@@ -96,7 +96,7 @@
 	for _, p := range d.ordered {
 		tbt = tighter(tbt, p.req.TBT)
 	}
-	return d.steps.limit(tbt, d.cfg.Places)
+	return d.steps.limit(tbt, d.cfg.Slots)
 }
 
 // tighter returns the lower target; 0 is none.
@@ -108,7 +108,7 @@
 }
 
 // cost returns the expected time for which a request holds its place.
-func (d *Decode) cost(r Request) time.Duration {
+func (d *Decode) cost(r DecodeRequest) time.Duration {
 	tokens := d.classes[classKey{r.Customer, r.Class}].expect(r.MaxTokens)
-	return r.Prefill + d.link.Time(r.KVBytes) + time.Duration(tokens)*d.steps.of(d.cfg.Places)
+	return r.PrefillTime + d.link.Time(r.KVBytes) + time.Duration(tokens)*d.steps.of(d.cfg.Slots)
 }
--- a/policy/admission/prefill.go
+++ b/policy/admission/prefill.go
@@ -26,20 +26,20 @@
 	TokensPerSecond float64
 	// MaxWait bounds the wait of work without a target.
 	MaxWait time.Duration
-	// Queue bounds the amount of waiting work.
-	Queue int
+	// MaxQueued bounds the amount of waiting work.
+	MaxQueued int
 	// FIFO serves in order of arrival, whatever the customer and urgency.
 	FIFO bool
 }
 
 // DefaultPrefillConfig returns the settings for a server with the given rate.
 func DefaultPrefillConfig(tokensPerSecond float64) PrefillConfig {
-	return PrefillConfig{Window: 1, TokensPerSecond: tokensPerSecond, MaxWait: DefaultMaxWait, Queue: DefaultQueue}
+	return PrefillConfig{Window: 1, TokensPerSecond: tokensPerSecond, MaxWait: DefaultMaxWait, MaxQueued: DefaultQueue}
 }
 
 // job is a prefill handed to the engine.
 type job struct {
-	work Work
+	work PrefillRequest
 	cost time.Duration
 }
 
@@ -50,7 +50,7 @@
 	// one. They are below 1 where much of the prompts is cached.
 	paces   map[classKey]float64
 	queue   *fairshare.Queue[Key]
-	waiting map[Key]Work
+	waiting map[Key]PrefillRequest
 	active  []job // in the order handed out; the first is being computed
 	// began is when the engine began with the first active job.
 	began   time.Time
@@ -63,13 +63,13 @@
 		cfg:     cfg,
 		paces:   make(map[classKey]float64),
 		queue:   fairshare.New[Key](fairshare.DefaultConfig(cfg.Window)),
-		waiting: make(map[Key]Work),
+		waiting: make(map[Key]PrefillRequest),
 	}
 }
 
-// Submit asks for a prefill. The decision is Refused or Waiting; Advance says
+// Submit asks for a prefill. The decision is Rejected or Waiting; Advance says
 // when it is to start. Repeating a call changes nothing.
-func (p *Prefill) Submit(now time.Time, w Work) Decision {
+func (p *Prefill) Submit(now time.Time, w PrefillRequest) Decision {
 	if p.cfg.FIFO {
 		w.Customer, w.Share, w.Urgency = "", 1, contract.Interactive
 	}
@@ -85,7 +85,7 @@
 	switch {
 	case cost > budget:
 		return p.refuse(now, w, outcome.TargetUnreachable, 0)
-	case wait+cost > budget, len(p.waiting) >= p.cfg.Queue:
+	case wait+cost > budget, len(p.waiting) >= p.cfg.MaxQueued:
 		return p.refuse(now, w, outcome.PrefillBacklog, wait+cost-budget)
 	}
 	p.waiting[w.Key] = w
@@ -97,7 +97,7 @@
 }
 
 // Advance returns the prefills to start now (Granted), and the waiting ones that
-// can no longer be done in time (Refused), which were never started.
+// can no longer be done in time (Rejected), which were never started.
 func (p *Prefill) Advance(now time.Time) []Decision {
 	var out []Decision
 	for _, it := range p.queue.Expire(now) {
@@ -125,15 +125,15 @@
 	return p.queue.NextDeadline()
 }
 
-// Done notes that a prefill was computed.
-func (p *Prefill) Done(now time.Time, key Key) {
+// Completed notes that a prefill was computed.
+func (p *Prefill) Completed(now time.Time, key Key) {
 	if len(p.active) > 0 && p.active[0].work.Key == key {
 		p.learn(p.active[0].work, now.Sub(p.began))
 	}
 	p.finish(now, key)
 }
 
-func (p *Prefill) learn(w Work, took time.Duration) {
+func (p *Prefill) learn(w PrefillRequest, took time.Duration) {
 	k := classKey{w.Customer, w.Class}
 	nominal := p.nominal(w.Tokens)
 	if _, ok := p.paces[k]; nominal <= 0 || took <= 0 || !ok && len(p.paces) >= maxClasses {
@@ -144,8 +144,8 @@
 	p.paces[k] = min(max(pace, minPace), maxPace)
 }
 
-// Cancelled gives up whatever is held under key. It reports whether there was any.
-func (p *Prefill) Cancelled(now time.Time, key Key) bool {
+// Cancel gives up whatever is held under key. It reports whether there was any.
+func (p *Prefill) Cancel(now time.Time, key Key) bool {
 	if _, ok := p.waiting[key]; ok {
 		delete(p.waiting, key)
 		return p.queue.Remove(key)
@@ -182,7 +182,7 @@
 }
 
 // Cost returns the expected time to compute w.
-func (p *Prefill) Cost(w Work) time.Duration {
+func (p *Prefill) Cost(w PrefillRequest) time.Duration {
 	return time.Duration(p.pace(classKey{w.Customer, w.Class}) * float64(p.nominal(w.Tokens)))
 }
 
@@ -219,7 +219,7 @@
 	return slices.ContainsFunc(p.active, func(j job) bool { return j.work.Key == key })
 }
 
-func (p *Prefill) refuse(now time.Time, w Work, reason outcome.Reason, need time.Duration) Decision {
+func (p *Prefill) refuse(now time.Time, w PrefillRequest, reason outcome.Reason, need time.Duration) Decision {
 	after := p.returns.after(now, w.Key, need, p.Cost(w))
-	return Decision{Key: w.Key, Verdict: Refused, Reason: reason, RetryAfter: after}
+	return Decision{Key: w.Key, Verdict: Rejected, Reason: reason, RetryAfter: after}
 }
--- a/policy/admission/prefill_test.go
+++ b/policy/admission/prefill_test.go
@@ -12,8 +12,8 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-func work(n int, customer string, tokens int, budget time.Duration) Work {
-	return Work{Key: key(n), Customer: customer, Share: 0.5, Urgency: contract.Deferred, Tokens: tokens, Budget: budget}
+func work(n int, customer string, tokens int, budget time.Duration) PrefillRequest {
+	return PrefillRequest{Key: key(n), Customer: customer, Share: 0.5, Urgency: contract.Deferred, Tokens: tokens, Budget: budget}
 }
 
 func TestPrefill(t *testing.T) {
@@ -31,14 +31,14 @@
 	assert.Equal(t, p.Submit(epoch, work(10, "a", 3000, 2*time.Second)).Reason, outcome.TargetUnreachable)
 	assert.Equal(t, p.Submit(at(500*ms), lookup).Verdict, Waiting)
 
-	p.Done(at(time.Second), key(0))
+	p.Completed(at(time.Second), key(0))
 	got := p.Advance(at(time.Second))
 	assert.Assert(t, len(got) == 1 && got[0].Key == lookup.Key, "the lookup goes before the dossiers")
-	assert.Assert(t, p.Cancelled(epoch, key(2)) && !p.Cancelled(epoch, key(2)))
+	assert.Assert(t, p.Cancel(epoch, key(2)) && !p.Cancel(epoch, key(2)))
 	p.learn(work(0, "a", 1000, 0), 500*ms)
 	assert.Equal(t, p.Cost(work(11, "a", 1000, 0)), 950*ms, "prompts of the class are partly cached")
 	got = p.Advance(at(9 * time.Second))
-	assert.Assert(t, len(got) == 1 && got[0].Key == key(3) && got[0].Verdict == Refused && got[0].RetryAfter > 0)
+	assert.Assert(t, len(got) == 1 && got[0].Key == key(3) && got[0].Verdict == Rejected && got[0].RetryAfter > 0)
 }
 
 func TestPrefillRandom(t *testing.T) {
@@ -53,16 +53,16 @@
 			case 0, 1:
 				p.Submit(now, work(i, fmt.Sprint(rng.IntN(8)), rng.IntN(2000), time.Duration(rng.IntN(2000))*ms))
 			case 2:
-				p.Done(now, k)
+				p.Completed(now, k)
 			case 3:
-				p.Cancelled(now, k)
+				p.Cancel(now, k)
 			}
 			p.Advance(now)
 			assert.Assert(t, len(p.active) <= 1 && p.Backlog(now) >= 0)
 			assert.Equal(t, len(p.waiting), p.queue.Len())
 		}
 		for i := range 3000 {
-			p.Cancelled(now, key(i))
+			p.Cancel(now, key(i))
 		}
 		assert.Equal(t, p.Backlog(now), time.Duration(0))
 		assert.Equal(t, p.queue.Customers(), 0)
@@ -81,6 +81,6 @@
 	for i := 2000; b.Loop(); i++ {
 		submit(i)
 		p.Advance(epoch)
-		p.Done(epoch, p.active[0].work.Key)
+		p.Completed(epoch, p.active[0].work.Key)
 	}
 }
--- a/policy/admission/refuse.go
+++ b/policy/admission/refuse.go
@@ -22,20 +22,20 @@
 	full bool
 }
 
-func (d *Decode) estimate(now time.Time, r Request) estimate {
+func (d *Decode) estimate(now time.Time, r DecodeRequest) estimate {
 	transfer := d.transfer(now, r)
 	need := transfer.End().Sub(now)
 	e := estimate{
 		slack:    d.cfg.MaxWait,
-		linkWait: transfer.Start.Sub(now) - r.Prefill,
-		possible: d.steps.limit(r.TBT, d.cfg.Places) > 0,
+		linkWait: transfer.Start.Sub(now) - r.PrefillTime,
+		possible: d.steps.limit(r.TBT, d.cfg.Slots) > 0,
 		over:     d.over(r) && (d.queue.Len() > d.queue.Queued(r.Customer) || d.owed.against(now, d, r) > 0),
-		full:     len(d.waiting) >= d.cfg.Queue,
+		full:     len(d.waiting) >= d.cfg.MaxQueued,
 	}
 	if r.TTFT > 0 {
-		e.slack = r.TTFT - need - d.steps.of(d.cfg.Places)
+		e.slack = r.TTFT - need - d.steps.of(d.cfg.Slots)
 	}
-	ahead := d.queue.Ahead(r.Customer, r.Share, r.Urgency) / time.Duration(d.cfg.Places)
+	ahead := d.queue.Ahead(r.Customer, r.Share, r.Urgency) / time.Duration(d.cfg.Slots)
 	e.wait = max(0, d.firstFree(now, r.TBT)+ahead-need)
 	return e
 }
@@ -57,16 +57,16 @@
 }
 
 // refuse returns the refusal of r, which may come back after need at the earliest.
-func (d *Decode) refuse(now time.Time, r Request, reason outcome.Reason, need time.Duration) Decision {
-	gap := d.placeTime / time.Duration(d.cfg.Places)
+func (d *Decode) refuse(now time.Time, r DecodeRequest, reason outcome.Reason, need time.Duration) Decision {
+	gap := d.placeTime / time.Duration(d.cfg.Slots)
 	after := d.returns.after(now, r.Key, need, gap)
 	if reason == outcome.NoPlace && !d.over(r) {
 		d.owed.add(r.Customer, now.Add(after+owedGrace))
 	}
-	return Decision{Key: r.Key, Verdict: Refused, Reason: reason, RetryAfter: after}
+	return Decision{Key: r.Key, Verdict: Rejected, Reason: reason, RetryAfter: after}
 }
 
-func (d *Decode) over(r Request) bool {
+func (d *Decode) over(r DecodeRequest) bool {
 	return d.queue.Held(r.Customer) >= d.queue.Entitled(r.Share)
 }
 
@@ -96,7 +96,7 @@
 }
 
 // against returns the number of places that r may not have.
-func (o *owed) against(now time.Time, d *Decode, r Request) int {
+func (o *owed) against(now time.Time, d *Decode, r DecodeRequest) int {
 	for customer, until := range o.until {
 		if !until.After(now) {
 			delete(o.until, customer)
--- a/policy/admission/types.go
+++ b/policy/admission/types.go
@@ -13,8 +13,8 @@
 	Attempt   uint32
 }
 
-// Request asks for a decode place.
-type Request struct {
+// DecodeRequest asks for a decode place.
+type DecodeRequest struct {
 	Key      Key
 	Customer string
 	// Class of the contract; runs of one class are expected to be alike in length.
@@ -30,12 +30,12 @@
 	MaxTokens int
 	// KVBytes is the size of the KV cache to transfer; 0 means none.
 	KVBytes int64
-	// Prefill is how long the prefill elsewhere is expected to take.
-	Prefill time.Duration
+	// PrefillTime is how long the prefill elsewhere is expected to take.
+	PrefillTime time.Duration
 }
 
-// Work asks for a prefill.
-type Work struct {
+// PrefillRequest asks for a prefill.
+type PrefillRequest struct {
 	Key      Key
 	Customer string
 	// Class of the contract; prompts of one class are expected to be cached alike.
@@ -60,8 +60,8 @@
 	Started
 	// Held means that the run starts when Advance says so, after a short wait.
 	Held
-	// Refused means that the attempt is over at this server and nothing was run.
-	Refused
+	// Rejected means that the attempt is over at this server and nothing was run.
+	Rejected
 )
 
 // Decision is the answer to a call, or news on an earlier one.
@@ -73,8 +73,8 @@
 	Wait time.Duration
 	// LinkTime is how long the transfer of the KV cache takes.
 	LinkTime time.Duration
-	// Expires is how long an unused reservation is kept.
-	Expires time.Duration
+	// ExpiresIn is how long an unused reservation is kept.
+	ExpiresIn time.Duration
 	// Reason and RetryAfter belong to refusals. RetryAfter is never 0.
 	Reason     outcome.Reason
 	RetryAfter time.Duration
--- a/policy/mechanism/mechanism.go
+++ b/policy/mechanism/mechanism.go
@@ -15,16 +15,16 @@
 const (
 	// Forecast places runs by the most that they hold together, with learned lengths.
 	Forecast Mechanism = iota
-	// Turns lets gateways take turns at memory that becomes free.
-	Turns
-	// LateSpare keeps memory free beside requests that are late.
-	LateSpare
+	// Stagger lets gateways take turns at memory that becomes free.
+	Stagger
+	// LateHeadroom keeps memory free beside requests that are late.
+	LateHeadroom
 	// ZoneBonus prefers engines of the own zone.
 	ZoneBonus
-	// ReaderLines counts the prompts that other gateways sent to an engine.
-	ReaderLines
-	// SelfRead has decode engines read prompts when lines are long.
-	SelfRead
+	// PrefillQueues counts the prompts that other gateways sent to an engine.
+	PrefillQueues
+	// LocalPrefill has decode engines read prompts when lines are long.
+	LocalPrefill
 	// StageOrders moves engines between reading and generating.
 	StageOrders
 	// Datagrams tells placement at each change and not just with reports.
@@ -35,14 +35,14 @@
 	Hedges
 	// Overload limits the calls that a server of a plain service gets.
 	Overload
-	// LateWait lets requests wait that came back after a refusal.
-	LateWait
-	// Hopeless turns requests away at once that can't be placed in time.
-	Hopeless
+	// RetryQueueing lets requests wait that came back after a refusal.
+	RetryQueueing
+	// EarlyRejection turns requests away at once that can't be placed in time.
+	EarlyRejection
 	// Quarantine holds requests back under which servers end.
 	Quarantine
-	// Doubts avoids engines at which other gateways saw requests fail.
-	Doubts
+	// Suspicion avoids engines at which other gateways saw requests fail.
+	Suspicion
 	count
 )
 
--- a/policy/mechanism/mechanism_test.go
+++ b/policy/mechanism/mechanism_test.go
@@ -12,7 +12,7 @@
 func TestParse(t *testing.T) {
 	s, err := mechanism.Parse([]string{"turns", " hedges", "turns"})
 	assert.NilError(t, err)
-	assert.Assert(t, s.Has(mechanism.Turns) && s.Has(mechanism.Hedges) && !s.Has(mechanism.Forecast))
+	assert.Assert(t, s.Has(mechanism.Stagger) && s.Has(mechanism.Hedges) && !s.Has(mechanism.Forecast))
 	assert.Equal(t, s.Len(), 2)
 	assert.Equal(t, s.String(), "turns, hedges")
 	_, err = mechanism.Parse([]string{"turns", "luck"})
--- a/sidecar/admission.go
+++ b/sidecar/admission.go
@@ -30,15 +30,15 @@
 	places.StepBase, places.StepPerRun = info.StepBase, info.StepPerRun
 	places.LinkBytesPerSecond = info.LinkBytesPerSecond
 	places.Grace = set.Timing.Hold
-	places.Queue = set.Bounds.Queue
+	places.MaxQueued = set.Bounds.Queue
 	places.FIFO = set.Policy.Admission == AdmissionFIFO
 	prefill := admission.DefaultPrefillConfig(info.PrefillTokensPerSecond)
 	prefill.Window = set.Bounds.Prefills
-	prefill.Queue = set.Bounds.Queue
+	prefill.MaxQueued = set.Bounds.Queue
 	prefill.FIFO = places.FIFO
 	mixed := info.Role == engine.RoleMixed
 	if mixed {
-		prefill.Window = places.Places // runs that have a place begin their prefill at once
+		prefill.Window = places.Slots // runs that have a place begin their prefill at once
 	}
 	return &admitter{
 		places:          admission.NewDecode(places),
@@ -59,22 +59,22 @@
 }
 
 // request is what a reservation asks of the places.
-func (a *admitter) request(now time.Time, m *wire.Reserve) admission.Request {
+func (a *admitter) request(now time.Time, m *wire.Reserve) admission.DecodeRequest {
 	t := m.GetTerms()
-	r := admission.Request{
-		Key:       admission.Key(m.GetRef().Key()),
-		Customer:  t.GetCustomer(),
-		Class:     t.GetClass(),
-		Share:     share(t),
-		Urgency:   contract.Urgency(t.GetUrgency()),
-		TTFT:      millis(t.GetTtftMs()),
-		TBT:       millis(t.GetTbtMs()),
-		MaxTokens: int(m.GetMaxTokens()),
-		KVBytes:   int64(m.GetKvBytes()),
-		Prefill:   millis(m.GetPrefillMs()),
+	r := admission.DecodeRequest{
+		Key:         admission.Key(m.GetRef().Key()),
+		Customer:    t.GetCustomer(),
+		Class:       t.GetClass(),
+		Share:       share(t),
+		Urgency:     contract.Urgency(t.GetUrgency()),
+		TTFT:        millis(t.GetTtftMs()),
+		TBT:         millis(t.GetTbtMs()),
+		MaxTokens:   int(m.GetMaxTokens()),
+		KVBytes:     int64(m.GetKvBytes()),
+		PrefillTime: millis(m.GetPrefillMs()),
 	}
 	if a.mixed {
-		r.Prefill, r.KVBytes = 0, 0
+		r.PrefillTime, r.KVBytes = 0, 0
 		r.TTFT = a.beforePrefill(now, r.TTFT, work(m.GetRef(), t, m.GetPromptTokens()))
 		return r
 	}
@@ -86,15 +86,15 @@
 
 // beforePrefill returns what is left of a target when the prefill is done here,
 // once the place is free; at least a little, since 0 means no target.
-func (a *admitter) beforePrefill(now time.Time, ttft time.Duration, w admission.Work) time.Duration {
+func (a *admitter) beforePrefill(now time.Time, ttft time.Duration, w admission.PrefillRequest) time.Duration {
 	if ttft == 0 {
 		return 0
 	}
 	return max(ttft-a.prefill.Cost(w)-a.prefill.Backlog(now), time.Millisecond)
 }
 
-func work(ref *wire.Ref, t *wire.Terms, tokens uint32) admission.Work {
-	return admission.Work{
+func work(ref *wire.Ref, t *wire.Terms, tokens uint32) admission.PrefillRequest {
+	return admission.PrefillRequest{
 		Key:      admission.Key(ref.Key()),
 		Customer: t.GetCustomer(),
 		Class:    t.GetClass(),
@@ -106,7 +106,7 @@
 
 // prefillWork is what a prefill for export asks of the queue. It is to be done
 // within the target, and to begin within the wait that the entry allows.
-func (a *admitter) prefillWork(m *wire.Prefill) admission.Work {
+func (a *admitter) prefillWork(m *wire.Prefill) admission.PrefillRequest {
 	w := work(m.GetRef(), m.GetTerms(), m.GetPromptTokens())
 	w.Budget = millis(m.GetMaxWaitMs()) + a.prefill.Cost(w)
 	if ttft := millis(m.GetTerms().GetTtftMs()); ttft > 0 {
@@ -119,8 +119,8 @@
 func (a *admitter) load(now time.Time) *wire.Load {
 	l := a.places.Load(now)
 	return &wire.Load{
-		Places:           uint32(l.Places),
-		PlacesUsed:       uint32(l.Used),
+		Places:           uint32(l.Slots),
+		PlacesUsed:       uint32(l.UsedSlots),
 		Queued:           uint32(l.Queued + a.prefill.Queued()),
 		PrefillBacklogMs: uint32(a.prefill.Backlog(now).Milliseconds()),
 		LinkBacklogMs:    uint32(l.LinkBacklog.Milliseconds()),
@@ -132,11 +132,11 @@
 // answer, or -1 of a run that was not completed.
 func (a *admitter) release(now time.Time, key wire.Key, tokens int) {
 	k := admission.Key(key)
-	a.prefill.Cancelled(now, k)
+	a.prefill.Cancel(now, k)
 	if tokens >= 0 {
-		a.places.Ended(now, k, tokens)
+		a.places.Completed(now, k, tokens)
 	} else {
-		a.places.Cancelled(k)
+		a.places.Cancel(k)
 	}
 	a.wake()
 }
@@ -197,7 +197,7 @@
 		s.grant(r, d)
 	case admission.Started:
 		s.beginDecode(now, r, d)
-	case admission.Refused:
+	case admission.Rejected:
 		s.turnAway(r, d)
 	}
 }
@@ -210,7 +210,7 @@
 		Ref:       r.key.Ref(),
 		WaitMs:    uint32(d.Wait.Milliseconds()),
 		LinkMs:    uint32(d.LinkTime.Milliseconds()),
-		ExpiresMs: uint32(d.Expires.Milliseconds()),
+		ExpiresMs: uint32(d.ExpiresIn.Milliseconds()),
 	}}})
 }
 
@@ -250,17 +250,17 @@
 func (s *Server) progress(now time.Time, r *run, position int) {
 	k := admission.Key(r.key)
 	if r.tokenAt.IsZero() {
-		s.adm.places.Imported(k, now.Sub(r.begunAt))
-		s.adm.prefill.Done(now, k)
+		s.adm.places.FirstToken(k, now.Sub(r.begunAt))
+		s.adm.prefill.Completed(now, k)
 	} else {
-		s.adm.places.Observe(now.Sub(r.tokenAt))
+		s.adm.places.ObserveStep(now.Sub(r.tokenAt))
 	}
 	r.tokenAt = now
 	s.adm.places.Progress(now, k, position+1)
 }
 
 func (s *Server) prefillDecided(r *run, d admission.Decision) {
-	if d.Verdict == admission.Refused {
+	if d.Verdict == admission.Rejected {
 		s.turnAway(r, d)
 		return
 	}
--- a/sidecar/handle.go
+++ b/sidecar/handle.go
@@ -125,7 +125,7 @@
 	}
 	r.phase = phaseWaiting
 	d := s.adm.places.Reserve(now, s.adm.request(now, m))
-	if d.Verdict == admission.Refused {
+	if d.Verdict == admission.Rejected {
 		delete(s.runs, key)
 		s.refuse(sess, key, wire.Stage_STAGE_RESERVE, outcome.Refuse(d.Reason, d.RetryAfter))
 		return
@@ -140,7 +140,7 @@
 	hold := s.set.Timing.Hold + 2*millis(m.GetPrefillMs())
 	r.phase = phaseReserved
 	r.expires = now.Add(hold)
-	s.grant(r, admission.Decision{Expires: hold})
+	s.grant(r, admission.Decision{ExpiresIn: hold})
 }
 
 func (s *Server) onPrefill(sess *session, m *wire.Prefill) {
@@ -154,7 +154,7 @@
 	}
 	now := time.Now()
 	d := s.adm.prefill.Submit(now, s.adm.prefillWork(m))
-	if d.Verdict == admission.Refused {
+	if d.Verdict == admission.Rejected {
 		delete(s.runs, r.key)
 		s.refuse(sess, r.key, wire.Stage_STAGE_PREFILL, outcome.Refuse(d.Reason, d.RetryAfter))
 		return
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -172,7 +172,7 @@
 func (s *Server) placesUsed() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return int64(s.adm.places.Load(time.Now()).Used)
+	return int64(s.adm.places.Load(time.Now()).UsedSlots)
 }
 
 // Active returns the number of attempts that hold memory or run, or of whose end
--- a/sidecar/worker.go
+++ b/sidecar/worker.go
@@ -83,7 +83,7 @@
 		return
 	}
 	w.locked(func() {
-		w.s.adm.prefill.Done(time.Now(), admission.Key(w.r.key))
+		w.s.adm.prefill.Completed(time.Now(), admission.Key(w.r.key))
 		w.s.adm.wake()
 		w.r.phase = phaseExported
 		w.r.handle = kv.Handle
