--- a/policy/mechanism/mechanism.go
+++ b/policy/mechanism/mechanism.go
@@ -1,5 +1,5 @@
-// Package mechanism names the mechanisms that decide, so that each can be switched off by a
-// setting: to measure what it is worth, and on call, where one of them harms.
+// Package mechanism lists the decision mechanisms of a gateway that can be switched off by a
+// setting: to measure the benefit of each, or during an incident when one of them does harm.
 package mechanism
 
 import (
@@ -8,40 +8,42 @@
 	"strings"
 )
 
-// Mechanism is one of them.
+// Mechanism identifies one decision mechanism.
 type Mechanism uint8
 
-// The mechanisms of a gateway. docs/CONFIG.md says what happens without each.
+// The mechanisms of a gateway. docs/CONFIG.md describes the behavior without each of them.
 const (
-	// Forecast places runs by the most that they hold together, with learned lengths.
+	// Forecast places runs by the predicted peak of their joint KV memory, from learned output
+	// lengths.
 	Forecast Mechanism = iota
-	// Stagger lets gateways take turns at memory that becomes free.
+	// Stagger delays gateways by different times before they use memory that became free.
 	Stagger
-	// LateHeadroom keeps memory free beside requests that are late.
+	// LateHeadroom keeps memory free on engines where requests past their latency
+	// objective are placed.
 	LateHeadroom
-	// ZoneBonus prefers engines of the own zone.
+	// ZoneBonus prefers engines in the gateway's own zone.
 	ZoneBonus
-	// PrefillQueues counts the prompts that other gateways sent to an engine.
+	// PrefillQueues takes into account the prompts that other gateways sent to a prefill engine.
 	PrefillQueues
-	// LocalPrefill has decode engines read prompts when lines are long.
+	// LocalPrefill lets decode engines prefill prompts themselves when prefill queues are long.
 	LocalPrefill
-	// StageOrders moves engines between reading and generating.
+	// StageOrders switches engines between the prefill and decode stages.
 	StageOrders
-	// Datagrams tells placement at each change and not just with reports.
+	// Datagrams announces placements to other gateways at each change, not only in periodic reports.
 	Datagrams
-	// Outliers avoids servers that fail more often than the others.
+	// Outliers avoids servers that fail more often than the others (outlier ejection).
 	Outliers
-	// Hedges gives a safe call to another server when one takes long.
+	// Hedges sends a safe call to a second server when the first one takes long (hedged requests).
 	Hedges
-	// Overload limits the calls that a server of a plain service gets.
+	// Overload limits the calls that are sent to a server of a plain service.
 	Overload
-	// RetryQueueing lets requests wait that came back after a refusal.
+	// RetryQueueing queues requests that are retried after a rejection.
 	RetryQueueing
-	// EarlyRejection turns requests away at once that can't be placed in time.
+	// EarlyRejection rejects at once requests that can't be placed in time.
 	EarlyRejection
-	// Quarantine holds requests back under which servers end.
+	// Quarantine quarantines requests during which servers terminated.
 	Quarantine
-	// Suspicion avoids engines at which other gateways saw requests fail.
+	// Suspicion avoids engines at which other gateways observed failing requests.
 	Suspicion
 	count
 )
@@ -51,7 +53,7 @@
 	"datagrams", "outliers", "hedges", "overload", "late-wait", "hopeless", "quarantine", "doubts",
 }
 
-// String returns the name of m in settings.
+// String returns the name of m as used in settings.
 func (m Mechanism) String() string { return names[m] }
 
 // All returns every mechanism.
@@ -63,16 +65,16 @@
 	return out
 }
 
-// Set is mechanisms that are switched off. The zero Set has none.
+// Set is a set of mechanisms that are switched off. The zero Set is empty.
 type Set uint32
 
-// Parse returns the mechanisms of a list of names; an error names the first that is unknown.
+// Parse returns the set of the named mechanisms. The error names the first unknown one.
 func Parse(list []string) (Set, error) {
 	var s Set
 	for _, name := range list {
 		m, ok := find(strings.TrimSpace(name))
 		if !ok {
-			return 0, fmt.Errorf("unknown mechanism %q; there are %s", name, strings.Join(names[:], ", "))
+			return 0, fmt.Errorf("unknown mechanism %q; known mechanisms: %s", name, strings.Join(names[:], ", "))
 		}
 		s |= 1 << m
 	}
@@ -88,13 +90,13 @@
 	return 0, false
 }
 
-// Has reports whether a mechanism is switched off.
+// Has reports whether m is switched off.
 func (s Set) Has(m Mechanism) bool { return s&(1<<m) != 0 }
 
-// Len is the number of mechanisms that are switched off.
+// Len returns the number of mechanisms that are switched off.
 func (s Set) Len() int { return bits.OnesCount32(uint32(s)) }
 
-// String lists the names.
+// String returns the names, separated by commas.
 func (s Set) String() string {
 	var out []string
 	for _, m := range All() {
--- a/policy/mechanism/mechanism_test.go
+++ b/policy/mechanism/mechanism_test.go
@@ -22,8 +22,8 @@
 	assert.Equal(t, none.Len(), 0)
 }
 
-// TestPage holds the page to the names.
-func TestPage(t *testing.T) {
+// TestConfigPageListsMechanisms checks that docs/CONFIG.md lists exactly the mechanisms of the package, in their order.
+func TestConfigPageListsMechanisms(t *testing.T) {
 	var listed, want []string
 	for _, row := range pages.Rows(t, "CONFIG.md", "Mechanisms that can be switched off") {
 		assert.Assert(t, len(row) == 2 && row[1] != "", "%v", row)
