--- a/policy/admission/decode_test.go
+++ b/policy/admission/decode_test.go
@@ -24,8 +24,8 @@
 	return DecodeRequest{Key: key(n), Customer: customer, Class: "c", Share: 0.5, Urgency: contract.Prompt, TTFT: time.Second, TBT: 50 * ms, MaxTokens: 100, PrefillTime: 100 * ms}
 }
 
-// server returns a server with a step of 20 ms at 20 places.
-func server(change func(*DecodeConfig)) *Decode {
+// newTestDecode returns a Decode with 20 slots and a step of 20 ms when all of them run.
+func newTestDecode(change func(*DecodeConfig)) *Decode {
 	cfg := DefaultDecodeConfig(20)
 	cfg.StepBase, cfg.StepPerRun, cfg.LinkBytesPerSecond = 10*ms, 500*time.Microsecond, 1e9
 	if change != nil {
@@ -34,8 +34,8 @@
 	return NewDecode(cfg)
 }
 
-// take reserves and starts a place, which must be free.
-func take(t *testing.T, d *Decode, now time.Time, r DecodeRequest) {
+// reserveAndStart reserves a slot, which must be free, and starts the run.
+func reserveAndStart(t *testing.T, d *Decode, now time.Time, r DecodeRequest) {
 	t.Helper()
 	d.Reserve(now, r)
 	got := d.Advance(now)
@@ -43,11 +43,11 @@
 	assert.Equal(t, d.Start(now, r.Key).Verdict, Started)
 }
 
-// teach makes the lengths of the class of a customer known.
-func teach(d *Decode, customer string, tokens ...int) {
+// trainLengths records enough output lengths of a customer's class for predictions to use them.
+func trainLengths(d *Decode, customer string, tokens ...int) {
 	for range 50 {
 		for _, n := range tokens {
-			d.class(request(0, customer)).observe(n)
+			d.lengthsOf(request(0, customer)).observe(n)
 		}
 	}
 }
@@ -63,30 +63,30 @@
 	}{
 		{"free", 0, 0, func(*DecodeRequest) {}, Granted, ""},
 		{"full", 20, 0, func(*DecodeRequest) {}, Rejected, outcome.NoPlace},
-		{"full, above its share, but nobody else wants one", 20, 0, func(r *DecodeRequest) { r.Customer = "a" }, Rejected, outcome.NoPlace},
-		{"full, but may wait", 20, 0, func(r *DecodeRequest) { r.TTFT = 5 * time.Second }, Waiting, ""},
-		{"full until its prefill is done", 20, 0, func(r *DecodeRequest) { r.PrefillTime, r.TTFT = 2100*ms, 2200*ms }, Granted, ""},
-		{"full, but all are at their bound", 20, 2 * time.Second, func(*DecodeRequest) {}, Granted, ""},
+		{"full, above its share, but no other customer is queued", 20, 0, func(r *DecodeRequest) { r.Customer = "a" }, Rejected, outcome.NoPlace},
+		{"full, but its target allows a wait", 20, 0, func(r *DecodeRequest) { r.TTFT = 5 * time.Second }, Queued, ""},
+		{"full only until its prefill is done", 20, 0, func(r *DecodeRequest) { r.PrefillTime, r.TTFT = 2100*ms, 2200*ms }, Granted, ""},
+		{"full, but all runs have reached their maximum length", 20, 2 * time.Second, func(*DecodeRequest) {}, Granted, ""},
 		{"prefill too long", 0, 0, func(r *DecodeRequest) { r.PrefillTime = 2 * time.Second }, Rejected, outcome.TargetUnreachable},
 		{"step too slow", 0, 0, func(r *DecodeRequest) { r.TBT = 10 * ms }, Rejected, outcome.TargetUnreachable},
-		{"batch too large for its tokens", 12, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Rejected, outcome.NoPlace},
-		{"batch small enough for its tokens", 7, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Granted, ""},
+		{"batch too large for its token gap", 12, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Rejected, outcome.NoPlace},
+		{"batch small enough for its token gap", 7, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Granted, ""},
 		{"link busy", 0, 0, func(r *DecodeRequest) { r.TTFT, r.KVBytes = 2*time.Second, 1e9 }, Rejected, outcome.LinkBusy},
 		{"transfer too long", 0, 0, func(r *DecodeRequest) { r.KVBytes = 1e10 }, Rejected, outcome.TargetUnreachable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d := server(nil)
+			d := newTestDecode(nil)
 			for i := range c.running {
-				take(t, d, epoch, request(i, "a"))
+				reserveAndStart(t, d, epoch, request(i, "a"))
 			}
 			d.link.Plan(epoch, key(-1), epoch, 1e9)
 			r := request(100, "b")
 			c.change(&r)
 			now := at(c.after)
 			got := d.Reserve(now, r)
-			if more := d.Advance(now); len(more) > 0 {
-				got = more[0]
+			if advanced := d.Advance(now); len(advanced) > 0 {
+				got = advanced[0]
 			}
 			assert.Equal(t, got.Verdict, c.want)
 			assert.Equal(t, got.Reason, c.reason)
@@ -95,26 +95,27 @@
 	}
 }
 
-// TestPromisesAhead holds when a place is promised before it is free.
-func TestPromisesAhead(t *testing.T) {
+// TestOvercommit checks when slots are reserved before they are free: only when the runs in them are
+// predicted to complete by the time the slots are needed.
+func TestOvercommit(t *testing.T) {
 	cases := []struct {
 		name    string
 		lengths []int
 		prefill time.Duration
 		want    int
 	}{
-		{"lengths known, soon ending", []int{50}, 500 * ms, 5},
-		{"lengths known, ending later", []int{50}, 100 * ms, 0},
+		{"lengths known, completing soon", []int{50}, 500 * ms, 5},
+		{"lengths known, completing later", []int{50}, 100 * ms, 0},
 		{"lengths vary", []int{40, 95, 95, 95, 95}, 500 * ms, 1},
-		{"lengths not known", nil, 500 * ms, 0},
+		{"lengths unknown", nil, 500 * ms, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d := server(nil)
+			d := newTestDecode(nil)
 			for i := range 20 {
-				take(t, d, epoch, request(i, "a"))
+				reserveAndStart(t, d, epoch, request(i, "a"))
 			}
-			teach(d, "a", c.lengths...)
+			trainLengths(d, "a", c.lengths...)
 			now := at(600 * ms)
 			for i := range 20 {
 				r := request(100+i, "b")
@@ -126,14 +127,14 @@
 	}
 }
 
-// TestEarlyStart holds that a run whose promise came too early waits for the
-// next place, goes before all that wait, and is given up after the hold.
-func TestEarlyStart(t *testing.T) {
-	d := server(nil)
+// TestStartWithNoFreeSlot checks that an overcommitted run that finds no free slot when it starts
+// gets the next one, before all queued requests, and is rejected after MaxStartWait.
+func TestStartWithNoFreeSlot(t *testing.T) {
+	d := newTestDecode(nil)
 	for i := range 20 {
-		take(t, d, epoch, request(i, "a"))
+		reserveAndStart(t, d, epoch, request(i, "a"))
 	}
-	teach(d, "a", 10)
+	trainLengths(d, "a", 10)
 	for i := 100; i < 102; i++ {
 		r := request(i, "b")
 		r.PrefillTime, r.TTFT = 300*ms, 2*time.Second
@@ -141,23 +142,24 @@
 	}
 	assert.Equal(t, len(d.Advance(epoch)), 2)
 	now := at(200 * ms)
-	assert.Equal(t, d.Start(now, key(100)).Verdict, Held)
-	assert.Equal(t, d.Start(now, key(101)).Verdict, Held)
-	assert.Assert(t, d.caution > minCaution)
+	assert.Equal(t, d.Start(now, key(100)).Verdict, Delayed)
+	assert.Equal(t, d.Start(now, key(101)).Verdict, Delayed)
+	assert.Assert(t, d.safetyFactor > minSafetyFactor)
 	d.Completed(now, key(3), 10)
 	got := d.Advance(now)
 	assert.Assert(t, len(got) == 1 && got[0].Key == key(100) && got[0].Verdict == Started)
-	got = d.Advance(now.Add(DefaultHold))
+	got = d.Advance(now.Add(DefaultMaxStartWait))
 	assert.Assert(t, len(got) == 1 && got[0].Key == key(101) && got[0].Reason == outcome.ReservationLapsed)
 }
 
-// TestLentShareReturns holds that a customer that was idle gets every place that
-// becomes free until it has its share, though the other keeps asking.
-func TestLentShareReturns(t *testing.T) {
+// TestLentShareIsReclaimed checks that a customer that was idle gets every slot that becomes free
+// until it has its share, although the other customer, which uses the lent share, has as many
+// queued requests.
+func TestLentShareIsReclaimed(t *testing.T) {
 	for _, fifo := range []bool{false, true} {
-		d := server(func(c *DecodeConfig) { c.FIFO = fifo })
+		d := newTestDecode(func(c *DecodeConfig) { c.FIFO = fifo })
 		for i := range 20 {
-			take(t, d, epoch, request(i, "a"))
+			reserveAndStart(t, d, epoch, request(i, "a"))
 		}
 		for i := range 20 {
 			a, b := request(100+i, "a"), request(200+i, "b")
@@ -165,50 +167,50 @@
 			d.Reserve(at(time.Duration(i)), a)
 			d.Reserve(at(time.Duration(i)), b)
 		}
-		first := 0
+		reclaimed := 0
 		for i := range 10 {
 			now := at(time.Duration(i+1) * 10 * ms)
 			d.Completed(now, key(i), 50)
 			for _, got := range d.Advance(now) {
 				if got.Key.RequestID >= "r200" {
-					first++
+					reclaimed++
 				}
 			}
 		}
-		assert.Equal(t, first, map[bool]int{false: 10, true: 5}[fifo])
+		assert.Equal(t, reclaimed, map[bool]int{false: 10, true: 5}[fifo])
 	}
 }
 
-// TestPlaceKeptForRefused holds that a customer refused within its share finds a
-// place when it comes back, for a bounded time.
-func TestPlaceKeptForRefused(t *testing.T) {
-	d := server(nil)
+// TestSlotIsReservedForRejectedCustomer checks that a customer rejected within its share gets a
+// slot when it retries, and that the slot is reserved for a bounded time only.
+func TestSlotIsReservedForRejectedCustomer(t *testing.T) {
+	d := newTestDecode(nil)
 	for i := range 20 {
-		take(t, d, epoch, request(i, "a"))
+		reserveAndStart(t, d, epoch, request(i, "a"))
 	}
 	b := request(100, "b")
-	back := d.Reserve(epoch, b)
-	assert.Equal(t, back.Reason, outcome.NoPlace)
+	rejection := d.Reserve(epoch, b)
+	assert.Equal(t, rejection.Reason, outcome.NoPlace)
 	assert.Equal(t, d.Reserve(epoch, request(102, "a")).Reason, outcome.ShareExceeded)
-	more := request(101, "a")
-	more.TTFT = time.Minute
-	d.Reserve(epoch, more)
+	overShare := request(101, "a")
+	overShare.TTFT = time.Minute
+	d.Reserve(epoch, overShare)
 	d.Completed(epoch, key(0), 50)
 	assert.Equal(t, len(d.Advance(epoch)), 0)
-	later := at(back.RetryAfter + owedGrace)
-	assert.Equal(t, len(d.Advance(later.Add(-ms))), 0)
-	d.Reserve(later.Add(-ms), b)
-	got := d.Advance(later.Add(-ms))
+	expiry := at(rejection.RetryAfter + debtGrace)
+	assert.Equal(t, len(d.Advance(expiry.Add(-ms))), 0)
+	d.Reserve(expiry.Add(-ms), b)
+	got := d.Advance(expiry.Add(-ms))
 	assert.Assert(t, len(got) == 1 && got[0].Key == b.Key)
 	d.Cancel(b.Key)
-	assert.Equal(t, len(d.Advance(later)), 1)
+	assert.Equal(t, len(d.Advance(expiry)), 1)
 }
 
 func TestRetryAfterIsSpread(t *testing.T) {
-	d := server(nil)
-	d.placeTime = 4 * time.Second
+	d := newTestDecode(nil)
+	d.meanSlotTime = 4 * time.Second
 	for i := range 20 {
-		take(t, d, epoch, request(i, "a"))
+		reserveAndStart(t, d, epoch, request(i, "a"))
 	}
 	seen := make(map[time.Duration]bool)
 	for i := range 200 {
@@ -219,10 +221,11 @@
 	assert.Assert(t, len(seen) > 190)
 }
 
-// random drives all calls in random order and returns every decision.
-func random(t *testing.T, seed uint64, ahead int) []Decision {
+// runRandomCalls makes random calls to a Decode, checks its invariants after each, and returns all
+// decisions.
+func runRandomCalls(t *testing.T, seed uint64, maxOvercommit int) []Decision {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	d := server(func(c *DecodeConfig) { c.Ahead = ahead })
+	d := newTestDecode(func(c *DecodeConfig) { c.MaxOvercommit = maxOvercommit })
 	var log []Decision
 	now := epoch
 	for i := range 3000 {
@@ -243,49 +246,49 @@
 			d.Cancel(k)
 		}
 		log = append(log, d.Advance(now)...)
-		assert.Assert(t, d.busy <= 20 && len(d.ordered) <= 20+ahead, "busy %d given out %d", d.busy, len(d.ordered))
-		assert.Equal(t, len(d.places), len(d.ordered))
-		assert.Equal(t, len(d.waiting), d.queue.Len())
-		assert.Assert(t, d.link.Len() <= len(d.places))
+		assert.Assert(t, d.running <= 20 && len(d.byGrant) <= 20+maxOvercommit, "%d running, %d slots in use", d.running, len(d.byGrant))
+		assert.Equal(t, len(d.slots), len(d.byGrant))
+		assert.Equal(t, len(d.queued), d.queue.Len())
+		assert.Assert(t, d.link.Len() <= len(d.slots))
 	}
 	for i := range 3000 {
 		d.Cancel(key(i))
 	}
-	assert.Equal(t, d.Load(now), Load{Slots: 20, Step: d.steps.of(1)})
-	assert.Equal(t, d.queue.Customers()+d.link.Len()+d.busy, 0)
+	assert.Equal(t, d.Load(now), Load{Slots: 20, Step: d.stepModel.stepTime(1)})
+	assert.Equal(t, d.queue.Customers()+d.link.Len()+d.running, 0)
 	return log
 }
 
 func TestRandom(t *testing.T) {
 	for seed := range uint64(10) {
-		for _, ahead := range []int{0, 5} {
-			assert.DeepEqual(t, random(t, seed, ahead), random(t, seed, ahead))
+		for _, maxOvercommit := range []int{0, 5} {
+			assert.DeepEqual(t, runRandomCalls(t, seed, maxOvercommit), runRandomCalls(t, seed, maxOvercommit))
 		}
 	}
 }
 
-// BenchmarkReserve is a reservation, its end and the next grant with 2,000
-// requests of 340 customers waiting.
+// BenchmarkReserve measures a reservation, the completion of a run and the next grant while 2,000
+// requests of 340 customers are queued.
 func BenchmarkReserve(b *testing.B) {
-	for _, places := range []int{20, 64} {
-		b.Run(fmt.Sprint(places), func(b *testing.B) {
-			d := NewDecode(DefaultDecodeConfig(places))
-			d.cfg.StepBase, d.steps.base, d.cfg.MaxQueued = 10*ms, 10*ms, 1<<20
-			ask := func(i int) {
+	for _, slots := range []int{20, 64} {
+		b.Run(fmt.Sprint(slots), func(b *testing.B) {
+			d := NewDecode(DefaultDecodeConfig(slots))
+			d.cfg.StepBase, d.stepModel.base, d.cfg.MaxQueued = 10*ms, 10*ms, 1<<20
+			reserve := func(i int) {
 				r := request(i, fmt.Sprint("customer-", i%340))
 				r.Share, r.TTFT, r.Urgency = 0.003, time.Hour, contract.Urgency(i%3)
 				d.Reserve(epoch, r)
 			}
-			for i := range 2000 + places {
-				ask(i)
+			for i := range 2000 + slots {
+				reserve(i)
 				for _, g := range d.Advance(epoch) {
 					d.Start(epoch, g.Key)
 				}
 			}
 			b.ReportAllocs()
-			for i := 2000 + places; b.Loop(); i++ {
-				ask(i)
-				d.Completed(epoch, d.ordered[0].req.Key, 50)
+			for i := 2000 + slots; b.Loop(); i++ {
+				reserve(i)
+				d.Completed(epoch, d.byGrant[0].request.Key, 50)
 				for _, g := range d.Advance(epoch) {
 					d.Start(epoch, g.Key)
 				}
--- a/policy/admission/predict.go
+++ b/policy/admission/predict.go
@@ -5,83 +5,84 @@
 	"time"
 )
 
-// Bounds and steps of caution, the number of standard deviations by which fewer
-// ends are counted on than expected. A promise that came too early raises it.
+// Bounds and steps of the safety factor: the number of standard deviations that is subtracted
+// from the expected number of completions. A reservation that finds no free slot when it starts
+// raises it, an overcommitted one that finds one lowers it.
 const (
-	minCaution  = 1.5
-	maxCaution  = 4.0
-	cautionUp   = 0.5
-	cautionDown = 0.02
+	minSafetyFactor  = 1.5
+	maxSafetyFactor  = 4.0
+	safetyFactorUp   = 0.5
+	safetyFactorDown = 0.02
 )
 
-// horizon bounds the search for the time at which a place becomes free.
-const horizon = 10 * time.Minute
+// searchHorizon bounds the search for the time at which a slot becomes free.
+const searchHorizon = 10 * time.Minute
 
-// ends returns how many of the present runs end by t, less caution standard
-// deviations, rounded down.
-func (d *Decode) ends(now, t time.Time, caution float64) int {
-	step := d.steps.of(max(d.busy, 1))
+// completions predicts how many of the current runs complete by t: the expected number less
+// safetyFactor standard deviations, rounded down.
+func (d *Decode) completions(now, t time.Time, safetyFactor float64) int {
+	step := d.stepModel.stepTime(max(d.running, 1))
 	if step <= 0 || !t.After(now) {
 		return 0
 	}
 	more := float64(t.Sub(now)) / float64(step)
 	var mean, variance float64
-	for _, p := range d.ordered {
-		if p.state != running {
+	for _, s := range d.byGrant {
+		if s.state != running {
 			continue
 		}
-		done := float64(p.tokens) + float64(now.Sub(p.seen))/float64(step)
-		chance := p.lengths.endsWithin(done, more, p.req.MaxTokens)
-		mean += chance
-		variance += chance * (1 - chance)
+		done := float64(s.tokens) + float64(now.Sub(s.reportedAt))/float64(step)
+		probability := s.lengths.completesWithin(done, more, s.request.MaxTokens)
+		mean += probability
+		variance += probability * (1 - probability)
 	}
 	const rounding = 1e-9
-	return max(0, int(mean-caution*math.Sqrt(variance)+rounding))
+	return max(0, int(mean-safetyFactor*math.Sqrt(variance)+rounding))
 }
 
-// free returns how many further places can be promised for the time t on, with
-// all earlier promises kept: the least number of free places at t and at each
-// later time at which a promised place is needed.
-func (d *Decode) free(now, t time.Time, tbt time.Duration) int {
-	limit := d.limit(tbt)
-	least := d.freeAt(now, t, limit)
-	for _, p := range d.ordered {
-		if p.state == promised && p.need.After(t) && least > 0 {
-			least = min(least, d.freeAt(now, p.need, limit))
+// freeSlots returns how many more slots can be reserved from t on without breaking an existing
+// reservation: the minimum of the free slots at t and at each later time at which a reserved slot
+// is needed.
+func (d *Decode) freeSlots(now, t time.Time, tbt time.Duration) int {
+	limit := d.maxBatch(tbt)
+	minFree := d.freeSlotsAt(now, t, limit)
+	for _, s := range d.byGrant {
+		if s.state == reserved && s.neededAt.After(t) && minFree > 0 {
+			minFree = min(minFree, d.freeSlotsAt(now, s.neededAt, limit))
 		}
 	}
-	return least
+	return minFree
 }
 
-func (d *Decode) freeAt(now, t time.Time, limit int) int {
-	room := limit
-	for _, p := range d.ordered {
-		if p.state != promised || !p.need.After(t) {
-			room--
+func (d *Decode) freeSlotsAt(now, t time.Time, limit int) int {
+	free := limit
+	for _, s := range d.byGrant {
+		if s.state != reserved || !s.neededAt.After(t) {
+			free--
 		}
 	}
-	if room > 0 || d.cfg.Ahead == 0 {
-		return room
+	if free > 0 || d.cfg.MaxOvercommit == 0 {
+		return free
 	}
-	return room + min(d.ends(now, t, d.caution), d.cfg.Ahead)
+	return free + min(d.completions(now, t, d.safetyFactor), d.cfg.MaxOvercommit)
 }
 
-// firstFree returns how long it takes until a place is expected to be free.
-func (d *Decode) firstFree(now time.Time, tbt time.Duration) time.Duration {
-	missing := len(d.ordered) + 1 - d.limit(tbt)
+// timeToFreeSlot returns the expected time until a slot is free.
+func (d *Decode) timeToFreeSlot(now time.Time, tbt time.Duration) time.Duration {
+	missing := len(d.byGrant) + 1 - d.maxBatch(tbt)
 	if missing <= 0 {
 		return 0
 	}
-	if d.busy < missing {
-		return d.placeTime
+	if d.running < missing {
+		return d.meanSlotTime
 	}
 	low, high := time.Duration(0), time.Millisecond
-	for high < horizon && d.ends(now, now.Add(high), 0) < missing {
+	for high < searchHorizon && d.completions(now, now.Add(high), 0) < missing {
 		low, high = high, 2*high
 	}
 	for high-low > max(high/16, time.Millisecond) {
 		mid := (low + high) / 2
-		if d.ends(now, now.Add(mid), 0) < missing {
+		if d.completions(now, now.Add(mid), 0) < missing {
 			low = mid
 		} else {
 			high = mid
@@ -90,25 +91,25 @@
 	return high
 }
 
-// limit returns the largest batch that keeps the tightest target for the time
-// between tokens among tbt and all places given out.
-func (d *Decode) limit(tbt time.Duration) int {
-	for _, p := range d.ordered {
-		tbt = tighter(tbt, p.req.TBT)
+// maxBatch returns the largest batch that meets the lowest target for the time between tokens
+// among tbt and those of all slots in use.
+func (d *Decode) maxBatch(tbt time.Duration) int {
+	for _, s := range d.byGrant {
+		tbt = minTarget(tbt, s.request.TBT)
 	}
-	return d.steps.limit(tbt, d.cfg.Slots)
+	return d.stepModel.maxBatch(tbt, d.cfg.Slots)
 }
 
-// tighter returns the lower target; 0 is none.
-func tighter(a, b time.Duration) time.Duration {
+// minTarget returns the lower of two targets; 0 means no target.
+func minTarget(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
 	return a
 }
 
-// cost returns the expected time for which a request holds its place.
+// cost returns the expected time for which a request occupies its slot.
 func (d *Decode) cost(r DecodeRequest) time.Duration {
-	tokens := d.classes[classKey{r.Customer, r.Class}].expect(r.MaxTokens)
-	return r.PrefillTime + d.link.Time(r.KVBytes) + time.Duration(tokens)*d.steps.of(d.cfg.Slots)
+	tokens := d.lengthsByClass[classKey{r.Customer, r.Class}].expected(r.MaxTokens)
+	return r.PrefillTime + d.link.TransferTime(r.KVBytes) + time.Duration(tokens)*d.stepModel.stepTime(d.cfg.Slots)
 }
--- a/policy/admission/prefill_test.go
+++ b/policy/admission/prefill_test.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-func work(n int, customer string, tokens int, budget time.Duration) PrefillRequest {
+func prefillRequest(n int, customer string, tokens int, budget time.Duration) PrefillRequest {
 	return PrefillRequest{Key: key(n), Customer: customer, Share: 0.5, Urgency: contract.Deferred, Tokens: tokens, Budget: budget}
 }
 
@@ -20,23 +20,23 @@
 	cfg := DefaultPrefillConfig(1000)
 	cfg.Window = 2
 	p := NewPrefill(cfg)
-	lookup := work(9, "b", 10, 2*time.Second)
-	lookup.Urgency = contract.Interactive
+	interactive := prefillRequest(9, "b", 10, 2*time.Second)
+	interactive.Urgency = contract.Interactive
 	for i := range 4 {
-		assert.Equal(t, p.Submit(epoch, work(i, "a", 1000, 10*time.Second)).Verdict, Waiting)
+		assert.Equal(t, p.Submit(epoch, prefillRequest(i, "a", 1000, 10*time.Second)).Verdict, Queued)
 	}
 	assert.Equal(t, len(p.Advance(epoch)), 2)
 	assert.Equal(t, p.Backlog(at(500*ms)), 3500*ms)
-	assert.Equal(t, p.Submit(epoch, lookup).Reason, outcome.PrefillBacklog)
-	assert.Equal(t, p.Submit(epoch, work(10, "a", 3000, 2*time.Second)).Reason, outcome.TargetUnreachable)
-	assert.Equal(t, p.Submit(at(500*ms), lookup).Verdict, Waiting)
+	assert.Equal(t, p.Submit(epoch, interactive).Reason, outcome.PrefillBacklog)
+	assert.Equal(t, p.Submit(epoch, prefillRequest(10, "a", 3000, 2*time.Second)).Reason, outcome.TargetUnreachable)
+	assert.Equal(t, p.Submit(at(500*ms), interactive).Verdict, Queued)
 
 	p.Completed(at(time.Second), key(0))
 	got := p.Advance(at(time.Second))
-	assert.Assert(t, len(got) == 1 && got[0].Key == lookup.Key, "the lookup goes before the dossiers")
+	assert.Assert(t, len(got) == 1 && got[0].Key == interactive.Key, "interactive request was not served before the deferred ones")
 	assert.Assert(t, p.Cancel(epoch, key(2)) && !p.Cancel(epoch, key(2)))
-	p.learn(work(0, "a", 1000, 0), 500*ms)
-	assert.Equal(t, p.Cost(work(11, "a", 1000, 0)), 950*ms, "prompts of the class are partly cached")
+	p.observePace(prefillRequest(0, "a", 1000, 0), 500*ms)
+	assert.Equal(t, p.Cost(prefillRequest(11, "a", 1000, 0)), 950*ms, "cost does not reflect that prompts of the class are partly cached")
 	got = p.Advance(at(9 * time.Second))
 	assert.Assert(t, len(got) == 1 && got[0].Key == key(3) && got[0].Verdict == Rejected && got[0].RetryAfter > 0)
 }
@@ -51,7 +51,7 @@
 			k := key(max(0, i-rng.IntN(30)))
 			switch rng.IntN(4) {
 			case 0, 1:
-				p.Submit(now, work(i, fmt.Sprint(rng.IntN(8)), rng.IntN(2000), time.Duration(rng.IntN(2000))*ms))
+				p.Submit(now, prefillRequest(i, fmt.Sprint(rng.IntN(8)), rng.IntN(2000), time.Duration(rng.IntN(2000))*ms))
 			case 2:
 				p.Completed(now, k)
 			case 3:
@@ -59,7 +59,7 @@
 			}
 			p.Advance(now)
 			assert.Assert(t, len(p.active) <= 1 && p.Backlog(now) >= 0)
-			assert.Equal(t, len(p.waiting), p.queue.Len())
+			assert.Equal(t, len(p.queued), p.queue.Len())
 		}
 		for i := range 3000 {
 			p.Cancel(now, key(i))
@@ -72,7 +72,7 @@
 func BenchmarkPrefill(b *testing.B) {
 	p := NewPrefill(DefaultPrefillConfig(10000))
 	submit := func(i int) {
-		p.Submit(epoch, work(i, fmt.Sprint("customer-", i%340), 100, time.Hour))
+		p.Submit(epoch, prefillRequest(i, fmt.Sprint("customer-", i%340), 100, time.Hour))
 	}
 	for i := range 2000 {
 		submit(i)
@@ -81,6 +81,6 @@
 	for i := 2000; b.Loop(); i++ {
 		submit(i)
 		p.Advance(epoch)
-		p.Completed(epoch, p.active[0].work.Key)
+		p.Completed(epoch, p.active[0].request.Key)
 	}
 }
--- a/policy/fairshare/flow.go
+++ b/policy/fairshare/flow.go
@@ -6,39 +6,39 @@
 	"github.com/hibiscusspur/hibiscusspur/contract"
 )
 
-// flow is the state of one customer.
+// flow is the queueing state of one customer.
 type flow[K comparable] struct {
 	name   string
 	weight float64
-	// start is the virtual time at which the next item begins.
-	start float64
-	// key orders flows: start less the lead of the first item.
-	key  float64
-	over bool
-	// idle flows are in the heap of idle flows, others with waiting items in the order.
+	// startTag is the virtual time at which the service of the next item starts.
+	startTag float64
+	// sortKey orders flows: startTag less the lead of the first item.
+	sortKey         float64
+	overEntitlement bool
+	// idle is true while the flow is in Queue.idle; flows with waiting items are in Queue.backlogged.
 	idle bool
-	// held counts items in service.
-	held   int
-	queue  indexed[*entry[K]]
-	queued [urgencies]time.Duration
-	pos    int
+	// inService is the number of items in service.
+	inService  int
+	items      indexedHeap[*entry[K]]
+	queuedWork [urgencies]time.Duration
+	pos        int
 }
 
 func (f *flow[K]) setPos(i int) { f.pos = i }
 
 func flowLess[K comparable](a, b *flow[K]) bool {
-	if a.over != b.over {
-		return b.over
+	if a.overEntitlement != b.overEntitlement {
+		return b.overEntitlement
 	}
-	if a.key != b.key {
-		return a.key < b.key
+	if a.sortKey != b.sortKey {
+		return a.sortKey < b.sortKey
 	}
-	return a.queue.items[0].seq < b.queue.items[0].seq
+	return a.items.nodes[0].seq < b.items.nodes[0].seq
 }
 
 func startLess[K comparable](a, b *flow[K]) bool {
-	if a.start != b.start {
-		return a.start < b.start
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.name < b.name
 }
@@ -47,30 +47,30 @@
 type entry[K comparable] struct {
 	item Item[K]
 	seq  uint64
-	// rank orders items within one customer: arrival plus patience.
-	rank time.Time
-	pos  int
-	due  due[K]
+	// serveBy orders the items of one customer: arrival time plus MaxDeferral of the urgency.
+	serveBy  time.Time
+	pos      int
+	deadline deadlineNode[K]
 }
 
 func (e *entry[K]) setPos(i int) { e.pos = i }
 
 func entryLess[K comparable](a, b *entry[K]) bool {
-	if !a.rank.Equal(b.rank) {
-		return a.rank.Before(b.rank)
+	if !a.serveBy.Equal(b.serveBy) {
+		return a.serveBy.Before(b.serveBy)
 	}
 	return a.seq < b.seq
 }
 
-// due is the position of an entry in the heap of deadlines.
-type due[K comparable] struct {
+// deadlineNode is the node of an entry in Queue.deadlines.
+type deadlineNode[K comparable] struct {
 	entry *entry[K]
 	pos   int
 }
 
-func (d *due[K]) setPos(i int) { d.pos = i }
+func (d *deadlineNode[K]) setPos(i int) { d.pos = i }
 
-func dueLess[K comparable](a, b *due[K]) bool {
+func deadlineLess[K comparable](a, b *deadlineNode[K]) bool {
 	x, y := a.entry, b.entry
 	if !x.item.Deadline.Equal(y.item.Deadline) {
 		return x.item.Deadline.Before(y.item.Deadline)
@@ -84,7 +84,7 @@
 
 const million = 1_000_000
 
-// millionths returns a weight as an integer, so that sums stay exact.
+// millionths converts a weight to an integer, so that sums are exact.
 func millionths(weight float64) int64 {
 	return int64(weight * million)
 }
--- a/policy/fairshare/heap.go
+++ b/policy/fairshare/heap.go
@@ -1,61 +1,61 @@
 package fairshare
 
-// element is kept in an indexed heap, and told its position so that it can be
-// moved or removed in O(log n).
-type element interface {
+// heapNode is an element of an indexedHeap. The heap sets its position, so that it can be moved or
+// removed in O(log n).
+type heapNode interface {
 	comparable
 	setPos(int)
 }
 
-// indexed is a binary heap; the least element by less is at position 0.
-type indexed[T element] struct {
-	items []T
+// indexedHeap is a binary min-heap ordered by less; the minimum is at position 0.
+type indexedHeap[T heapNode] struct {
+	nodes []T
 	less  func(a, b T) bool
 }
 
-func (h *indexed[T]) push(t T) {
-	h.items = append(h.items, t)
-	h.place(len(h.items)-1, t)
-	h.up(len(h.items) - 1)
+func (h *indexedHeap[T]) push(t T) {
+	h.nodes = append(h.nodes, t)
+	h.set(len(h.nodes)-1, t)
+	h.up(len(h.nodes) - 1)
 }
 
-// remove takes out the element at position i.
-func (h *indexed[T]) remove(i int) {
-	last := len(h.items) - 1
-	h.items[i].setPos(-1)
-	moved := h.items[last]
+// remove deletes the element at position i.
+func (h *indexedHeap[T]) remove(i int) {
+	last := len(h.nodes) - 1
+	h.nodes[i].setPos(-1)
+	moved := h.nodes[last]
 	var none T
-	h.items[last] = none
-	h.items = h.items[:last]
+	h.nodes[last] = none
+	h.nodes = h.nodes[:last]
 	if i == last {
 		return
 	}
-	h.place(i, moved)
+	h.set(i, moved)
 	h.fix(i)
 }
 
-// fix restores the order after the element at position i changed.
-func (h *indexed[T]) fix(i int) {
+// fix restores the heap order after the element at position i changed.
+func (h *indexedHeap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
 	}
 }
 
-func (h *indexed[T]) place(i int, t T) {
-	h.items[i] = t
+func (h *indexedHeap[T]) set(i int, t T) {
+	h.nodes[i] = t
 	t.setPos(i)
 }
 
-func (h *indexed[T]) swap(i, j int) {
-	a, b := h.items[i], h.items[j]
-	h.place(i, b)
-	h.place(j, a)
+func (h *indexedHeap[T]) swap(i, j int) {
+	a, b := h.nodes[i], h.nodes[j]
+	h.set(i, b)
+	h.set(j, a)
 }
 
-func (h *indexed[T]) up(i int) {
+func (h *indexedHeap[T]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !h.less(h.items[i], h.items[parent]) {
+		if !h.less(h.nodes[i], h.nodes[parent]) {
 			return
 		}
 		h.swap(i, parent)
@@ -63,11 +63,11 @@
 	}
 }
 
-func (h *indexed[T]) down(i int) bool {
+func (h *indexedHeap[T]) down(i int) bool {
 	start := i
 	for {
-		child := h.leastChild(i)
-		if child < 0 || !h.less(h.items[child], h.items[i]) {
+		child := h.minChild(i)
+		if child < 0 || !h.less(h.nodes[child], h.nodes[i]) {
 			return i > start
 		}
 		h.swap(i, child)
@@ -75,12 +75,12 @@
 	}
 }
 
-func (h *indexed[T]) leastChild(i int) int {
+func (h *indexedHeap[T]) minChild(i int) int {
 	left, right := 2*i+1, 2*i+2
-	if left >= len(h.items) {
+	if left >= len(h.nodes) {
 		return -1
 	}
-	if right < len(h.items) && h.less(h.items[right], h.items[left]) {
+	if right < len(h.nodes) && h.less(h.nodes[right], h.nodes[left]) {
 		return right
 	}
 	return left
--- a/policy/fairshare/queue.go
+++ b/policy/fairshare/queue.go
@@ -10,32 +10,32 @@
 // urgencies is the number of values of contract.Urgency.
 const urgencies = int(contract.Deferred) + 1
 
-// minWeight keeps the tags of a customer with no share finite.
+// minWeight keeps the start tags of a customer without a share finite.
 const minWeight = 0.001
 
-// Config tunes a Queue. The zero value orders by share and arrival alone.
+// Config configures a Queue. The zero value orders by share and arrival time alone.
 type Config struct {
-	// Places is how many items are served at once. A customer is entitled to
-	// its weight's part of them, rounded up. With 0 there is no entitlement.
-	Places int
-	// Lead is the service time that work of each urgency may run ahead of the
-	// share of its customer.
-	Lead [urgencies]time.Duration
-	// Patience is how long work of each urgency lets later work of the same
-	// customer with less patience go first.
-	Patience [urgencies]time.Duration
+	// Slots is how many items are served at once. A customer is entitled to the fraction of
+	// them that its weight gives, rounded up. 0 disables entitlements.
+	Slots int
+	// MaxLead bounds, for each urgency, the service time by which items may be served ahead of
+	// their customer's share.
+	MaxLead [urgencies]time.Duration
+	// MaxDeferral bounds, for each urgency, how long an item is deferred in favor of more urgent
+	// items of the same customer that arrive later.
+	MaxDeferral [urgencies]time.Duration
 }
 
-// DefaultConfig returns the tuning used for a server with the given places.
-func DefaultConfig(places int) Config {
+// DefaultConfig returns the default configuration of a server with the given number of slots.
+func DefaultConfig(slots int) Config {
 	return Config{
-		Places:   places,
-		Lead:     [urgencies]time.Duration{2 * time.Second, 500 * time.Millisecond, 0},
-		Patience: [urgencies]time.Duration{0, time.Second, 5 * time.Second},
+		Slots:       slots,
+		MaxLead:     [urgencies]time.Duration{2 * time.Second, 500 * time.Millisecond, 0},
+		MaxDeferral: [urgencies]time.Duration{0, time.Second, 5 * time.Second},
 	}
 }
 
-// Item is one piece of waiting work.
+// Item is one waiting request.
 type Item[K comparable] struct {
 	Key      K
 	Customer string
@@ -44,38 +44,38 @@
 	Urgency contract.Urgency
 	// Cost is the estimated service time.
 	Cost time.Duration
-	// Deadline is when the item gives up waiting; the zero time means never.
+	// Deadline is when the item expires if it is still waiting; the zero time means never.
 	Deadline time.Time
 }
 
-// Queue holds waiting items and counts those in service for each customer. It
-// keeps state only for customers that have either. Push, Pop, Take and Remove
-// are O(log n).
+// Queue holds waiting items and counts the items in service for each customer. It keeps state
+// only for customers that have either or that have run ahead of their share. Push, Pop, Take and
+// Remove are O(log n).
 type Queue[K comparable] struct {
-	cfg   Config
-	clock float64 // virtual time, in seconds of service per unit of weight
-	next  uint64
-	// active is the sum of the weights of the customers not idle, in millionths.
-	active int64
-	flows  map[string]*flow[K]
-	byKey  map[K]*entry[K]
-	// order holds the customers with waiting items, idle those with neither
+	cfg         Config
+	virtualTime float64 // in seconds of service per unit of weight
+	nextSeq     uint64
+	// activeWeight is the sum of the weights of the customers that are not idle, in millionths.
+	activeWeight int64
+	flows        map[string]*flow[K]
+	byKey        map[K]*entry[K]
+	// backlogged holds the customers with waiting items, idle those with neither
 	// waiting items nor items in service.
-	order indexed[*flow[K]]
-	idle  indexed[*flow[K]]
-	dues  indexed[*due[K]]
-	walk  []int
+	backlogged indexedHeap[*flow[K]]
+	idle       indexedHeap[*flow[K]]
+	deadlines  indexedHeap[*deadlineNode[K]]
+	candidates []int // scratch space of Walk: positions in backlogged
 }
 
 // New returns an empty queue.
 func New[K comparable](cfg Config) *Queue[K] {
 	return &Queue[K]{
-		cfg:   cfg,
-		flows: make(map[string]*flow[K]),
-		byKey: make(map[K]*entry[K]),
-		order: indexed[*flow[K]]{less: flowLess[K]},
-		idle:  indexed[*flow[K]]{less: startLess[K]},
-		dues:  indexed[*due[K]]{less: dueLess[K]},
+		cfg:        cfg,
+		flows:      make(map[string]*flow[K]),
+		byKey:      make(map[K]*entry[K]),
+		backlogged: indexedHeap[*flow[K]]{less: flowLess[K]},
+		idle:       indexedHeap[*flow[K]]{less: startLess[K]},
+		deadlines:  indexedHeap[*deadlineNode[K]]{less: deadlineLess[K]},
 	}
 }
 
@@ -84,12 +84,12 @@
 	return len(q.byKey)
 }
 
-// Customers returns the number of customers that have state in the queue, idle ones too.
+// Customers returns the number of customers that have state in the queue, including idle ones.
 func (q *Queue[K]) Customers() int {
 	return len(q.flows)
 }
 
-// Has reports whether an item waits under key.
+// Has reports whether an item with the given key is waiting.
 func (q *Queue[K]) Has(key K) bool {
 	return q.byKey[key] != nil
 }
@@ -97,76 +97,76 @@
 // Queued returns the number of waiting items of a customer.
 func (q *Queue[K]) Queued(customer string) int {
 	if f := q.flows[customer]; f != nil {
-		return len(f.queue.items)
+		return len(f.items.nodes)
 	}
 	return 0
 }
 
-// Held returns the number of items of a customer that are in service.
-func (q *Queue[K]) Held(customer string) int {
+// InService returns the number of items of a customer that are in service.
+func (q *Queue[K]) InService(customer string) int {
 	if f := q.flows[customer]; f != nil {
-		return f.held
+		return f.inService
 	}
 	return 0
 }
 
-// Entitled returns how many places a weight entitles to, at least one. When the
-// weights of the active customers add up to more than 1, it is their part of the sum.
+// Entitled returns how many slots a customer of the given weight is entitled to, at least one.
+// When the weights of the active customers add up to more than 1, they are scaled down to 1.
 func (q *Queue[K]) Entitled(weight float64) int {
-	sum := max(1, float64(q.active)/million)
-	return max(1, int(math.Ceil(weight/sum*float64(q.cfg.Places))))
+	sum := max(1, float64(q.activeWeight)/million)
+	return max(1, int(math.Ceil(weight/sum*float64(q.cfg.Slots))))
 }
 
-// Push adds an item. It reports false when an item already waits under its key.
+// Push adds an item. It returns false when an item with the same key is already waiting.
 func (q *Queue[K]) Push(now time.Time, it Item[K]) bool {
 	if q.Has(it.Key) {
 		return false
 	}
 	it.Urgency = clampUrgency(it.Urgency)
 	f := q.flow(it.Customer)
-	q.enter(f, it.Weight)
-	if len(f.queue.items) == 0 {
-		f.start = max(f.start, q.clock)
+	q.activate(f, it.Weight)
+	if len(f.items.nodes) == 0 {
+		f.startTag = max(f.startTag, q.virtualTime)
 	}
-	e := &entry[K]{item: it, seq: q.next, rank: now.Add(q.cfg.Patience[it.Urgency])}
-	q.next++
+	e := &entry[K]{item: it, seq: q.nextSeq, serveBy: now.Add(q.cfg.MaxDeferral[it.Urgency])}
+	q.nextSeq++
 	q.byKey[it.Key] = e
-	f.queue.push(e)
-	f.queued[it.Urgency] += it.Cost
+	f.items.push(e)
+	f.queuedWork[it.Urgency] += it.Cost
 	if !it.Deadline.IsZero() {
-		e.due.entry = e
-		q.dues.push(&e.due)
+		e.deadline.entry = e
+		q.deadlines.push(&e.deadline)
 	}
-	q.settle(f)
+	q.update(f)
 	return true
 }
 
-// Pop takes the first item into service.
+// Pop removes the first item from the queue and counts it as in service.
 func (q *Queue[K]) Pop() (Item[K], bool) {
-	if len(q.order.items) == 0 {
+	if len(q.backlogged.nodes) == 0 {
 		return Item[K]{}, false
 	}
-	e := q.order.items[0].queue.items[0]
+	e := q.backlogged.nodes[0].items.nodes[0]
 	q.Take(e.item.Key)
 	return e.item, true
 }
 
-// Take takes the item under key into service, whatever its position, and
-// charges its customer. The owner calls Release when the service ends.
+// Take removes the item with the given key from the queue, whatever its position, counts it as in
+// service and charges its cost to the customer. The caller calls Release when the service ends.
 func (q *Queue[K]) Take(key K) bool {
 	e := q.byKey[key]
 	if e == nil {
 		return false
 	}
 	f := q.flows[e.item.Customer]
-	q.clock = max(q.clock, f.key)
-	f.start += e.item.Cost.Seconds() / f.weight
-	f.held++
+	q.virtualTime = max(q.virtualTime, f.sortKey)
+	f.startTag += e.item.Cost.Seconds() / f.weight
+	f.inService++
 	q.drop(f, e)
 	return true
 }
 
-// Remove takes a waiting item out unserved. It reports whether there was one.
+// Remove removes a waiting item without serving it. It reports whether there was one.
 func (q *Queue[K]) Remove(key K) bool {
 	e := q.byKey[key]
 	if e == nil {
@@ -176,30 +176,30 @@
 	return true
 }
 
-// Hold counts an item of a customer as in service that never waited here.
-func (q *Queue[K]) Hold(customer string, weight float64) {
+// Acquire counts an item of a customer as in service that was never in the queue.
+func (q *Queue[K]) Acquire(customer string, weight float64) {
 	f := q.flow(customer)
-	q.enter(f, weight)
-	f.held++
-	q.settle(f)
+	q.activate(f, weight)
+	f.inService++
+	q.update(f)
 }
 
-// Release says that the service of one item of the customer has ended. It
-// panics when the customer has none, since the count of places would be wrong.
+// Release records that the service of one item of the customer has ended. It panics when the
+// customer has none in service, since the number of used slots would be wrong.
 func (q *Queue[K]) Release(customer string) {
 	f := q.flows[customer]
-	if f == nil || f.held == 0 {
+	if f == nil || f.inService == 0 {
 		panic("fairshare: release without an item in service")
 	}
-	f.held--
-	q.settle(f)
+	f.inService--
+	q.update(f)
 }
 
 // Expire removes the items whose deadline is not after now, earliest first.
 func (q *Queue[K]) Expire(now time.Time) []Item[K] {
 	var out []Item[K]
-	for len(q.dues.items) > 0 {
-		e := q.dues.items[0].entry
+	for len(q.deadlines.nodes) > 0 {
+		e := q.deadlines.nodes[0].entry
 		if e.item.Deadline.After(now) {
 			break
 		}
@@ -211,131 +211,130 @@
 
 // NextDeadline returns the earliest deadline of a waiting item.
 func (q *Queue[K]) NextDeadline() (time.Time, bool) {
-	if len(q.dues.items) == 0 {
+	if len(q.deadlines.nodes) == 0 {
 		return time.Time{}, false
 	}
-	return q.dues.items[0].entry.item.Deadline, true
+	return q.deadlines.nodes[0].entry.item.Deadline, true
 }
 
-// Walk visits the first waiting item of up to limit customers in the order in
-// which they would be served, until visit returns false. The queue must not be
-// changed by visit.
+// Walk calls visit for the first waiting item of up to limit customers, in the order in which
+// they would be served, until visit returns false. visit must not change the queue.
 func (q *Queue[K]) Walk(limit int, visit func(Item[K]) bool) {
-	if len(q.order.items) == 0 {
+	if len(q.backlogged.nodes) == 0 {
 		return
 	}
-	q.walk = append(q.walk[:0], 0)
-	for ; limit > 0 && len(q.walk) > 0; limit-- {
-		i := q.takeLeast()
-		if !visit(q.order.items[i].queue.items[0].item) {
+	q.candidates = append(q.candidates[:0], 0)
+	for ; limit > 0 && len(q.candidates) > 0; limit-- {
+		i := q.popMinCandidate()
+		if !visit(q.backlogged.nodes[i].items.nodes[0].item) {
 			return
 		}
-		for c := 2*i + 1; c <= 2*i+2 && c < len(q.order.items); c++ {
-			q.walk = append(q.walk, c)
+		for c := 2*i + 1; c <= 2*i+2 && c < len(q.backlogged.nodes); c++ {
+			q.candidates = append(q.candidates, c)
 		}
 	}
 }
 
-// takeLeast removes and returns the candidate of the walk that goes first.
-func (q *Queue[K]) takeLeast() int {
+// popMinCandidate removes and returns the candidate that is served first.
+func (q *Queue[K]) popMinCandidate() int {
 	best := 0
-	for j := range q.walk {
-		if flowLess(q.order.items[q.walk[j]], q.order.items[q.walk[best]]) {
+	for j := range q.candidates {
+		if flowLess(q.backlogged.nodes[q.candidates[j]], q.backlogged.nodes[q.candidates[best]]) {
 			best = j
 		}
 	}
-	i := q.walk[best]
-	last := len(q.walk) - 1
-	q.walk[best] = q.walk[last]
-	q.walk = q.walk[:last]
+	i := q.candidates[best]
+	last := len(q.candidates) - 1
+	q.candidates[best] = q.candidates[last]
+	q.candidates = q.candidates[:last]
 	return i
 }
 
-// drop takes e out of every index.
+// drop removes e from all indexes.
 func (q *Queue[K]) drop(f *flow[K], e *entry[K]) {
 	delete(q.byKey, e.item.Key)
-	f.queue.remove(e.pos)
-	f.queued[e.item.Urgency] -= e.item.Cost
-	if e.due.entry != nil {
-		q.dues.remove(e.due.pos)
+	f.items.remove(e.pos)
+	f.queuedWork[e.item.Urgency] -= e.item.Cost
+	if e.deadline.entry != nil {
+		q.deadlines.remove(e.deadline.pos)
 	}
-	q.settle(f)
+	q.update(f)
 }
 
 func (q *Queue[K]) flow(customer string) *flow[K] {
 	f := q.flows[customer]
 	if f == nil {
-		f = &flow[K]{name: customer, pos: -1, start: q.clock, queue: indexed[*entry[K]]{less: entryLess[K]}}
+		f = &flow[K]{name: customer, pos: -1, startTag: q.virtualTime, items: indexedHeap[*entry[K]]{less: entryLess[K]}}
 		q.flows[customer] = f
 	}
 	return f
 }
 
-// settle brings f to its place in the order after a change.
-func (q *Queue[K]) settle(f *flow[K]) {
-	if len(f.queue.items) > 0 {
-		q.rank(f)
+// update moves f to the right heap and position after a change.
+func (q *Queue[K]) update(f *flow[K]) {
+	if len(f.items.nodes) > 0 {
+		q.reorder(f)
 		return
 	}
 	if f.pos >= 0 && !f.idle {
-		q.order.remove(f.pos)
+		q.backlogged.remove(f.pos)
 	}
-	if f.held == 0 {
+	if f.inService == 0 {
 		q.retire(f)
 	}
 }
 
-// retire keeps a customer with nothing waiting or in service only until virtual
-// time has reached its start tag, or until the whole queue is idle: dropped
-// earlier, it would be forgiven what it ran ahead of its share.
+// retire marks a customer with nothing waiting or in service as idle. Its state is kept until
+// virtual time has reached its start tag, or until the whole queue is idle: if it were dropped
+// earlier, the customer would not be charged for the service it got ahead of its share.
 func (q *Queue[K]) retire(f *flow[K]) {
 	if !f.idle {
-		q.active -= millionths(f.weight)
+		q.activeWeight -= millionths(f.weight)
 		f.idle = true
 		q.idle.push(f)
 	}
-	for len(q.idle.items) > 0 && (q.active == 0 || q.idle.items[0].start <= q.clock) {
-		delete(q.flows, q.idle.items[0].name)
+	for len(q.idle.nodes) > 0 && (q.activeWeight == 0 || q.idle.nodes[0].startTag <= q.virtualTime) {
+		delete(q.flows, q.idle.nodes[0].name)
 		q.idle.remove(0)
 	}
 }
 
-// enter makes f one of the active customers, with the newest weight.
-func (q *Queue[K]) enter(f *flow[K], weight float64) {
+// activate marks f as active and sets its weight to the latest one.
+func (q *Queue[K]) activate(f *flow[K], weight float64) {
 	if f.idle {
 		q.idle.remove(f.pos)
 		f.idle = false
 	} else {
-		q.active -= millionths(f.weight)
+		q.activeWeight -= millionths(f.weight)
 	}
 	f.weight = max(weight, minWeight)
-	q.active += millionths(f.weight)
+	q.activeWeight += millionths(f.weight)
 }
 
-func (q *Queue[K]) rank(f *flow[K]) {
-	u := f.queue.items[0].item.Urgency
-	over := q.over(f.held, f.weight, u)
-	if f.over && !over {
-		f.start = max(f.start, q.clock)
+func (q *Queue[K]) reorder(f *flow[K]) {
+	u := f.items.nodes[0].item.Urgency
+	over := q.overEntitlement(f.inService, f.weight, u)
+	if f.overEntitlement && !over {
+		f.startTag = max(f.startTag, q.virtualTime)
 	}
-	f.over = over
-	f.key = f.start - q.cfg.Lead[u].Seconds()/f.weight
+	f.overEntitlement = over
+	f.sortKey = f.startTag - q.cfg.MaxLead[u].Seconds()/f.weight
 	if f.pos < 0 {
-		q.order.push(f)
+		q.backlogged.push(f)
 		return
 	}
-	q.order.fix(f.pos)
+	q.backlogged.fix(f.pos)
 }
 
-// over reports whether a customer that holds so many places has used up its
-// entitlement. Interactive work is allowed a quarter more, at least one place.
-func (q *Queue[K]) over(held int, weight float64, u contract.Urgency) bool {
-	if q.cfg.Places == 0 {
+// overEntitlement reports whether a customer with inService items in service has used up its
+// entitlement. Interactive work may exceed it by a quarter, at least by one slot.
+func (q *Queue[K]) overEntitlement(inService int, weight float64, u contract.Urgency) bool {
+	if q.cfg.Slots == 0 {
 		return false
 	}
 	limit := q.Entitled(weight)
 	if u == contract.Interactive {
 		limit += max(1, limit/4)
 	}
-	return held >= limit
+	return inService >= limit
 }
--- a/policy/fairshare/queue_test.go
+++ b/policy/fairshare/queue_test.go
@@ -17,7 +17,7 @@
 	return Item[int]{Key: key, Customer: customer, Weight: weight, Urgency: u, Cost: cost}
 }
 
-// serve pops n items with no place ever given back and counts them by customer.
+// serve pops n items, releases each at once, and counts them by customer.
 func serve(q *Queue[int], n int) map[string]int {
 	got := make(map[string]int)
 	for range n {
@@ -32,7 +32,7 @@
 }
 
 func TestServesByWeight(t *testing.T) {
-	q := New[int](Config{Places: 20})
+	q := New[int](Config{Slots: 20})
 	for i := range 600 {
 		q.Push(epoch, item(2*i, "a", 0.75, contract.Prompt, time.Second))
 		q.Push(epoch, item(2*i+1, "b", 0.25, contract.Prompt, time.Second))
@@ -44,25 +44,25 @@
 func TestOrder(t *testing.T) {
 	long, short := 5*time.Second, 100*time.Millisecond
 	cases := []struct {
-		name  string
-		items []Item[int]
-		held  map[string]int
-		first int
+		name      string
+		items     []Item[int]
+		inService map[string]int
+		first     int
 	}{
-		{"lookup before the dossiers of its own customer", []Item[int]{item(0, "a", .5, contract.Deferred, long), item(1, "a", .5, contract.Interactive, short)}, nil, 1},
-		{"lookup before the dossiers of others", []Item[int]{item(0, "a", .5, contract.Deferred, long), item(1, "b", .1, contract.Interactive, short)}, nil, 1},
+		{"interactive before deferred work of the same customer", []Item[int]{item(0, "a", .5, contract.Deferred, long), item(1, "a", .5, contract.Interactive, short)}, nil, 1},
+		{"interactive before deferred work of other customers", []Item[int]{item(0, "a", .5, contract.Deferred, long), item(1, "b", .1, contract.Interactive, short)}, nil, 1},
 		{"customer below its share first", []Item[int]{item(0, "a", .5, contract.Prompt, long), item(1, "b", .5, contract.Prompt, long)}, map[string]int{"a": 10, "b": 9}, 1},
-		{"lookup may exceed the share by a little", []Item[int]{item(0, "b", .5, contract.Prompt, long), item(1, "a", .5, contract.Interactive, short)}, map[string]int{"a": 10, "b": 9}, 1},
-		{"but not by much", []Item[int]{item(0, "a", .5, contract.Interactive, short), item(1, "b", .5, contract.Deferred, long)}, map[string]int{"a": 13, "b": 9}, 1},
+		{"interactive work may exceed the share by a quarter", []Item[int]{item(0, "b", .5, contract.Prompt, long), item(1, "a", .5, contract.Interactive, short)}, map[string]int{"a": 10, "b": 9}, 1},
+		{"interactive work may not exceed the share by more", []Item[int]{item(0, "a", .5, contract.Interactive, short), item(1, "b", .5, contract.Deferred, long)}, map[string]int{"a": 13, "b": 9}, 1},
 		{"idle share is lent", []Item[int]{item(0, "a", .1, contract.Prompt, long)}, map[string]int{"a": 19}, 0},
-		{"shares above 1 in sum are scaled", []Item[int]{item(0, "a", 1, contract.Prompt, long), item(1, "b", 1, contract.Prompt, long)}, map[string]int{"a": 11, "b": 1}, 1},
+		{"shares with a sum above 1 are scaled down", []Item[int]{item(0, "a", 1, contract.Prompt, long), item(1, "b", 1, contract.Prompt, long)}, map[string]int{"a": 11, "b": 1}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			q := New[int](DefaultConfig(20))
-			for customer, n := range c.held {
+			for customer, n := range c.inService {
 				for range n {
-					q.Hold(customer, weightOf(c.items, customer))
+					q.Acquire(customer, weightOf(c.items, customer))
 				}
 			}
 			for _, it := range c.items {
@@ -84,16 +84,16 @@
 	return 0
 }
 
-// TestUrgentFloodIsBounded holds the bound on what a flood of urgent work takes
-// from deferred work, of another customer and of the same one.
-func TestUrgentFloodIsBounded(t *testing.T) {
-	for _, flooder := range []string{"other", "same"} {
+// TestUrgentWorkDoesNotStarveDeferred checks that a continuous stream of urgent work delays deferred
+// work, of another customer and of the same one, by a bounded amount only.
+func TestUrgentWorkDoesNotStarveDeferred(t *testing.T) {
+	for _, urgentCustomer := range []string{"other", "same"} {
 		q := New[int](DefaultConfig(0))
 		q.Push(epoch, item(-1, "same", 0.5, contract.Deferred, time.Second))
 		served := 0
 		for ; q.Has(-1); served++ {
-			assert.Assert(t, served < 100, "%s customer starves deferred work", flooder)
-			q.Push(epoch.Add(time.Duration(served)*100*time.Millisecond), item(served, flooder, 0.5, contract.Interactive, 100*time.Millisecond))
+			assert.Assert(t, served < 100, "%s customer starves deferred work", urgentCustomer)
+			q.Push(epoch.Add(time.Duration(served)*100*time.Millisecond), item(served, urgentCustomer, 0.5, contract.Interactive, 100*time.Millisecond))
 			serve(q, 1)
 		}
 	}
@@ -110,19 +110,19 @@
 	}
 	next, _ := q.NextDeadline()
 	assert.Equal(t, next, epoch.Add(time.Second))
-	gone := q.Expire(epoch.Add(2 * time.Second))
-	assert.Equal(t, len(gone), 2)
-	assert.Equal(t, gone[0].Key, 1)
+	expired := q.Expire(epoch.Add(2 * time.Second))
+	assert.Equal(t, len(expired), 2)
+	assert.Equal(t, expired[0].Key, 1)
 	assert.Equal(t, q.Len(), 2)
 }
 
-// TestRandom drives all operations in random order: Walk agrees with Pop, every
-// item leaves exactly once, and an idle queue keeps no state.
+// TestRandom makes random calls and checks that Walk agrees with Pop, that every item leaves the
+// queue exactly once, and that an idle queue keeps no state.
 func TestRandom(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		q := New[int](DefaultConfig(8))
-		held := []string{}
+		inService := []string{}
 		in, out := 0, 0
 		for i := range 2000 {
 			now := epoch.Add(time.Duration(i) * time.Millisecond)
@@ -130,18 +130,18 @@
 			case op < 5:
 				it := item(i, fmt.Sprint(rng.IntN(12)), 0.1, contract.Urgency(rng.IntN(3)), time.Duration(rng.IntN(1000))*time.Millisecond)
 				it.Deadline = now.Add(time.Duration(rng.IntN(500)) * time.Millisecond)
-				assert.Assert(t, q.Push(now, it) && q.Ahead(it.Customer, 0.1, it.Urgency) >= 0)
+				assert.Assert(t, q.Push(now, it) && q.WorkAhead(it.Customer, 0.1, it.Urgency) >= 0)
 				in++
 			case op < 7 && q.Len() > 0:
 				var first Item[int]
 				q.Walk(1, func(it Item[int]) bool { first = it; return false })
 				it, _ := q.Pop()
 				assert.Equal(t, it.Key, first.Key)
-				held = append(held, it.Customer)
+				inService = append(inService, it.Customer)
 				out++
-			case op < 8 && len(held) > 0:
-				q.Release(held[0])
-				held = held[1:]
+			case op < 8 && len(inService) > 0:
+				q.Release(inService[0])
+				inService = inService[1:]
 			case op < 9 && q.Remove(rng.IntN(i+1)):
 				out++
 			default:
@@ -149,17 +149,17 @@
 			}
 		}
 		out += len(q.Expire(epoch.Add(time.Hour)))
-		for _, c := range held {
+		for _, c := range inService {
 			q.Release(c)
 		}
 		assert.Equal(t, in, out)
 		assert.Equal(t, q.Customers()+q.Len(), 0)
-		assert.Equal(t, q.active, int64(0))
+		assert.Equal(t, q.activeWeight, int64(0))
 	}
 }
 
 func BenchmarkPushPop(b *testing.B) {
-	q, names := full(2000, 340)
+	q, names := filledQueue(2000, 340)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		it, _ := q.Pop()
@@ -169,14 +169,14 @@
 }
 
 func BenchmarkAhead(b *testing.B) {
-	q, names := full(2000, 340)
+	q, names := filledQueue(2000, 340)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		q.Ahead(names[i%340], 0.003, contract.Prompt)
+		q.WorkAhead(names[i%340], 0.003, contract.Prompt)
 	}
 }
 
-func full(n, customers int) (*Queue[int], []string) {
+func filledQueue(n, customers int) (*Queue[int], []string) {
 	q := New[int](DefaultConfig(20))
 	names := make([]string, customers)
 	for i := range names {
--- a/policy/kvlink/kvlink_test.go
+++ b/policy/kvlink/kvlink_test.go
@@ -33,11 +33,11 @@
 	assert.Equal(t, l.Backlog(at(time.Second)), 3500*time.Millisecond)
 	assert.Assert(t, l.Release("after") && !l.Release("after"))
 	l.Observe(2250, time.Second)
-	assert.Equal(t, l.Time(1000), 800*time.Millisecond)
+	assert.Equal(t, l.TransferTime(1000), 800*time.Millisecond)
 }
 
-// TestPlansGiveWay holds that a transfer that is ready waits for begun ones alone.
-func TestPlansGiveWay(t *testing.T) {
+// TestReadyTransferPostponesPlans checks that a transfer that is ready waits only for begun ones.
+func TestReadyTransferPostponesPlans(t *testing.T) {
 	l := New[string](1000)
 	l.Plan(epoch, "planned", epoch, 2000)
 	l.Plan(epoch, "next", epoch, 1000)
