--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -15,16 +15,16 @@
 	"github.com/phuslu/log"
 
 	"github.com/hibiscusspur/hibiscusspur/httpserver"
-	"github.com/hibiscusspur/hibiscusspur/life"
+	"github.com/hibiscusspur/hibiscusspur/lifecycle"
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
 	"github.com/hibiscusspur/hibiscusspur/policy/outlier"
 	"github.com/hibiscusspur/hibiscusspur/policy/overload"
-	"github.com/hibiscusspur/hibiscusspur/policy/reading"
+	"github.com/hibiscusspur/hibiscusspur/policy/prefillpool"
 	"github.com/hibiscusspur/hibiscusspur/policy/retrybudget"
 	"github.com/hibiscusspur/hibiscusspur/policy/stages"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
@@ -86,9 +86,9 @@
 	// limits is how many calls each server of a plain service gets.
 	limits *overload.Limiter
 	// returners tells who has come back, by route.
-	returners map[string]*waiting.Returners
+	returners map[string]*waitqueue.Returners
 	// readers are the engines that read prompts, engines those that generate.
-	readers *reading.Pool
+	readers *prefillpool.Pool
 	engines *engines
 	// arriving is the rate of prompts, in tokens per second.
 	arriving stages.Mean
@@ -169,8 +169,8 @@
 	s, ok := f.services[name]
 	if !ok {
 		s = &service{
-			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waiting.Returners{},
-			readers: reading.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
+			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waitqueue.Returners{},
+			readers: prefillpool.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
 		}
 		f.services[name] = s
 	}
@@ -203,12 +203,12 @@
 		f.streams.Add(1)
 		defer f.streams.Add(-1)
 		r := &stream{course: course{f: f, j: j}, lastEvent: j.meta.LastEventID}
-		r.finish(life.Run(ctx, r))
+		r.finish(lifecycle.Run(ctx, r))
 		f.freeExport(j, r.takeKept())
 		return
 	}
 	c := &call{course{f: f, j: j}}
-	c.finish(life.Run(ctx, c))
+	c.finish(lifecycle.Run(ctx, c))
 }
 
 // streams reports whether the request needs a prefill and a decode engine.
@@ -286,7 +286,7 @@
 func (s *service) returned(j *job) bool {
 	r, ok := s.returners[j.route.Name]
 	if !ok {
-		r = &waiting.Returners{}
+		r = &waitqueue.Returners{}
 		s.returners[j.route.Name] = r
 	}
 	return r.Returned(j.meta.Patience)
@@ -325,7 +325,7 @@
 			continue
 		}
 		s.engines.forget(table.Has)
-		maps.DeleteFunc(s.returners, func(name string, _ *waiting.Returners) bool { return !table.Has(name) })
+		maps.DeleteFunc(s.returners, func(name string, _ *waitqueue.Returners) bool { return !table.Has(name) })
 	}
 }
 
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
 	"github.com/hibiscusspur/hibiscusspur/policy/mechanism"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
@@ -28,7 +28,7 @@
 	refused bool
 }
 
-// Place implements life.Request: it waits in the line until a decode engine is thought to
+// Place implements lifecycle.Request: it waits in the line until a decode engine is thought to
 // have room.
 func (r *stream) Place(ctx context.Context) (*streamAttempt, outcome.Outcome, bool) {
 	f, j := r.f, r.j
@@ -95,14 +95,14 @@
 }
 
 // newWaiter is the request's turn in the line.
-func (j *job) newWaiter(terms waiting.Terms) *waiting.Waiter {
-	return &waiting.Waiter{
+func (j *job) newWaiter(terms waitqueue.Terms) *waitqueue.Waiter {
+	return &waitqueue.Waiter{
 		Need: j.need(), Arrived: j.arrived, Late: j.late, Priority: j.priority(),
 		Until: terms.Until(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.late),
 	}
 }
 
-// Reserve implements life.Attempt: the engine itself grants the memory, since other
+// Reserve implements lifecycle.Attempt: the engine itself grants the memory, since other
 // gateways place requests on it too.
 func (a *streamAttempt) Reserve(ctx context.Context) (outcome.Outcome, bool) {
 	f, j, l := a.r.f, a.r.j, a.lease
