--- a/entry/links.go
+++ b/entry/links.go
@@ -89,7 +89,7 @@
 	}
 	self := subset.Entry{ID: set.ID, Zone: set.Zone, Index: set.Policy.Index, Count: set.Policy.Entries}
 	for _, g := range groups {
-		for _, id := range subset.Pick(self, g, subset.Options{Size: set.Policy.SubsetSize, OwnShare: ownShare}) {
+		for _, id := range subset.Pick(self, g, subset.Options{MaxSize: set.Policy.SubsetSize, OwnZoneShare: ownShare}) {
 			out[id] = all[id]
 		}
 	}
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -99,7 +99,7 @@
 	}
 	d, f := find(c.Decode), find(c.Prefill)
 	times := placement.Estimate(p.cfg, *req, &p.candidates[f], &p.candidates[d])
-	sv := servers{decode: peers[d], expected: times.First, prefilled: times.Queue + times.Prefill}
+	sv := servers{decode: peers[d], expected: times.TTFT, prefilled: times.Queue + times.Prefill}
 	if !c.Mixed() {
 		sv.prefill = peers[f]
 	}
@@ -107,7 +107,7 @@
 	uncached := req.PromptTokens - int(float64(hit.CachedTokens)*hit.CacheConfidence)
 	peers[f].notePrefill(max(uncached, 0))
 	peers[d].notePlaced()
-	p.cache.Placed(c.Prefill, r.hashes, now)
+	p.cache.RecordPlacement(c.Prefill, r.hashes, now)
 	return sv
 }
 
@@ -115,7 +115,7 @@
 func (p *placer) prefilled(at *peer, r *request, cached int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.Result(at.backend.ID, r.hashes, cached, time.Now())
+	p.cache.RecordResult(at.backend.ID, r.hashes, cached, time.Now())
 }
 
 // candidate describes the peer to the placement policy.
@@ -123,12 +123,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := placement.Candidate{
-		ID:          p.backend.ID,
-		Zone:        p.backend.Zone,
-		Role:        engine.Role(p.backend.Role),
-		Outstanding: len(p.flows),
-		PlacedSince: p.placedSince,
-		TokensSince: p.tokensSince,
+		ID:                p.backend.ID,
+		Zone:              p.backend.Zone,
+		Role:              engine.Role(p.backend.Role),
+		Outstanding:       len(p.flows),
+		PlacedSinceReport: p.placedSince,
+		TokensSinceReport: p.tokensSince,
 		Rates: placement.Rates{
 			PrefillTokensPerSecond: float64(p.welcome.GetPrefillTokensPerSecond()),
 			LinkBytesPerSecond:     float64(p.welcome.GetLinkBytesPerSecond()),
@@ -139,8 +139,8 @@
 		c.Load = placement.Load{
 			Known:          true,
 			Age:            now.Sub(p.loadAt),
-			Places:         int(l.GetPlaces()),
-			PlacesUsed:     int(l.GetPlacesUsed()),
+			Slots:          int(l.GetPlaces()),
+			SlotsUsed:      int(l.GetPlacesUsed()),
 			Queued:         int(l.GetQueued()),
 			PrefillBacklog: time.Duration(l.GetPrefillBacklogMs()) * time.Millisecond,
 			LinkBacklog:    time.Duration(l.GetLinkBacklogMs()) * time.Millisecond,
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -91,12 +91,12 @@
 	readers *reading.Pool
 	engines *engines
 	// arriving is the rate of prompts, in tokens per second.
-	arriving stages.Mean
+	arriving stages.ArrivalRate
 	// wanting is the rate of memory that requests ask for, in tokens per second, weighted
 	// the same with each multiplied by the tokens that it generates; hold is how long runs
 	// hold memory.
-	wanting, weighted stages.Mean
-	hold              stages.Hold
+	wanting, weighted stages.ArrivalRate
+	hold              stages.HoldTime
 }
 
 // New returns a Forwarder.
@@ -336,7 +336,7 @@
 	f.mu.Unlock()
 	out := map[string]stages.Load{}
 	for _, name := range names {
-		if use := f.Use(name); use.ReadRate > 0 {
+		if use := f.Use(name); use.PromptRate > 0 {
 			out[name] = use
 		}
 	}
@@ -352,8 +352,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return stages.Load{
-		Short:    short,
-		ReadRate: s.arriving.At(now), EngineRate: s.readers.PerSecond(), Held: s.hold.Want(s.wanting.At(now), s.weighted.At(now)),
+		MemoryShort: short,
+		PromptRate:  s.arriving.At(now), EnginePrefillRate: s.readers.PerSecond(), MemoryDemand: s.hold.Demand(s.wanting.At(now), s.weighted.At(now)),
 	}
 }
 
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -54,7 +54,7 @@
 	now := time.Now()
 	for service, use := range s.fwd.Uses() {
 		r.Readings = append(r.Readings, &peer.Reading{
-			Service: service, TokensPerS: use.ReadRate, EngineTokensPerS: use.EngineRate, WantedTokens: use.Held,
+			Service: service, TokensPerS: use.PromptRate, EngineTokensPerS: use.EnginePrefillRate, WantedTokens: use.MemoryDemand,
 		})
 	}
 	for id, w := range s.view.switches() {
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -85,11 +85,11 @@
 			pause(ctx, planInterval)
 			break
 		}
-		p.Moved(m, now)
+		p.RecordMove(m, now)
 		moved = true
 		s.view.switchTo(m.Server.ID, m.To, 0, time.Now())
 		event.StageOrdered.Log(s.log).Str("server", m.Server.ID).Str("to", m.To.String()).Int64("fence", fence).
-			Float64("read", load.ReadRate/load.EngineRate).Float64("held", load.Held/load.EngineTokens).Msg("")
+			Float64("read", load.PromptRate/load.EnginePrefillRate).Float64("held", load.MemoryDemand/load.EngineMemory).Msg("")
 	}
 	if moved {
 		s.peers.Announce()
@@ -100,10 +100,10 @@
 func (s *Service) serviceLoad(service route.Service) stages.Load {
 	load := s.fwd.Use(service.Name)
 	arriving, wanted, rates := s.placed.reading(service.Name)
-	load.ReadRate += arriving
-	load.Held = max(load.Held+wanted, float64(s.fwd.Held(service.Name)))
-	load.EngineRate = median(append(rates, load.EngineRate))
-	load.EngineTokens = float64(service.Engine.KVTokens)
+	load.PromptRate += arriving
+	load.MemoryDemand = max(load.MemoryDemand+wanted, float64(s.fwd.Held(service.Name)))
+	load.EnginePrefillRate = median(append(rates, load.EnginePrefillRate))
+	load.EngineMemory = float64(service.Engine.KVTokens)
 	return load
 }
 
--- a/policy/placement/baseline.go
+++ b/policy/placement/baseline.go
@@ -78,6 +78,6 @@
 		if x.Role == engine.RolePrefill {
 			return cmp.Compare(x.Load.PrefillBacklog, y.Load.PrefillBacklog)
 		}
-		return cmp.Compare(x.Load.PlacesUsed+x.Load.Queued, y.Load.PlacesUsed+y.Load.Queued)
+		return cmp.Compare(x.Load.SlotsUsed+x.Load.Queued, y.Load.SlotsUsed+y.Load.Queued)
 	})
 }
--- a/policy/placement/estimate.go
+++ b/policy/placement/estimate.go
@@ -16,8 +16,8 @@
 type Times struct {
 	// Queue is the wait before the prefill starts, and Prefill its own time.
 	Queue, Prefill time.Duration
-	// First is the time to the first token.
-	First time.Duration
+	// TTFT is the time to the first token.
+	TTFT time.Duration
 }
 
 // Estimate returns what to expect of a pair of servers, the same candidate twice
@@ -25,7 +25,7 @@
 func Estimate(cfg Config, req Request, prefill, decode *Candidate) Times {
 	e := estimator{cfg}
 	p := e.pair(&req, prefill, decode)
-	return Times{Queue: e.prefillQueue(prefill), Prefill: p.work, First: p.first}
+	return Times{Queue: e.prefillQueue(prefill), Prefill: p.work, TTFT: p.first}
 }
 
 // pair is one way to serve the request.
@@ -97,7 +97,7 @@
 // prefillQueue is the wait before a prefill starts. A reported backlog shrinks
 // as time passes.
 func (e *estimator) prefillQueue(c *Candidate) time.Duration {
-	own := seconds(float64(c.TokensSince), or(c.Rates.PrefillTokensPerSecond, e.cfg.Prior.PrefillTokensPerSecond))
+	own := seconds(float64(c.TokensSinceReport), or(c.Rates.PrefillTokensPerSecond, e.cfg.Prior.PrefillTokensPerSecond))
 	return e.blend(c, max(c.Load.PrefillBacklog-c.Load.Age, 0), e.cfg.PriorBacklog) + own
 }
 
@@ -117,8 +117,8 @@
 }
 
 func (e *estimator) places(c *Candidate) float64 {
-	if c.Load.Known && c.Load.Places > 0 {
-		return float64(c.Load.Places)
+	if c.Load.Known && c.Load.Slots > 0 {
+		return float64(c.Load.Slots)
 	}
 	return float64(e.cfg.PriorPlaces)
 }
@@ -126,8 +126,8 @@
 // placesUsed counts those that wait as well, and the caller's own since the report.
 func (e *estimator) placesUsed(c *Candidate) float64 {
 	w := e.weight(c)
-	reported := float64(c.Load.PlacesUsed + c.Load.Queued)
-	return w*reported + (1-w)*e.cfg.PriorUse*e.places(c) + float64(c.PlacedSince)
+	reported := float64(c.Load.SlotsUsed + c.Load.Queued)
+	return w*reported + (1-w)*e.cfg.PriorUse*e.places(c) + float64(c.PlacedSinceReport)
 }
 
 // transfer is the time for the KV cache to cross the link of the decode server.
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -34,8 +34,8 @@
 	Known bool
 	// Age is the time since the report was made.
 	Age time.Duration
-	// Places and PlacesUsed count requests decoded at once.
-	Places, PlacesUsed int
+	// Slots and SlotsUsed count requests decoded at once.
+	Slots, SlotsUsed int
 	// Queued counts requests that wait for a place.
 	Queued int
 	// PrefillBacklog and LinkBacklog are the times until the accepted prefills
@@ -53,9 +53,9 @@
 	Load     Load
 	// Outstanding counts the caller's own unfinished requests there.
 	Outstanding int
-	// PlacedSince and TokensSince count the caller's own requests, and their
+	// PlacedSinceReport and TokensSinceReport count the caller's own requests, and their
 	// uncached prompt tokens, placed there since the report was made.
-	PlacedSince, TokensSince int
+	PlacedSinceReport, TokensSinceReport int
 	// CachedTokens is the length of the prompt's prefix thought to be cached,
 	// and CacheConfidence the probability of that, in [0, 1].
 	CachedTokens    int
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -25,7 +25,7 @@
 
 func server(id, zone string, role engine.Role, used int, backlog time.Duration) Candidate {
 	return Candidate{ID: id, Zone: zone, Role: role, Load: Load{
-		Known: true, Places: 20, PlacesUsed: used, PrefillBacklog: backlog, Step: 20 * ms,
+		Known: true, Slots: 20, SlotsUsed: used, PrefillBacklog: backlog, Step: 20 * ms,
 	}}
 }
 
@@ -35,7 +35,7 @@
 	far := server("d3", "b", "decode", 5, 0)
 	mixed := server("m", "a", "mixed", 5, 0)
 	with := func(c Candidate, change func(*Candidate)) Candidate { change(&c); return c }
-	full := func(c *Candidate) { c.Load.PlacesUsed = 20 }
+	full := func(c *Candidate) { c.Load.SlotsUsed = 20 }
 	busy := func(c *Candidate) { c.Load.PrefillBacklog = 300 * ms }
 	for _, tc := range []struct {
 		name            string
@@ -46,9 +46,9 @@
 		{"none", nil, nil, "", ""},
 		{"no prefill server", []Candidate{d1}, nil, "", ""},
 		{"shorter prefill queue", []Candidate{with(p1, busy), p2, d1}, nil, "p2", "d1"},
-		{"own tokens since the report", []Candidate{with(p1, func(c *Candidate) { c.TokensSince = 9000 }), p2, d1}, nil, "p2", "d1"},
+		{"own tokens since the report", []Candidate{with(p1, func(c *Candidate) { c.TokensSinceReport = 9000 }), p2, d1}, nil, "p2", "d1"},
 		{"free decode place", []Candidate{p1, with(d1, full), d2}, nil, "p1", "d2"},
-		{"own placements since the report", []Candidate{p1, with(d1, func(c *Candidate) { c.PlacedSince = 15 }), d2}, nil, "p1", "d2"},
+		{"own placements since the report", []Candidate{p1, with(d1, func(c *Candidate) { c.PlacedSinceReport = 15 }), d2}, nil, "p1", "d2"},
 		{"shorter link queue", []Candidate{p1, with(d1, func(c *Candidate) { c.Load.LinkBacklog = 90 * ms }), d2}, nil, "p1", "d2"},
 		{"old report counts less", []Candidate{
 			with(p1, func(c *Candidate) { busy(c); c.Load.Age = 10 * time.Second }),
@@ -137,7 +137,7 @@
 	for i := range 1500 {
 		if i%100 == 0 {
 			for j := range list {
-				list[j].Load = Load{Known: true, Places: 20, PlacesUsed: used[j]}
+				list[j].Load = Load{Known: true, Slots: 20, SlotsUsed: used[j]}
 			}
 		}
 		var id int
--- a/policy/prefixcache/index.go
+++ b/policy/prefixcache/index.go
@@ -99,19 +99,19 @@
 // Len returns the number of entries kept.
 func (x *Index) Len() int { return len(x.slots) }
 
-// Placed records that a prompt with these hashes was sent to a backend server,
+// RecordPlacement records that a prompt with these hashes was sent to a backend server,
 // which will hold its prefixes once the prefill is done.
-func (x *Index) Placed(id string, hashes []uint64, now time.Time) {
+func (x *Index) RecordPlacement(id string, hashes []uint64, now time.Time) {
 	b := x.backend(id)
 	for i := len(hashes) - 1; i >= 0; i-- {
 		x.put(b, hashes[i], tokensOf(i), x.cfg.PlacedConfidence, now)
 	}
 }
 
-// Result records that an engine has prefilled a prompt and found the first
+// RecordResult records that an engine has prefilled a prompt and found the first
 // cached tokens of it in its cache. It holds the whole prompt now; when it found
 // less than expected, its cache turns over faster than thought.
-func (x *Index) Result(id string, hashes []uint64, cached int, now time.Time) {
+func (x *Index) RecordResult(id string, hashes []uint64, cached int, now time.Time) {
 	b := x.backend(id)
 	if x.Lookup(id, hashes, now).Tokens > cached+engine.PrefixBlockTokens {
 		b.lost += x.cfg.MissPenalty
@@ -121,10 +121,10 @@
 	}
 }
 
-// Apply records cache events of one backend server. Events at or before the
+// ApplyEvents records cache events of one backend server. Events at or before the
 // latest sequence number are late repetitions and are left out; missing numbers
 // lower the confidence of everything recorded earlier for that backend.
-func (x *Index) Apply(id string, events []engine.CacheEvent, now time.Time) {
+func (x *Index) ApplyEvents(id string, events []engine.CacheEvent, now time.Time) {
 	b := x.backend(id)
 	for _, e := range events {
 		if b.seen && e.Sequence <= b.sequence {
--- a/policy/prefixcache/index_test.go
+++ b/policy/prefixcache/index_test.go
@@ -31,39 +31,39 @@
 		confidence float64
 	}{
 		{"nothing known", func(*Index) {}, 0, 0, 0},
-		{"placed", func(x *Index) { x.Placed("a", hashes[:2], start) }, 0, 128, 0.5},
-		{"placed elsewhere", func(x *Index) { x.Placed("b", hashes, start) }, 0, 0, 0},
-		{"decays", func(x *Index) { x.Placed("a", hashes, start) }, time.Minute, 256, 0.25},
-		{"decays to nothing", func(x *Index) { x.Placed("a", hashes, start) }, time.Hour, 0, 0},
+		{"placed", func(x *Index) { x.RecordPlacement("a", hashes[:2], start) }, 0, 128, 0.5},
+		{"placed elsewhere", func(x *Index) { x.RecordPlacement("b", hashes, start) }, 0, 0, 0},
+		{"decays", func(x *Index) { x.RecordPlacement("a", hashes, start) }, time.Minute, 256, 0.25},
+		{"decays to nothing", func(x *Index) { x.RecordPlacement("a", hashes, start) }, time.Hour, 0, 0},
 		{"result confirms", func(x *Index) {
-			x.Placed("a", hashes, start)
-			x.Result("a", hashes, 256, start)
+			x.RecordPlacement("a", hashes, start)
+			x.RecordResult("a", hashes, 256, start)
 		}, 0, 256, 1},
 		{"result refutes", func(x *Index) {
-			x.Result("a", hashes, 0, start)
-			x.Result("a", hashes[:1], 0, start)
-			x.Result("a", hashes[:2], 0, start)
+			x.RecordResult("a", hashes, 0, start)
+			x.RecordResult("a", hashes[:1], 0, start)
+			x.RecordResult("a", hashes[:2], 0, start)
 		}, 0, 256, math.Exp(-0.1)},
 		{"events", func(x *Index) {
-			x.Apply("a", []engine.CacheEvent{event(1, 1, false), event(2, 2, false), event(3, 2, true)}, start)
+			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false), event(2, 2, false), event(3, 2, true)}, start)
 		}, 0, 64, 1},
 		{"late repetition of an event", func(x *Index) {
-			x.Apply("a", []engine.CacheEvent{event(5, 1, false), event(6, 1, true), event(5, 1, false)}, start)
+			x.ApplyEvents("a", []engine.CacheEvent{event(5, 1, false), event(6, 1, true), event(5, 1, false)}, start)
 		}, 0, 0, 0},
 		{"gap of two events over two entries", func(x *Index) {
-			x.Apply("a", []engine.CacheEvent{event(1, 1, false), event(2, 2, false), event(5, 9, false)}, start)
+			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false), event(2, 2, false), event(5, 9, false)}, start)
 		}, 0, 128, math.Exp(-0.5)},
 		{"an entry after the gap is not affected", func(x *Index) {
-			x.Apply("a", []engine.CacheEvent{event(1, 1, false), event(9, 2, false)}, start)
+			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false), event(9, 2, false)}, start)
 		}, 0, 128, 1},
 		{"placement does not weaken an event", func(x *Index) {
-			x.Apply("a", []engine.CacheEvent{event(1, 1, false)}, start)
-			x.Placed("a", hashes[:1], start)
+			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false)}, start)
+			x.RecordPlacement("a", hashes[:1], start)
 		}, 0, 64, 1},
 		{"forgotten", func(x *Index) {
-			x.Placed("a", hashes, start)
+			x.RecordPlacement("a", hashes, start)
 			x.Forget("a")
-			x.Placed("a", hashes[:1], start)
+			x.RecordPlacement("a", hashes[:1], start)
 		}, 0, 64, 0.5},
 	} {
 		x := New(cfg)
@@ -77,7 +77,7 @@
 func TestLeastRecentlyUsedGivesWay(t *testing.T) {
 	x := New(Config{Entries: 2, PlacedConfidence: 1})
 	for _, hash := range []uint64{1, 2, 1, 3} {
-		x.Placed("a", []uint64{hash}, start)
+		x.RecordPlacement("a", []uint64{hash}, start)
 	}
 	assert.Equal(t, x.Lookup("a", []uint64{1}, start).Tokens, 64)
 	assert.Equal(t, x.Lookup("a", []uint64{2}, start).Tokens, 0)
@@ -94,12 +94,12 @@
 		now = now.Add(time.Duration(rng.IntN(1000)) * time.Millisecond)
 		switch rng.IntN(5) {
 		case 0:
-			x.Placed(id, hashes, now)
+			x.RecordPlacement(id, hashes, now)
 		case 1:
-			x.Result(id, hashes, rng.IntN(200), now)
+			x.RecordResult(id, hashes, rng.IntN(200), now)
 		case 2:
 			sequence += 1 + rng.Uint64N(3)
-			x.Apply(id, []engine.CacheEvent{event(sequence, hashes[rng.IntN(3)], rng.IntN(2) == 0)}, now)
+			x.ApplyEvents(id, []engine.CacheEvent{event(sequence, hashes[rng.IntN(3)], rng.IntN(2) == 0)}, now)
 		case 3:
 			if rng.IntN(50) == 0 {
 				x.Forget(id)
@@ -130,7 +130,7 @@
 		for j := range hashes {
 			hashes[j] = rng.Uint64N(10_000)
 		}
-		x.Placed(names[i%24], hashes, start)
+		x.RecordPlacement(names[i%24], hashes, start)
 		for _, id := range names {
 			x.Lookup(id, hashes, start)
 		}
--- a/policy/reading/reading.go
+++ b/policy/reading/reading.go
@@ -66,7 +66,7 @@
 	// seed is the name of this router.
 	seed string
 	// rate is how fast an engine reads, outliers how readings ended.
-	rate     stages.Rate
+	rate     stages.PrefillRate
 	outliers *outlier.Tracker
 	readers  map[string]*reader
 }
@@ -178,7 +178,7 @@
 
 // perToken is the time in which an engine reads a token.
 func (p *Pool) perToken() time.Duration {
-	if rate := p.rate.PerSecond(); rate > 0 {
+	if rate := p.rate.TokensPerSecond(); rate > 0 {
 		return time.Duration(float64(time.Second) / rate)
 	}
 	return p.cfg.PerToken
@@ -240,7 +240,7 @@
 }
 
 // PerSecond is the tokens that one engine reads in a second; zero while it is not known.
-func (p *Pool) PerSecond() float64 { return p.rate.PerSecond() }
+func (p *Pool) PerSecond() float64 { return p.rate.TokensPerSecond() }
 
 // Forget drops engines that keep does not want.
 func (p *Pool) Forget(keep func(id string) bool) {
--- a/policy/stages/hold_test.go
+++ b/policy/stages/hold_test.go
@@ -34,18 +34,18 @@
 		truth += 5000 / 2.0 * took.Seconds()
 	}
 	slices.SortFunc(runs, func(a, b run) int { return int(a.ends - b.ends) })
-	var h stages.Hold
-	assert.Equal(t, h.Want(need, weighted), 0.0)
+	var h stages.HoldTime
+	assert.Equal(t, h.Demand(need, weighted), 0.0)
 	assert.Equal(t, h.Mean(), time.Duration(0))
 	for _, r := range runs[:5] {
 		h.Observe(reading, time.Duration(r.tokens)*perToken, r.tokens)
 	}
 	assert.Assert(t, need*h.Mean().Seconds() < truth/2, "the mean of what has ended is far too low")
-	assert.Assert(t, math.Abs(h.Want(need, weighted)-truth) < truth/100)
+	assert.Assert(t, math.Abs(h.Demand(need, weighted)-truth) < truth/100)
 }
 
 func TestHoldForgets(t *testing.T) {
-	var h stages.Hold
+	var h stages.HoldTime
 	for range 10 {
 		h.Observe(0, time.Second, 100)
 	}
--- a/policy/stages/rate.go
+++ b/policy/stages/rate.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Rate learns how many tokens an engine reads in a second from the times that readings
+// PrefillRate learns how many tokens an engine reads in a second from the times that readings
 // took. Under load a reading waits behind others, so only the shortest time that was
 // seen for each length counts; a part of it does not depend on the length, so the rate
 // is the slope over lengths. It is not safe for concurrent use.
-type Rate struct {
+type PrefillRate struct {
 	shortest [rateLengths]sample
 }
 
@@ -31,7 +31,7 @@
 )
 
 // Observe notes that reading tokens took d.
-func (r *Rate) Observe(tokens int, d time.Duration) {
+func (r *PrefillRate) Observe(tokens int, d time.Duration) {
 	s := &r.shortest[min(max(tokens/rateWidth, 0), rateLengths-1)]
 	s.seen++
 	s.took *= rateForget
@@ -40,8 +40,8 @@
 	}
 }
 
-// PerSecond is the rate of one engine, or zero when too little is known.
-func (r *Rate) PerSecond() float64 {
+// TokensPerSecond is the rate of one engine, or zero when too little is known.
+func (r *PrefillRate) TokensPerSecond() float64 {
 	var n, sx, sy, sxx, sxy float64
 	for _, s := range r.shortest {
 		if s.seen < rateSeen {
@@ -64,8 +64,8 @@
 	return 1 / slope
 }
 
-// Mean is a mean of what arrives in a second, over the last seconds.
-type Mean struct {
+// ArrivalRate is a mean of what arrives in a second, over the last seconds.
+type ArrivalRate struct {
 	value     float64
 	began, at time.Time
 }
@@ -74,7 +74,7 @@
 const meanLife = 5 * time.Second
 
 // Add notes that v arrived.
-func (m *Mean) Add(v float64, now time.Time) {
+func (m *ArrivalRate) Add(v float64, now time.Time) {
 	if m.began.IsZero() {
 		m.began, m.at = now, now
 	}
@@ -83,7 +83,7 @@
 }
 
 // At is the mean at now. Soon after the first arrival it is the mean since then.
-func (m *Mean) At(now time.Time) float64 {
+func (m *ArrivalRate) At(now time.Time) float64 {
 	if m.began.IsZero() {
 		return 0
 	}
@@ -94,6 +94,6 @@
 // meanKnown bounds the correction for a mean that has just begun.
 const meanKnown = 0.2
 
-func (m *Mean) decayed(now time.Time) float64 {
+func (m *ArrivalRate) decayed(now time.Time) float64 {
 	return m.value * math.Exp(-float64(now.Sub(m.at))/float64(meanLife))
 }
--- a/policy/stages/stages.go
+++ b/policy/stages/stages.go
@@ -53,14 +53,14 @@
 
 // Load is the use of the engines of one service, averaged over some seconds.
 type Load struct {
-	// ReadRate is the prompt tokens that arrive in a second, EngineRate those that one
+	// PromptRate is the prompt tokens that arrive in a second, EnginePrefillRate those that one
 	// engine reads in a second.
-	ReadRate, EngineRate float64
-	// Held is the memory, in tokens, that runs hold or would hold if none had to wait;
-	// EngineTokens is the memory of one engine.
-	Held, EngineTokens float64
-	// Short is set when requests waited for memory a moment ago, or were turned away.
-	Short bool
+	PromptRate, EnginePrefillRate float64
+	// MemoryDemand is the memory, in tokens, that runs hold or would hold if none had to wait;
+	// EngineMemory is the memory of one engine.
+	MemoryDemand, EngineMemory float64
+	// MemoryShort is set when requests waited for memory a moment ago, or were turned away.
+	MemoryShort bool
 }
 
 // Move is one change of stage.
@@ -86,15 +86,15 @@
 // one look.
 func (p *Planner) Next(servers []registry.Server, switching map[string]registry.Stage, l Load, now time.Time) (Move, bool) {
 	prefill, decode, moving := count(servers, switching)
-	if prefill == 0 || decode == 0 || l.EngineRate <= 0 || l.EngineTokens <= 0 {
+	if prefill == 0 || decode == 0 || l.EnginePrefillRate <= 0 || l.EngineMemory <= 0 {
 		return Move{}, false
 	}
 	if moving >= max(1, (prefill+decode)/p.cfg.PerMove) {
 		return Move{}, false
 	}
 	to, ok := p.wanted(l, prefill, decode)
-	pressed := to == registry.Prefill && l.ReadRate/l.EngineRate >= p.cfg.Over*float64(prefill) ||
-		to == registry.Decode && l.Short
+	pressed := to == registry.Prefill && l.PromptRate/l.EnginePrefillRate >= p.cfg.Over*float64(prefill) ||
+		to == registry.Decode && l.MemoryShort
 	if !ok || !p.rested(to, pressed, max(1, (prefill+decode)/p.cfg.PerLook), now) {
 		return Move{}, false
 	}
@@ -105,8 +105,8 @@
 	return Move{Server: s, To: to}, true
 }
 
-// Moved notes that a move was made.
-func (p *Planner) Moved(m Move, now time.Time) {
+// RecordMove notes that a move was made.
+func (p *Planner) RecordMove(m Move, now time.Time) {
 	if !now.Equal(p.last) {
 		p.moved = 0
 	}
@@ -116,8 +116,8 @@
 
 // wanted returns the stage that one more engine should have.
 func (p *Planner) wanted(l Load, prefill, decode int) (registry.Stage, bool) {
-	read := l.ReadRate / l.EngineRate
-	held := l.Held / l.EngineTokens
+	read := l.PromptRate / l.EnginePrefillRate
+	held := l.MemoryDemand / l.EngineMemory
 	if max(read/float64(prefill), held/float64(decode)) < p.cfg.MinUse {
 		return 0, false
 	}
@@ -126,7 +126,7 @@
 		return registry.Decode, true
 	}
 	use := read / float64(prefill)
-	if decode > 1 && !l.Short && use >= p.cfg.Full && use >= p.cfg.Back*held/float64(decode) {
+	if decode > 1 && !l.MemoryShort && use >= p.cfg.Full && use >= p.cfg.Back*held/float64(decode) {
 		return registry.Prefill, true
 	}
 	return 0, false
--- a/policy/stages/stages_test.go
+++ b/policy/stages/stages_test.go
@@ -28,7 +28,7 @@
 
 // load is a load in engines: how many prompts keep reading, and memories that runs hold.
 func load(read, held float64) stages.Load {
-	return stages.Load{ReadRate: read * 55_000, EngineRate: 55_000, Held: held * 53_125, EngineTokens: 53_125}
+	return stages.Load{PromptRate: read * 55_000, EnginePrefillRate: 55_000, MemoryDemand: held * 53_125, EngineMemory: 53_125}
 }
 
 func TestNext(t *testing.T) {
@@ -46,7 +46,7 @@
 		{"idle", 6, 12, load(0.3, 1), ""},
 		{"the last prefill engine stays", 1, 5, load(0.1, 5), ""},
 		{"prefill engines keep room", 4, 14, load(2.5, 20), ""},
-		{"rate not known", 6, 12, stages.Load{ReadRate: 1e5, Held: 5e5, EngineTokens: 53_125}, ""},
+		{"rate not known", 6, 12, stages.Load{PromptRate: 1e5, MemoryDemand: 5e5, EngineMemory: 53_125}, ""},
 		{"all of one kind", 0, 5, load(1, 3), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	heavy := load(1.7, 12)
 	m, ok := p.Next(servers, nil, heavy, start)
 	assert.Assert(t, ok)
-	p.Moved(m, start)
+	p.RecordMove(m, start)
 	moving := map[string]registry.Stage{m.Server.ID: m.To}
 	_, ok = p.Next(servers, moving, heavy, start.Add(100*time.Millisecond))
 	assert.Assert(t, !ok, "a pause between moves")
@@ -97,7 +97,7 @@
 					if !ok {
 						break
 					}
-					p.Moved(m, now)
+					p.RecordMove(m, now)
 					moving[m.Server.ID] = m.To
 				}
 			}
@@ -109,7 +109,7 @@
 
 func TestTurnIsSlowUnlessPressed(t *testing.T) {
 	p := stages.New(stages.DefaultConfig())
-	p.Moved(stages.Move{To: registry.Decode}, start)
+	p.RecordMove(stages.Move{To: registry.Decode}, start)
 	_, ok := p.Next(fleet(3, 15), nil, load(2.2, 5), start.Add(5*time.Second))
 	assert.Assert(t, !ok, "no turn after five seconds")
 	_, ok = p.Next(fleet(3, 15), nil, load(2.2, 5), start.Add(21*time.Second))
@@ -123,13 +123,13 @@
 // of memory keep their stage, and one that was moved by mistake comes back soon.
 func TestAfterARestart(t *testing.T) {
 	seen := load(2.4, 2)
-	seen.Short = true
+	seen.MemoryShort = true
 	p := stages.New(stages.DefaultConfig())
 	_, ok := p.Next(fleet(3, 5), nil, seen, start)
 	assert.Assert(t, !ok)
-	p.Moved(stages.Move{To: registry.Prefill}, start)
+	p.RecordMove(stages.Move{To: registry.Prefill}, start)
 	full := load(1, 8)
-	full.Short = true
+	full.MemoryShort = true
 	m, ok := p.Next(fleet(4, 4), nil, full, start.Add(5*time.Second))
 	assert.Assert(t, ok && m.To == registry.Decode)
 }
@@ -161,7 +161,7 @@
 				}
 			}
 			if m, ok := p.Next(servers, moving, l, now); ok {
-				p.Moved(m, now)
+				p.RecordMove(m, now)
 				moving[m.Server.ID], done[m.Server.ID] = m.To, now.Add(6*time.Second)
 				moves++
 			}
@@ -179,19 +179,19 @@
 
 func TestRateFromReadingsUnderLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var r stages.Rate
-	assert.Equal(t, r.PerSecond(), 0.0)
+	var r stages.PrefillRate
+	assert.Equal(t, r.TokensPerSecond(), 0.0)
 	for range 200 {
 		tokens := 1000 + rng.IntN(9000)
 		wait := time.Duration(rng.ExpFloat64() * float64(150*time.Millisecond))
 		r.Observe(tokens, 80*time.Millisecond+time.Duration(tokens)*18*time.Microsecond+wait)
 	}
-	got := r.PerSecond()
+	got := r.TokensPerSecond()
 	assert.Assert(t, got > 40_000 && got < 75_000, "%v", got)
 }
 
 func TestMean(t *testing.T) {
-	var m stages.Mean
+	var m stages.ArrivalRate
 	assert.Equal(t, m.At(start), 0.0)
 	now := start
 	for range 20 {
--- a/policy/subset/subset.go
+++ b/policy/subset/subset.go
@@ -30,25 +30,25 @@
 
 // Options bound and shape a subset.
 type Options struct {
-	// Size is the most servers chosen; zero or less means all.
-	Size int
-	// OwnShare is the part of Size that comes from the own zone at least, as far
+	// MaxSize is the most servers chosen; zero or less means all.
+	MaxSize int
+	// OwnZoneShare is the part of Size that comes from the own zone at least, as far
 	// as it has servers. It plays no part with a known Count, where all entries
 	// have to choose alike.
-	OwnShare float64
+	OwnZoneShare float64
 }
 
 // Pick returns the ids of the chosen servers, in order of id.
 func Pick(e Entry, backends []Backend, o Options) []string {
-	if o.Size <= 0 || len(backends) <= o.Size {
+	if o.MaxSize <= 0 || len(backends) <= o.MaxSize {
 		return ids(backends)
 	}
 	zones := byZone(backends)
 	if e.Count > 0 && e.Index >= 0 && e.Index < e.Count {
-		return even(e, zones, quotas(zones, o.Size, "", 0))
+		return even(e, zones, quotas(zones, o.MaxSize, "", 0))
 	}
 	var chosen []string
-	for i, quota := range quotas(zones, o.Size, e.Zone, o.OwnShare) {
+	for i, quota := range quotas(zones, o.MaxSize, e.Zone, o.OwnZoneShare) {
 		chosen = append(chosen, take(hashString(e.ID), zones[i].servers, quota)...)
 	}
 	slices.Sort(chosen)
--- a/policy/subset/subset_test.go
+++ b/policy/subset/subset_test.go
@@ -34,7 +34,7 @@
 		{"own zone is small", "a1 b1 b2 b3 b4 c1 c2 c3 c4", 5, 0.8, "a1 b2 c2"},
 	} {
 		e := Entry{ID: "e", Zone: "a"}
-		got := Pick(e, servers(tc.backends), Options{Size: tc.size, OwnShare: tc.own})
+		got := Pick(e, servers(tc.backends), Options{MaxSize: tc.size, OwnZoneShare: tc.own})
 		count := map[byte]int{}
 		for _, id := range got {
 			count[id[0]]++
@@ -48,7 +48,7 @@
 		assert.Equal(t, strings.Join(zones, " "), tc.perZone, tc.name)
 		reversed := servers(tc.backends)
 		slices.Reverse(reversed)
-		assert.DeepEqual(t, Pick(e, reversed, Options{Size: tc.size, OwnShare: tc.own}), got)
+		assert.DeepEqual(t, Pick(e, reversed, Options{MaxSize: tc.size, OwnZoneShare: tc.own}), got)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	out := map[string]bool{}
 	for i := range count {
-		for _, id := range Pick(Entry{ID: fmt.Sprintf("entry-%d", i)}, backends, Options{Size: linksEach}) {
+		for _, id := range Pick(Entry{ID: fmt.Sprintf("entry-%d", i)}, backends, Options{MaxSize: linksEach}) {
 			out[fmt.Sprint(i, " ", id)] = true
 		}
 	}
@@ -145,7 +145,7 @@
 		b.Run(fmt.Sprintf("count=%d", e.Count), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Pick(e, all, Options{Size: linksEach})
+				Pick(e, all, Options{MaxSize: linksEach})
 			}
 		})
 	}
