--- a/policy/placement/baseline.go
+++ b/policy/placement/baseline.go
@@ -8,20 +8,19 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// baseline is a simple picker for comparison: it orders the servers of each role
-// and takes them from the front. Estimates, zones and cached prefixes play no
-// part, apart from AvoidZones.
-type baseline struct {
+// baselinePicker is a simple picker for comparison: it orders the servers of each role and takes
+// them from the front. It ignores estimates, zones and cached prefixes, apart from AvoidZones.
+type baselinePicker struct {
 	cfg             Config
-	order           func(b *baseline, list []*Candidate, rng *rand.Rand)
-	turn            int
+	order           func(b *baselinePicker, list []*Candidate, rng *rand.Rand)
+	calls           int
 	prefill, decode []*Candidate
 }
 
 // Pick implements Picker.
-func (b *baseline) Pick(req Request, candidates []Candidate, rng *rand.Rand) []Choice {
+func (b *baselinePicker) Pick(req Request, candidates []Candidate, rng *rand.Rand) []Choice {
 	b.prefill, b.decode = b.prefill[:0], b.decode[:0]
-	eligible(&req, candidates, func(c *Candidate) {
+	forEachEligible(&req, candidates, func(c *Candidate) {
 		if c.Role == engine.RolePrefill {
 			b.prefill = append(b.prefill, c)
 		} else {
@@ -31,18 +30,18 @@
 	for _, list := range [][]*Candidate{b.prefill, b.decode} {
 		b.order(b, list, rng)
 		slices.SortStableFunc(list, func(x, y *Candidate) int {
-			return rank(slices.Contains(req.AvoidZones, y.Zone), slices.Contains(req.AvoidZones, x.Zone))
+			return trueFirst(slices.Contains(req.AvoidZones, y.Zone), slices.Contains(req.AvoidZones, x.Zone))
 		})
 	}
-	b.turn++
+	b.calls++
 	return b.choices()
 }
 
 // choices pairs the decode servers in order with the prefill servers in order.
-func (b *baseline) choices() []Choice {
+func (b *baselinePicker) choices() []Choice {
 	var out []Choice
 	for _, d := range b.decode {
-		if len(out) == max(b.cfg.Choices, 1) {
+		if len(out) == max(b.cfg.MaxChoices, 1) {
 			break
 		}
 		switch {
@@ -56,24 +55,24 @@
 	return out
 }
 
-func byChance(_ *baseline, list []*Candidate, rng *rand.Rand) {
+func orderRandom(_ *baselinePicker, list []*Candidate, rng *rand.Rand) {
 	rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// byTurn rotates the list by one place more at each call.
-func byTurn(b *baseline, list []*Candidate, _ *rand.Rand) {
+// orderRoundRobin rotates the list by one more position at each call.
+func orderRoundRobin(b *baselinePicker, list []*Candidate, _ *rand.Rand) {
 	if len(list) == 0 {
 		return
 	}
-	n := b.turn % len(list)
+	n := b.calls % len(list)
 	slices.Reverse(list[:n])
 	slices.Reverse(list[n:])
 	slices.Reverse(list)
 }
 
-// byReport orders by the report alone, as it was when it was made.
-func byReport(b *baseline, list []*Candidate, rng *rand.Rand) {
-	byChance(b, list, rng)
+// orderLeastLoad orders by reported load alone, without correcting for the age of the report.
+func orderLeastLoad(b *baselinePicker, list []*Candidate, rng *rand.Rand) {
+	orderRandom(b, list, rng)
 	slices.SortStableFunc(list, func(x, y *Candidate) int {
 		if x.Role == engine.RolePrefill {
 			return cmp.Compare(x.Load.PrefillBacklog, y.Load.PrefillBacklog)
--- a/policy/placement/expected.go
+++ b/policy/placement/expected.go
@@ -10,40 +10,40 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// tie is the step in which scores are compared.
-const tie = time.Millisecond
+// scoreStep is the resolution at which scores are compared.
+const scoreStep = time.Millisecond
 
-// expected picks by expected time to the first token among a few servers drawn
-// at random, so that callers with the same stale reports don't all choose the
-// same server, and those that hold most of the prompt's prefix.
-type expected struct {
+// expectedTimePicker picks by expected time to the first token among a few randomly sampled
+// servers (power of d choices) and those with the longest cached prefix of the prompt. Sampling
+// keeps callers with the same stale reports from all choosing the same server.
+type expectedTimePicker struct {
 	estimator
-	prefill, decode, mixed draw
-	pairs                  []pair
+	prefill, decode, mixed roleSample
+	pairs                  []serverPair
 }
 
 // Pick implements Picker.
-func (x *expected) Pick(req Request, candidates []Candidate, rng *rand.Rand) []Choice {
-	x.sample(&req, candidates, rng)
+func (x *expectedTimePicker) Pick(req Request, candidates []Candidate, rng *rand.Rand) []Choice {
+	x.drawSamples(&req, candidates, rng)
 	x.pairs = x.pairs[:0]
-	for _, d := range x.decode.drawn() {
-		for _, p := range x.prefill.drawn() {
-			x.pairs = append(x.pairs, x.pair(&req, p, d))
+	for _, d := range x.decode.servers() {
+		for _, p := range x.prefill.servers() {
+			x.pairs = append(x.pairs, x.estimatePair(&req, p, d))
 		}
 	}
-	for _, m := range x.mixed.drawn() {
-		x.pairs = append(x.pairs, x.pair(&req, m, m))
+	for _, m := range x.mixed.servers() {
+		x.pairs = append(x.pairs, x.estimatePair(&req, m, m))
 	}
-	slices.SortFunc(x.pairs, func(a, b pair) int { return x.compare(&req, &a, &b) })
+	slices.SortFunc(x.pairs, func(a, b serverPair) int { return x.compare(&req, &a, &b) })
 	return x.choices()
 }
 
-func (x *expected) sample(req *Request, candidates []Candidate, rng *rand.Rand) {
+func (x *expectedTimePicker) drawSamples(req *Request, candidates []Candidate, rng *rand.Rand) {
 	n := max(x.cfg.Samples, 1)
 	x.prefill.reset(n)
 	x.decode.reset(n)
 	x.mixed.reset(n)
-	eligible(req, candidates, func(c *Candidate) {
+	forEachEligible(req, candidates, func(c *Candidate) {
 		switch c.Role {
 		case engine.RolePrefill:
 			x.prefill.offer(req, c, rng)
@@ -55,21 +55,21 @@
 	})
 }
 
-// compare orders pairs outside avoided zones first, then those within the
-// slack, then by score. Scores are compared in steps of tie, which keeps the
-// order transitive; equal ones go by decode places used, which keeps the time
-// between tokens short, and then by the caller's own requests there.
-func (x *expected) compare(req *Request, a, b *pair) int {
-	if c := rank(avoided(req, b), avoided(req, a)); c != 0 {
+// compare orders pairs outside avoided zones first, then those within the slack, then by score.
+// Scores are compared in steps of scoreStep, which keeps the order transitive. Ties go to the pair
+// with fewer decode slots in use, which keeps the time between tokens short, and then to the one
+// with fewer outstanding requests of the caller.
+func (x *expectedTimePicker) compare(req *Request, a, b *serverPair) int {
+	if c := trueFirst(usesAvoidedZone(req, b), usesAvoidedZone(req, a)); c != 0 {
 		return c
 	}
-	if c := rank(x.fits(req, a), x.fits(req, b)); c != 0 {
+	if c := trueFirst(x.withinSlack(req, a), x.withinSlack(req, b)); c != 0 {
 		return c
 	}
-	if c := int(a.score/tie) - int(b.score/tie); c != 0 {
+	if c := int(a.score/scoreStep) - int(b.score/scoreStep); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(math.Round(a.used), math.Round(b.used)); c != 0 {
+	if c := cmp.Compare(math.Round(a.slotsUsed), math.Round(b.slotsUsed)); c != 0 {
 		return c
 	}
 	if c := a.outstanding - b.outstanding; c != 0 {
@@ -79,7 +79,7 @@
 }
 
 // choices returns the best pair of each decode server, best first.
-func (x *expected) choices() []Choice {
+func (x *expectedTimePicker) choices() []Choice {
 	var out []Choice
 	for i := range x.pairs {
 		p := &x.pairs[i]
@@ -87,9 +87,9 @@
 			continue
 		}
 		if out == nil {
-			out = make([]Choice, 0, max(x.cfg.Choices, 1))
+			out = make([]Choice, 0, max(x.cfg.MaxChoices, 1))
 		}
-		out = append(out, Choice{Prefill: p.prefill.ID, Decode: p.decode.ID, Expected: p.first})
+		out = append(out, Choice{Prefill: p.prefill.ID, Decode: p.decode.ID, ExpectedTTFT: p.ttft})
 		if len(out) == cap(out) {
 			break
 		}
@@ -97,12 +97,12 @@
 	return out
 }
 
-func avoided(req *Request, p *pair) bool {
+func usesAvoidedZone(req *Request, p *serverPair) bool {
 	return slices.Contains(req.AvoidZones, p.decode.Zone) || slices.Contains(req.AvoidZones, p.prefill.Zone)
 }
 
-// rank returns -1 when only a holds, 1 when only b holds, and else 0.
-func rank(a, b bool) int {
+// trueFirst returns -1 if only a is true, 1 if only b is true, and 0 otherwise.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -113,69 +113,70 @@
 	}
 }
 
-// draw is a random sample of one role: size servers from the own zone, size
-// from other zones, and the one with the longest expected cached prefix. Zones
-// to avoid are used only when no other has a server.
-type draw struct {
-	near, far, avoided sample
-	cached             *Candidate
-	cachedBest         float64
-	all                []*Candidate
+// roleSample is a random sample of the servers of one role: up to size servers from the caller's
+// zone, up to size from other zones, and the one with the longest expected cached prefix. Avoided
+// zones are used only when no other zone has a server.
+type roleSample struct {
+	ownZone, otherZones, avoidedZones reservoir
+	longestCached                     *Candidate
+	longestTokens                     float64
+	combined                          []*Candidate
 }
 
-func (d *draw) reset(size int) {
-	d.near.reset(size)
-	d.far.reset(size)
-	d.avoided.reset(size)
-	d.cached, d.cachedBest = nil, 0
-	d.all = d.all[:0]
+func (s *roleSample) reset(size int) {
+	s.ownZone.reset(size)
+	s.otherZones.reset(size)
+	s.avoidedZones.reset(size)
+	s.longestCached, s.longestTokens = nil, 0
+	s.combined = s.combined[:0]
 }
 
-func (d *draw) offer(req *Request, c *Candidate, rng *rand.Rand) {
+func (s *roleSample) offer(req *Request, c *Candidate, rng *rand.Rand) {
 	if slices.Contains(req.AvoidZones, c.Zone) {
-		d.avoided.offer(c, rng)
+		s.avoidedZones.offer(c, rng)
 		return
 	}
-	if saved := float64(c.CachedTokens) * c.CacheConfidence; saved > d.cachedBest {
-		d.cached, d.cachedBest = c, saved
+	if tokens := float64(c.CachedTokens) * c.CacheConfidence; tokens > s.longestTokens {
+		s.longestCached, s.longestTokens = c, tokens
 	}
 	if c.Zone == req.Zone {
-		d.near.offer(c, rng)
+		s.ownZone.offer(c, rng)
 		return
 	}
-	d.far.offer(c, rng)
+	s.otherZones.offer(c, rng)
 }
 
-// drawn returns the sample; it is put together at the first call after a reset.
-func (d *draw) drawn() []*Candidate {
-	if len(d.all) > 0 {
-		return d.all
+// servers returns the sample, which is combined at the first call after a reset.
+func (s *roleSample) servers() []*Candidate {
+	if len(s.combined) > 0 {
+		return s.combined
 	}
-	d.all = append(append(d.all, d.near.kept...), d.far.kept...)
-	if len(d.all) == 0 {
-		d.all = append(d.all, d.avoided.kept...)
+	s.combined = append(append(s.combined, s.ownZone.kept...), s.otherZones.kept...)
+	if len(s.combined) == 0 {
+		s.combined = append(s.combined, s.avoidedZones.kept...)
 	}
-	if d.cached != nil && !slices.Contains(d.all, d.cached) {
-		d.all = append(d.all, d.cached)
+	if s.longestCached != nil && !slices.Contains(s.combined, s.longestCached) {
+		s.combined = append(s.combined, s.longestCached)
 	}
-	return d.all
+	return s.combined
 }
 
-// sample keeps size of the candidates offered, each with the same probability.
-type sample struct {
-	size, seen int
-	kept       []*Candidate
+// reservoir is a uniform random sample of up to size of the candidates offered (reservoir
+// sampling).
+type reservoir struct {
+	size, offered int
+	kept          []*Candidate
 }
 
-func (s *sample) reset(size int) { *s = sample{size: size, kept: s.kept[:0]} }
+func (r *reservoir) reset(size int) { *r = reservoir{size: size, kept: r.kept[:0]} }
 
-func (s *sample) offer(c *Candidate, rng *rand.Rand) {
-	s.seen++
-	if len(s.kept) < s.size {
-		s.kept = append(s.kept, c)
+func (r *reservoir) offer(c *Candidate, rng *rand.Rand) {
+	r.offered++
+	if len(r.kept) < r.size {
+		r.kept = append(r.kept, c)
 		return
 	}
-	if i := rng.IntN(s.seen); i < s.size {
-		s.kept[i] = c
+	if i := rng.IntN(r.offered); i < r.size {
+		r.kept[i] = c
 	}
 }
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -1,11 +1,10 @@
-// Package placement chooses the backend servers for a request: one that
-// prefills and one that decodes, or a mixed one that does both.
+// Package placement chooses the backend servers for a request: one that prefills and one that
+// decodes, or a mixed one that does both.
 //
-// All inputs are hints: the servers themselves decide whether they take the
-// request, so a choice is where to ask first and the alternates where to ask
-// next. Pickers are pure apart from their scratch memory and, for round robin,
-// a counter. They are deterministic under a seeded source of randomness, and
-// not safe for concurrent use.
+// All inputs are hints: the servers themselves decide whether to accept the request, so the first
+// choice is the server to ask first and the alternates are the ones to ask next. Pickers are pure
+// apart from their scratch memory and, for round robin, a counter. They are deterministic for a
+// given random source, and not safe for concurrent use.
 package placement
 
 import (
@@ -18,9 +17,9 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// Rates are the speeds of a backend server. Zero fields stand for the prior of Config.
+// Rates are the speeds of a backend server. A zero field means that Config.Prior applies.
 type Rates struct {
-	// PrefillTokensPerSecond is the rate of uncached prefill.
+	// PrefillTokensPerSecond is the rate at which uncached prompt tokens are prefilled.
 	PrefillTokensPerSecond float64
 	// LinkBytesPerSecond is the rate of the inbound link for KV caches.
 	LinkBytesPerSecond float64
@@ -28,20 +27,21 @@
 	KVBytesPerToken float64
 }
 
-// Load is the latest report of a backend server.
+// Load is the latest load report of a backend server.
 type Load struct {
-	// Known is false when no report has come yet; the rest is then not used.
+	// Known is false until the first report is received; the other fields are then ignored.
 	Known bool
 	// Age is the time since the report was made.
 	Age time.Duration
-	// Slots and SlotsUsed count requests decoded at once.
+	// Slots is the number of requests that can be decoded at once, SlotsUsed the number being
+	// decoded.
 	Slots, SlotsUsed int
-	// Queued counts requests that wait for a place.
+	// Queued is the number of requests waiting for a decode slot.
 	Queued int
-	// PrefillBacklog and LinkBacklog are the times until the accepted prefills
-	// and transfers are done.
+	// PrefillBacklog and LinkBacklog are the times until the accepted prefills and transfers are
+	// done.
 	PrefillBacklog, LinkBacklog time.Duration
-	// Step is the time of one decode step.
+	// Step is the duration of one decode step.
 	Step time.Duration
 }
 
@@ -51,95 +51,96 @@
 	Role     engine.Role
 	Rates    Rates
 	Load     Load
-	// Outstanding counts the caller's own unfinished requests there.
+	// Outstanding is the number of the caller's own unfinished requests on the server.
 	Outstanding int
-	// PlacedSinceReport and TokensSinceReport count the caller's own requests, and their
-	// uncached prompt tokens, placed there since the report was made.
+	// PlacedSinceReport and TokensSinceReport count the caller's own requests, and their uncached
+	// prompt tokens, placed on the server since the report was made.
 	PlacedSinceReport, TokensSinceReport int
-	// CachedTokens is the length of the prompt's prefix thought to be cached,
-	// and CacheConfidence the probability of that, in [0, 1].
+	// CachedTokens is the estimated length of the prompt's cached prefix, and CacheConfidence the
+	// probability that it is cached, in [0, 1].
 	CachedTokens    int
 	CacheConfidence float64
 }
 
-// Request is what is to be placed.
+// Request is the request to be placed.
 type Request struct {
-	// Zone is that of the caller.
+	// Zone is the caller's zone.
 	Zone string
-	// PromptTokens and MaxTokens are the sizes of prompt and answer.
+	// PromptTokens is the length of the prompt, MaxTokens the maximum length of the answer.
 	PromptTokens, MaxTokens int
 	Urgency                 contract.Urgency
 	// TTFTLeft is the time left until the contract's target for the first token.
 	TTFTLeft time.Duration
-	// ExcludeIDs are backend servers that are not to be chosen at all.
+	// ExcludeIDs are backend servers that are never chosen.
 	ExcludeIDs []string
-	// AvoidZones are chosen from only when no other zone has a candidate.
+	// AvoidZones are zones that are used only when no other zone has a candidate.
 	AvoidZones []string
 }
 
-// Choice is one pair of servers. Both are the same for a mixed server.
+// Choice is a pair of servers; for a mixed server both are the same.
 type Choice struct {
 	Prefill, Decode string
-	// Expected is the expected time to the first token; zero when the picker
-	// doesn't estimate it.
-	Expected time.Duration
+	// ExpectedTTFT is the expected time to the first token, or zero if the picker doesn't estimate
+	// it.
+	ExpectedTTFT time.Duration
 }
 
-// Mixed reports whether one server does both.
+// Mixed reports whether one server does both prefill and decode.
 func (c Choice) Mixed() bool { return c.Prefill == c.Decode }
 
-// Picker chooses servers. It returns the first choice and alternates with other
-// decode servers, best first, or nothing when no pair can be formed. The slice
-// belongs to the caller; req and candidates are not kept.
+// Picker chooses servers. It returns the first choice and alternates with other decode servers,
+// best first, or nothing when no pair can be formed. The returned slice belongs to the caller; req
+// and candidates are not retained.
 type Picker interface {
 	Pick(req Request, candidates []Candidate, rng *rand.Rand) []Choice
 }
 
 // Config tunes the pickers.
 type Config struct {
-	// Choices is the most choices returned.
-	Choices int
-	// Samples is the number of servers drawn at random for each role and side
-	// (own zone, other zones).
+	// MaxChoices is the maximum number of choices returned.
+	MaxChoices int
+	// Samples is the number of servers sampled for each role, from the caller's zone and from other
+	// zones each.
 	Samples int
-	// Prior stands for rates that a candidate doesn't state.
+	// Prior replaces rates that a candidate doesn't report.
 	Prior Rates
-	// PriorUse, PriorBacklog and PriorPlaces are what an old report decays to.
-	PriorUse     float64
-	PriorBacklog time.Duration
-	PriorPlaces  int
-	// HalfLife is the age at which a report counts half against the prior.
+	// PriorUtilization, PriorBacklog and PriorSlots are the values toward which an old report
+	// decays.
+	PriorUtilization float64
+	PriorBacklog     time.Duration
+	PriorSlots       int
+	// HalfLife is the age at which the weight of a report against the prior is half.
 	HalfLife time.Duration
-	// MeanRun is the mean time that a decode place stays taken.
-	MeanRun time.Duration
-	// CrossZone is the added time of a hop between zones.
-	CrossZone time.Duration
-	// Slack is the part of TTFTLeft that an expected time has to keep within
-	// for the preferences for zone and work saved to count.
+	// MeanSlotTime is the mean time that a request occupies a decode slot.
+	MeanSlotTime time.Duration
+	// CrossZoneDelay is the time added by a hop between zones.
+	CrossZoneDelay time.Duration
+	// Slack is the fraction of TTFTLeft within which the expected time must be for the preferences
+	// for the caller's zone and for less prefill work to apply.
 	Slack float64
-	// ZoneMargin is the part of TTFTLeft by which a pair outside the own zone
-	// has to be better.
-	ZoneMargin float64
-	// WorkWeight is what a second of prefill work counts beside a second of
-	// expected time, by urgency; the last stands for all later ones.
+	// OwnZoneMargin is the fraction of TTFTLeft by which a pair outside the caller's zone must be
+	// better.
+	OwnZoneMargin float64
+	// WorkWeight is the weight of a second of prefill work relative to a second of expected time,
+	// by urgency; the last value applies to all higher urgencies.
 	WorkWeight []float64
 }
 
-// DefaultConfig returns settings for the sizes of the documentation.
+// DefaultConfig returns settings for the cluster sizes given in the documentation.
 func DefaultConfig() Config {
 	return Config{
-		Choices:      3,
-		Samples:      2,
-		Prior:        Rates{PrefillTokensPerSecond: 20_000, LinkBytesPerSecond: 5e9, KVBytesPerToken: 160e3},
-		PriorUse:     0.85,
-		PriorBacklog: 100 * time.Millisecond,
-		PriorPlaces:  20,
-		HalfLife:     time.Second,
-		MeanRun:      6 * time.Second,
-		CrossZone:    2 * time.Millisecond,
-		Slack:        0.8,
-		ZoneMargin:   0.1,
-		WorkWeight:   []float64{0, 0.5, 1},
+		MaxChoices:       3,
+		Samples:          2,
+		Prior:            Rates{PrefillTokensPerSecond: 20_000, LinkBytesPerSecond: 5e9, KVBytesPerToken: 160e3},
+		PriorUtilization: 0.85,
+		PriorBacklog:     100 * time.Millisecond,
+		PriorSlots:       20,
+		HalfLife:         time.Second,
+		MeanSlotTime:     6 * time.Second,
+		CrossZoneDelay:   2 * time.Millisecond,
+		Slack:            0.8,
+		OwnZoneMargin:    0.1,
+		WorkWeight:       []float64{0, 0.5, 1},
 	}
 }
 
@@ -158,23 +159,23 @@
 func New(name string, cfg Config) (Picker, error) {
 	switch name {
 	case Expected:
-		return &expected{estimator: estimator{cfg}}, nil
+		return &expectedTimePicker{estimator: estimator{cfg}}, nil
 	case Random:
-		return &baseline{cfg: cfg, order: byChance}, nil
+		return &baselinePicker{cfg: cfg, order: orderRandom}, nil
 	case RoundRobin:
-		return &baseline{cfg: cfg, order: byTurn}, nil
+		return &baselinePicker{cfg: cfg, order: orderRoundRobin}, nil
 	case LeastLoad:
-		return &baseline{cfg: cfg, order: byReport}, nil
+		return &baselinePicker{cfg: cfg, order: orderLeastLoad}, nil
 	default:
 		return nil, fmt.Errorf("unknown placement %q, want one of %v", name, Names())
 	}
 }
 
-// eligible calls use with each candidate that may be chosen.
-func eligible(req *Request, candidates []Candidate, use func(*Candidate)) {
+// forEachEligible calls visit with each candidate that may be chosen.
+func forEachEligible(req *Request, candidates []Candidate, visit func(*Candidate)) {
 	for i := range candidates {
 		if c := &candidates[i]; !slices.Contains(req.ExcludeIDs, c.ID) {
-			use(c)
+			visit(c)
 		}
 	}
 }
