--- a/policy/stages/holdtime.go
+++ b/policy/stages/holdtime.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// HoldTime learns how long runs hold memory: while the prompt is read, and then for each token
-// that is generated. Runs with short answers end first, so that a plain mean is far too
-// low in the first seconds of load, just when the split is to be chosen; the time by token
-// is right from the first runs on. The zero HoldTime knows nothing. It is not safe for
-// concurrent use.
+// HoldTime estimates how long runs hold KV cache memory: the prefill time plus a time per
+// generated token. Runs with short answers terminate first, so the plain mean is far too low in
+// the first seconds of load, just when the split must be chosen; the time per token is correct
+// from the first runs on. The zero HoldTime is ready to use and has no estimate. It is not safe
+// for concurrent use.
 type HoldTime struct {
-	// runs, reading, generating and tokens are sums over runs, older ones counting less;
-	// times are in seconds.
-	runs, reading, generating, tokens float64
+	// runs, prefill, decode and tokens are exponentially decayed sums over runs; times are in
+	// seconds.
+	runs, prefill, decode, tokens float64
 }
 
-// holdForget is by how much earlier runs count less with each new one; some thirty count.
-const holdForget = 0.97
+// holdTimeDecay is the factor applied to the sums at each new run; about thirty runs count.
+const holdTimeDecay = 0.97
 
-// Observe notes a run that held memory for reading and generating, and generated about
-// that many tokens.
-func (h *HoldTime) Observe(reading, generating time.Duration, tokens int) {
-	h.runs = holdForget*h.runs + 1
-	h.reading = holdForget*h.reading + reading.Seconds()
-	h.generating = holdForget*h.generating + generating.Seconds()
-	h.tokens = holdForget*h.tokens + float64(max(tokens, 1))
+// Observe records a run that held memory for the given prefill and decode times and generated
+// about the given number of tokens.
+func (h *HoldTime) Observe(prefill, decode time.Duration, tokens int) {
+	h.runs = holdTimeDecay*h.runs + 1
+	h.prefill = holdTimeDecay*h.prefill + prefill.Seconds()
+	h.decode = holdTimeDecay*h.decode + decode.Seconds()
+	h.tokens = holdTimeDecay*h.tokens + float64(max(tokens, 1))
 }
 
-// Mean is the mean time of a run; zero while it is not known.
+// Mean is the mean hold time of a run, or zero before the first observation.
 func (h *HoldTime) Mean() time.Duration {
 	if h.runs == 0 {
 		return 0
 	}
-	return time.Duration((h.reading + h.generating) / h.runs * float64(time.Second))
+	return time.Duration((h.prefill + h.decode) / h.runs * float64(time.Second))
 }
 
-// Demand is the memory that requests would hold if none had to wait, in tokens: need is the
-// rate of memory that they ask for, in tokens per second, and weighted the same with each
-// request's memory multiplied by the tokens that it generates.
-func (h *HoldTime) Demand(need, weighted float64) float64 {
+// Demand is the memory, in tokens, that requests would hold if none had to wait. memoryRate is the
+// rate of memory requested, in tokens per second; weightedRate is the same rate with each
+// request's memory multiplied by the number of tokens it generates.
+func (h *HoldTime) Demand(memoryRate, weightedRate float64) float64 {
 	if h.runs == 0 {
 		return 0
 	}
-	return need*h.reading/h.runs + weighted*h.generating/h.tokens
+	return memoryRate*h.prefill/h.runs + weightedRate*h.decode/h.tokens
 }
--- a/policy/stages/rate.go
+++ b/policy/stages/rate.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// PrefillRate learns how many tokens an engine reads in a second from the times that readings
-// took. Under load a reading waits behind others, so only the shortest time that was
-// seen for each length counts; a part of it does not depend on the length, so the rate
-// is the slope over lengths. It is not safe for concurrent use.
+// PrefillRate estimates how many tokens per second an engine prefills from observed prefill times.
+// Under load a prefill also waits in the queue, so only the shortest time observed for each length
+// counts. Part of that time is independent of the length, so the rate is the slope of a linear
+// regression over lengths. It is not safe for concurrent use.
 type PrefillRate struct {
-	shortest [rateLengths]sample
+	fastest [lengthClasses]prefillSample
 }
 
-type sample struct {
-	seen   int
-	tokens float64
-	took   float64
+type prefillSample struct {
+	count   int
+	tokens  float64
+	seconds float64
 }
 
 const (
-	// rateLengths is the number of classes of length, each rateWidth tokens wide.
-	rateLengths = 16
-	rateWidth   = 1024
-	// rateSeen is the number of readings in a class from which its shortest counts.
-	rateSeen = 3
-	// rateForget lets the shortest time grow with each reading, so that an engine that
-	// has become slower is noticed after some hundred.
-	rateForget = 1.002
+	// lengthClasses is the number of classes of prompt length, each lengthClassWidth tokens wide.
+	lengthClasses    = 16
+	lengthClassWidth = 1024
+	// minClassCount is the number of prefills in a class from which its shortest time counts.
+	minClassCount = 3
+	// fastestGrowth lets the shortest time grow with each prefill, so that an engine that has
+	// become slower is detected after about a hundred prefills.
+	fastestGrowth = 1.002
 )
 
-// Observe notes that reading tokens took d.
+// Observe records that the prefill of that many tokens took d.
 func (r *PrefillRate) Observe(tokens int, d time.Duration) {
-	s := &r.shortest[min(max(tokens/rateWidth, 0), rateLengths-1)]
-	s.seen++
-	s.took *= rateForget
-	if s.seen == 1 || d.Seconds() < s.took {
-		s.tokens, s.took = float64(tokens), d.Seconds()
+	s := &r.fastest[min(max(tokens/lengthClassWidth, 0), lengthClasses-1)]
+	s.count++
+	s.seconds *= fastestGrowth
+	if s.count == 1 || d.Seconds() < s.seconds {
+		s.tokens, s.seconds = float64(tokens), d.Seconds()
 	}
 }
 
-// TokensPerSecond is the rate of one engine, or zero when too little is known.
+// TokensPerSecond is the rate of one engine, or zero with too few observations.
 func (r *PrefillRate) TokensPerSecond() float64 {
 	var n, sx, sy, sxx, sxy float64
-	for _, s := range r.shortest {
-		if s.seen < rateSeen {
+	for _, s := range r.fastest {
+		if s.count < minClassCount {
 			continue
 		}
 		n++
 		sx += s.tokens
-		sy += s.took
+		sy += s.seconds
 		sxx += s.tokens * s.tokens
-		sxy += s.tokens * s.took
+		sxy += s.tokens * s.seconds
 	}
 	variance := n*sxx - sx*sx
 	if n < 3 || variance <= 0 {
@@ -64,36 +64,36 @@
 	return 1 / slope
 }
 
-// ArrivalRate is a mean of what arrives in a second, over the last seconds.
+// ArrivalRate is an exponentially decaying average of the amount that arrives per second.
 type ArrivalRate struct {
-	value     float64
-	began, at time.Time
+	value          float64
+	first, updated time.Time
 }
 
-// meanLife is the time in which an arrival loses most of its weight.
-const meanLife = 5 * time.Second
+// arrivalTimeConstant is the time in which an arrival loses most of its weight.
+const arrivalTimeConstant = 5 * time.Second
 
-// Add notes that v arrived.
-func (m *ArrivalRate) Add(v float64, now time.Time) {
-	if m.began.IsZero() {
-		m.began, m.at = now, now
+// Add records that v arrived.
+func (a *ArrivalRate) Add(v float64, now time.Time) {
+	if a.first.IsZero() {
+		a.first, a.updated = now, now
 	}
-	m.value = m.decayed(now) + v/meanLife.Seconds()
-	m.at = now
+	a.value = a.decayed(now) + v/arrivalTimeConstant.Seconds()
+	a.updated = now
 }
 
-// At is the mean at now. Soon after the first arrival it is the mean since then.
-func (m *ArrivalRate) At(now time.Time) float64 {
-	if m.began.IsZero() {
+// At is the average at now. Soon after the first arrival it is the mean since then.
+func (a *ArrivalRate) At(now time.Time) float64 {
+	if a.first.IsZero() {
 		return 0
 	}
-	known := 1 - math.Exp(-float64(now.Sub(m.began))/float64(meanLife))
-	return m.decayed(now) / max(known, meanKnown)
+	observed := 1 - math.Exp(-float64(now.Sub(a.first))/float64(arrivalTimeConstant))
+	return a.decayed(now) / max(observed, minObservedShare)
 }
 
-// meanKnown bounds the correction for a mean that has just begun.
-const meanKnown = 0.2
+// minObservedShare bounds the correction for an average that has just begun.
+const minObservedShare = 0.2
 
-func (m *ArrivalRate) decayed(now time.Time) float64 {
-	return m.value * math.Exp(-float64(now.Sub(m.at))/float64(meanLife))
+func (a *ArrivalRate) decayed(now time.Time) float64 {
+	return a.value * math.Exp(-float64(now.Sub(a.updated))/float64(arrivalTimeConstant))
 }
--- a/policy/stages/stages.go
+++ b/policy/stages/stages.go
@@ -1,14 +1,13 @@
-// Package stages decides how many engines of a service read prompts and how many
-// generate tokens.
+// Package stages decides how many engines of a service prefill and how many decode.
 //
-// Load pattern: traffic shifts between long prompts and long answers, and bursts of
-// about twice the mean fill the memory of the decode engines while prefill engines are
-// half idle. An engine that changes its stage serves nothing for some seconds, so that
-// no change can follow a burst; the split has to be right before. Both kinds of engine
-// are compared by their share of use, and moved a few at a time, with a band in which
-// nothing is moved and a pause after each look that moved some.
+// Load pattern: traffic shifts between long prompts and long answers, and bursts of about twice
+// the mean fill the memory of the decode engines while prefill engines are half idle. An engine
+// that changes its stage serves nothing for some seconds, so no change can follow a burst; the
+// split has to be right beforehand. The planner compares the utilization of prefill and decode
+// engines and moves a few engines at a time, with hysteresis: a dead band in which nothing is
+// moved, and a minimum interval after each tick with a move.
 //
-// A Planner takes the time from its caller and is not safe for concurrent use.
+// The caller of a Planner passes in the time. A Planner is not safe for concurrent use.
 package stages
 
 import (
@@ -19,83 +18,97 @@
 
 // Config tunes a Planner.
 type Config struct {
-	// Slack is the share of use of the prefill engines, relative to that of the decode
-	// engines, that a move must leave: a prompt that waits delays the first event,
-	// while decode engines are well used up to the last token of their memory.
-	Slack float64
-	// Most is the share of use of the prefill engines that a move must leave at most.
-	Most float64
-	// Back is the ratio above which an engine is moved back, if the prefill engines are
-	// used to the share Full at least.
-	Back, Full float64
-	// MinUse is the use of the busier kind below which nothing is moved.
-	MinUse float64
-	// Dwell is the pause between two moves in one direction, Turn that before a move in
-	// the other direction. Pressed takes the place of Turn when prefill engines are used
-	// to the share Over, or requests wait for memory: a move takes about as long.
-	Dwell, Turn, Pressed time.Duration
-	Over                 float64
-	// PerMove is the number of engines for each of which one may be switching at once.
-	PerMove int
-	// PerLook is the number of engines for each of which one may be moved in one look, one at least. A fleet of
-	// a hundred engines moves the same share of them in a second as one of two dozen: one by one, the sixteen
-	// that a burst needed had moved when it was over.
-	PerLook int
+	// ToDecodeMaxRatio is the maximum ratio of prefill utilization to decode utilization after a
+	// move to decode. Prefill engines need the lower utilization: a queued prompt delays the first
+	// event, while decode engines can be used up to the last token of their memory.
+	ToDecodeMaxRatio float64
+	// ToDecodeMaxUtilization is the maximum utilization of the prefill engines after a move to
+	// decode.
+	ToDecodeMaxUtilization float64
+	// ToPrefillMinRatio is the ratio of prefill utilization to decode utilization from which an
+	// engine is moved back to prefill, if the prefill utilization is at least
+	// ToPrefillMinUtilization.
+	ToPrefillMinRatio, ToPrefillMinUtilization float64
+	// MinUtilization is the utilization of the busier kind of engine below which nothing is moved.
+	MinUtilization float64
+	// MoveInterval is the minimum interval between two moves in the same direction, and
+	// ReverseInterval that before a move in the other direction. SaturatedReverseInterval replaces
+	// ReverseInterval when prefill engines reach SaturatedUtilization or requests wait for memory;
+	// it is about as long as a move takes.
+	MoveInterval, ReverseInterval, SaturatedReverseInterval time.Duration
+	SaturatedUtilization                                    float64
+	// EnginesPerConcurrentMove allows one engine to be changing its stage for each that many
+	// engines, and at least one.
+	EnginesPerConcurrentMove int
+	// EnginesPerTickMove allows one move per tick for each that many engines, and at least one. A
+	// cluster of a hundred engines thus moves the same share of them per second as one of two dozen.
+	// When they were moved one by one, the sixteen engines that a burst needed had moved only when
+	// the burst was over.
+	EnginesPerTickMove int
 }
 
-// DefaultConfig returns the values that were measured; see docs/MEASUREMENTS.md.
+// DefaultConfig returns the default settings; docs/MEASUREMENTS.md has the measurements behind
+// them.
 func DefaultConfig() Config {
 	return Config{
-		Slack: 0.75, Most: 0.75, Back: 1.3, Full: 0.5, MinUse: 0.25,
-		Dwell: 500 * time.Millisecond, Turn: 20 * time.Second, Pressed: 5 * time.Second, Over: 0.9, PerMove: 6, PerLook: 24,
+		ToDecodeMaxRatio:         0.75,
+		ToDecodeMaxUtilization:   0.75,
+		ToPrefillMinRatio:        1.3,
+		ToPrefillMinUtilization:  0.5,
+		MinUtilization:           0.25,
+		MoveInterval:             500 * time.Millisecond,
+		ReverseInterval:          20 * time.Second,
+		SaturatedReverseInterval: 5 * time.Second,
+		SaturatedUtilization:     0.9,
+		EnginesPerConcurrentMove: 6,
+		EnginesPerTickMove:       24,
 	}
 }
 
-// Load is the use of the engines of one service, averaged over some seconds.
+// Load is the load on the engines of one service, averaged over some seconds.
 type Load struct {
-	// PromptRate is the prompt tokens that arrive in a second, EnginePrefillRate those that one
-	// engine reads in a second.
+	// PromptRate is the number of prompt tokens that arrive per second, EnginePrefillRate the
+	// number that one engine prefills per second.
 	PromptRate, EnginePrefillRate float64
 	// MemoryDemand is the memory, in tokens, that runs hold or would hold if none had to wait;
 	// EngineMemory is the memory of one engine.
 	MemoryDemand, EngineMemory float64
-	// MemoryShort is set when requests waited for memory a moment ago, or were turned away.
+	// MemoryShort is set when requests recently waited for memory or were rejected.
 	MemoryShort bool
 }
 
-// Move is one change of stage.
+// Move is a change of one engine's stage.
 type Move struct {
 	Server registry.Server
 	To     registry.Stage
 }
 
-// Planner remembers its last moves.
+// Planner decides on the stage changes of one service and remembers the latest ones.
 type Planner struct {
-	cfg  Config
-	last time.Time
-	to   registry.Stage
-	// moved is the number of moves of the last look.
-	moved int
+	cfg      Config
+	lastMove time.Time
+	lastTo   registry.Stage
+	// movedInTick is the number of moves in the last tick with a move.
+	movedInTick int
 }
 
 // New returns a planner.
 func New(cfg Config) *Planner { return &Planner{cfg: cfg} }
 
-// Next returns the next move, if there is to be one. Switching holds the engines that
-// change their stage at the moment, with the stage that they will have. Calls with one time are
-// one look.
+// Next returns the next move, if one is needed. Switching holds the engines that are changing
+// their stage, with their new stage. Calls with the same time belong to one tick.
 func (p *Planner) Next(servers []registry.Server, switching map[string]registry.Stage, l Load, now time.Time) (Move, bool) {
-	prefill, decode, moving := count(servers, switching)
+	prefill, decode, changing := count(servers, switching)
 	if prefill == 0 || decode == 0 || l.EnginePrefillRate <= 0 || l.EngineMemory <= 0 {
 		return Move{}, false
 	}
-	if moving >= max(1, (prefill+decode)/p.cfg.PerMove) {
+	if changing >= max(1, (prefill+decode)/p.cfg.EnginesPerConcurrentMove) {
 		return Move{}, false
 	}
-	to, ok := p.wanted(l, prefill, decode)
-	pressed := to == registry.Prefill && l.PromptRate/l.EnginePrefillRate >= p.cfg.Over*float64(prefill) ||
+	to, ok := p.stageNeeded(l, prefill, decode)
+	saturated := to == registry.Prefill && l.PromptRate/l.EnginePrefillRate >= p.cfg.SaturatedUtilization*float64(prefill) ||
 		to == registry.Decode && l.MemoryShort
-	if !ok || !p.rested(to, pressed, max(1, (prefill+decode)/p.cfg.PerLook), now) {
+	if !ok || !p.intervalOver(to, saturated, max(1, (prefill+decode)/p.cfg.EnginesPerTickMove), now) {
 		return Move{}, false
 	}
 	s, ok := candidate(servers, switching, to)
@@ -105,58 +118,58 @@
 	return Move{Server: s, To: to}, true
 }
 
-// RecordMove notes that a move was made.
+// RecordMove records that a move was made.
 func (p *Planner) RecordMove(m Move, now time.Time) {
-	if !now.Equal(p.last) {
-		p.moved = 0
+	if !now.Equal(p.lastMove) {
+		p.movedInTick = 0
 	}
-	p.last, p.to = now, m.To
-	p.moved++
+	p.lastMove, p.lastTo = now, m.To
+	p.movedInTick++
 }
 
-// wanted returns the stage that one more engine should have.
-func (p *Planner) wanted(l Load, prefill, decode int) (registry.Stage, bool) {
-	read := l.PromptRate / l.EnginePrefillRate
-	held := l.MemoryDemand / l.EngineMemory
-	if max(read/float64(prefill), held/float64(decode)) < p.cfg.MinUse {
+// stageNeeded returns the stage that needs one more engine, if any.
+func (p *Planner) stageNeeded(l Load, prefill, decode int) (registry.Stage, bool) {
+	prefillDemand := l.PromptRate / l.EnginePrefillRate
+	decodeDemand := l.MemoryDemand / l.EngineMemory
+	if max(prefillDemand/float64(prefill), decodeDemand/float64(decode)) < p.cfg.MinUtilization {
 		return 0, false
 	}
-	left := read / float64(prefill-1)
-	if prefill > 1 && left <= p.cfg.Most && left <= p.cfg.Slack*held/float64(decode+1) {
+	remaining := prefillDemand / float64(prefill-1)
+	if prefill > 1 && remaining <= p.cfg.ToDecodeMaxUtilization && remaining <= p.cfg.ToDecodeMaxRatio*decodeDemand/float64(decode+1) {
 		return registry.Decode, true
 	}
-	use := read / float64(prefill)
-	if decode > 1 && !l.MemoryShort && use >= p.cfg.Full && use >= p.cfg.Back*held/float64(decode) {
+	prefillUse := prefillDemand / float64(prefill)
+	if decode > 1 && !l.MemoryShort && prefillUse >= p.cfg.ToPrefillMinUtilization && prefillUse >= p.cfg.ToPrefillMinRatio*decodeDemand/float64(decode) {
 		return registry.Prefill, true
 	}
 	return 0, false
 }
 
-// rested reports whether the pause after the last move is over, or that was in the same look, in which that
-// many may be moved.
-func (p *Planner) rested(to registry.Stage, pressed bool, perLook int, now time.Time) bool {
-	if p.last.IsZero() || now.Equal(p.last) && to == p.to && p.moved < perLook {
+// intervalOver reports whether the interval since the last move has passed, or the last move was
+// in the same direction in the current tick, which allows perTick moves.
+func (p *Planner) intervalOver(to registry.Stage, saturated bool, perTick int, now time.Time) bool {
+	if p.lastMove.IsZero() || now.Equal(p.lastMove) && to == p.lastTo && p.movedInTick < perTick {
 		return true
 	}
-	pause := p.cfg.Dwell
+	interval := p.cfg.MoveInterval
 	switch {
-	case to == p.to:
-	case pressed:
-		pause = p.cfg.Pressed
+	case to == p.lastTo:
+	case saturated:
+		interval = p.cfg.SaturatedReverseInterval
 	default:
-		pause = p.cfg.Turn
+		interval = p.cfg.ReverseInterval
 	}
-	return now.Sub(p.last) >= pause
+	return now.Sub(p.lastMove) >= interval
 }
 
-// count returns the engines by the stage that they will have, and how many of them are
-// switching.
-func count(servers []registry.Server, switching map[string]registry.Stage) (prefill, decode, moving int) {
+// count returns the number of engines by stage, counting those that are changing it by their new
+// stage, and the number of engines changing it.
+func count(servers []registry.Server, switching map[string]registry.Stage) (prefill, decode, changing int) {
 	for _, s := range servers {
 		stage := s.Stage
 		if to, ok := switching[s.ID]; ok {
 			stage = to
-			moving++
+			changing++
 		}
 		switch stage {
 		case registry.Prefill:
@@ -165,11 +178,11 @@
 			decode++
 		}
 	}
-	return prefill, decode, moving
+	return prefill, decode, changing
 }
 
-// candidate returns an engine to move: one of the zone that has most of those that have
-// the other stage, so that zones stay alike.
+// candidate returns an engine to move, from the zone with the most movable engines, so that the
+// split stays even across zones.
 func candidate(servers []registry.Server, switching map[string]registry.Stage, to registry.Stage) (registry.Server, bool) {
 	zones := map[string]int{}
 	movable := func(s registry.Server) bool {
--- a/policy/stages/stages_test.go
+++ b/policy/stages/stages_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func fleet(prefill, decode int) []registry.Server {
+func cluster(prefill, decode int) []registry.Server {
 	var out []registry.Server
 	for i := range prefill + decode {
 		s := registry.Server{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i%3), Stage: registry.Decode}
@@ -26,9 +26,10 @@
 	return out
 }
 
-// load is a load in engines: how many prompts keep reading, and memories that runs hold.
-func load(read, held float64) stages.Load {
-	return stages.Load{PromptRate: read * 55_000, EnginePrefillRate: 55_000, MemoryDemand: held * 53_125, EngineMemory: 53_125}
+// load expresses a load in engines: how many the prompts keep busy with prefill, and how many
+// engines' memory runs hold.
+func load(prefillEngines, decodeEngines float64) stages.Load {
+	return stages.Load{PromptRate: prefillEngines * 55_000, EnginePrefillRate: 55_000, MemoryDemand: decodeEngines * 53_125, EngineMemory: 53_125}
 }
 
 func TestNext(t *testing.T) {
@@ -39,18 +40,18 @@
 		want            string
 	}{
 		{"18 engines at the mean load", 6, 12, load(1.7, 7), "decode"},
-		{"after one move the same load is in the band", 5, 13, load(1.7, 7), ""},
+		{"after one move the same load is in the dead band", 5, 13, load(1.7, 7), ""},
 		{"9 engines", 3, 6, load(1.0, 3.1), ""},
 		{"9 engines in a burst", 3, 6, load(1.2, 6), "decode"},
 		{"long prompts, short answers", 3, 15, load(2.9, 5), "prefill"},
 		{"idle", 6, 12, load(0.3, 1), ""},
 		{"the last prefill engine stays", 1, 5, load(0.1, 5), ""},
-		{"prefill engines keep room", 4, 14, load(2.5, 20), ""},
-		{"rate not known", 6, 12, stages.Load{PromptRate: 1e5, MemoryDemand: 5e5, EngineMemory: 53_125}, ""},
-		{"all of one kind", 0, 5, load(1, 3), ""},
+		{"prefill engines keep free capacity", 4, 14, load(2.5, 20), ""},
+		{"prefill rate unknown", 6, 12, stages.Load{PromptRate: 1e5, MemoryDemand: 5e5, EngineMemory: 53_125}, ""},
+		{"all engines of one kind", 0, 5, load(1, 3), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m, ok := stages.New(stages.DefaultConfig()).Next(fleet(c.prefill, c.decode), nil, c.load, start)
+			m, ok := stages.New(stages.DefaultConfig()).Next(cluster(c.prefill, c.decode), nil, c.load, start)
 			got := ""
 			if ok {
 				got = m.To.String()
@@ -60,35 +61,35 @@
 	}
 }
 
-func TestPausesAndConcurrency(t *testing.T) {
+func TestIntervalsAndConcurrentMoves(t *testing.T) {
 	p := stages.New(stages.DefaultConfig())
-	servers := fleet(6, 12)
+	servers := cluster(6, 12)
 	heavy := load(1.7, 12)
 	m, ok := p.Next(servers, nil, heavy, start)
 	assert.Assert(t, ok)
 	p.RecordMove(m, start)
 	moving := map[string]registry.Stage{m.Server.ID: m.To}
 	_, ok = p.Next(servers, moving, heavy, start.Add(100*time.Millisecond))
-	assert.Assert(t, !ok, "a pause between moves")
+	assert.Assert(t, !ok, "no move within the interval")
 	m2, ok := p.Next(servers, moving, heavy, start.Add(time.Second))
-	assert.Assert(t, ok, "two of 18 at once")
-	assert.Assert(t, m2.Server.ID != m.Server.ID && m2.Server.Zone != m.Server.Zone, "zones stay alike")
+	assert.Assert(t, ok, "two of 18 engines at once")
+	assert.Assert(t, m2.Server.ID != m.Server.ID && m2.Server.Zone != m.Server.Zone, "the split stays even across zones")
 	moving[m2.Server.ID] = m2.To
 	m3, ok := p.Next(servers, moving, heavy, start.Add(2*time.Second))
-	assert.Assert(t, ok, "three of 18 at once")
+	assert.Assert(t, ok, "three of 18 engines at once")
 	moving[m3.Server.ID] = m3.To
 	_, ok = p.Next(servers, moving, heavy, start.Add(5*time.Second))
-	assert.Assert(t, !ok, "not four")
+	assert.Assert(t, !ok, "no fourth engine at once")
 }
 
-// TestBurstOnManyEngines replays the first seconds of load on 117 engines: the split that a burst needs is
-// ordered within three seconds, as it is on two dozen, since a change takes six. No more are moved than the
-// load wants, and a sixth at once at most.
+// TestBurstOnManyEngines replays the first seconds of load on 117 engines. The split that a burst
+// needs must be ordered within three seconds, as on two dozen engines, since a change takes six
+// seconds. No more engines are moved than the load needs, and at most a sixth at once.
 func TestBurstOnManyEngines(t *testing.T) {
 	for _, c := range []struct{ prefill, decode int }{{8, 16}, {41, 76}} {
 		t.Run(fmt.Sprint(c.prefill+c.decode), func(t *testing.T) {
 			p := stages.New(stages.DefaultConfig())
-			servers, moving := fleet(c.prefill, c.decode), map[string]registry.Stage{}
+			servers, moving := cluster(c.prefill, c.decode), map[string]registry.Stage{}
 			n := float64(c.prefill + c.decode)
 			heavy := load(0.11*n, 0.65*n)
 			for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(500 * time.Millisecond) {
@@ -107,39 +108,38 @@
 	}
 }
 
-func TestTurnIsSlowUnlessPressed(t *testing.T) {
+func TestReverseMoveWaitsUnlessSaturated(t *testing.T) {
 	p := stages.New(stages.DefaultConfig())
 	p.RecordMove(stages.Move{To: registry.Decode}, start)
-	_, ok := p.Next(fleet(3, 15), nil, load(2.2, 5), start.Add(5*time.Second))
-	assert.Assert(t, !ok, "no turn after five seconds")
-	_, ok = p.Next(fleet(3, 15), nil, load(2.2, 5), start.Add(21*time.Second))
+	_, ok := p.Next(cluster(3, 15), nil, load(2.2, 5), start.Add(5*time.Second))
+	assert.Assert(t, !ok, "no reverse move after five seconds")
+	_, ok = p.Next(cluster(3, 15), nil, load(2.2, 5), start.Add(21*time.Second))
 	assert.Assert(t, ok)
-	_, ok = p.Next(fleet(3, 15), nil, load(2.9, 5), start.Add(5*time.Second))
-	assert.Assert(t, ok, "prefill engines that are full do not wait")
+	_, ok = p.Next(cluster(3, 15), nil, load(2.9, 5), start.Add(5*time.Second))
+	assert.Assert(t, ok, "saturated prefill engines wait only the shorter interval")
 }
 
-// TestAfterARestart replays what a gateway sees that has just been started with all others,
-// at full load: many prompts arrive, and little memory is held yet. Engines that are short
-// of memory keep their stage, and one that was moved by mistake comes back soon.
-func TestAfterARestart(t *testing.T) {
-	seen := load(2.4, 2)
-	seen.MemoryShort = true
+// TestRestartOfAllGateways replays the state that a gateway observes when all gateways have just
+// restarted under full load: many prompts arrive, and little memory is held yet. Engines short of
+// memory keep their stage, and one that was moved by mistake is moved back soon.
+func TestRestartOfAllGateways(t *testing.T) {
+	observed := load(2.4, 2)
+	observed.MemoryShort = true
 	p := stages.New(stages.DefaultConfig())
-	_, ok := p.Next(fleet(3, 5), nil, seen, start)
+	_, ok := p.Next(cluster(3, 5), nil, observed, start)
 	assert.Assert(t, !ok)
 	p.RecordMove(stages.Move{To: registry.Prefill}, start)
 	full := load(1, 8)
 	full.MemoryShort = true
-	m, ok := p.Next(fleet(4, 4), nil, full, start.Add(5*time.Second))
+	m, ok := p.Next(cluster(4, 4), nil, full, start.Add(5*time.Second))
 	assert.Assert(t, ok && m.To == registry.Decode)
 }
 
-// TestLoadShifts replays the traffic of a day that turns from long prompts to long
-// answers and back, with engines that need six seconds for a change: the planner follows
-// it with few moves.
+// TestLoadShifts replays a day whose traffic shifts from long prompts to long answers and back,
+// with engines that need six seconds for a change. The planner must follow it with few moves.
 func TestLoadShifts(t *testing.T) {
 	p := stages.New(stages.DefaultConfig())
-	servers := fleet(6, 12)
+	servers := cluster(6, 12)
 	moving, done := map[string]registry.Stage{}, map[string]time.Time{}
 	moves := 0
 	split := func() int {
@@ -177,7 +177,7 @@
 	assert.Assert(t, moves <= 2+2*(long-4)+2, "%d moves", moves)
 }
 
-func TestRateFromReadingsUnderLoad(t *testing.T) {
+func TestPrefillRateUnderLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var r stages.PrefillRate
 	assert.Equal(t, r.TokensPerSecond(), 0.0)
@@ -190,21 +190,21 @@
 	assert.Assert(t, got > 40_000 && got < 75_000, "%v", got)
 }
 
-func TestMean(t *testing.T) {
-	var m stages.ArrivalRate
-	assert.Equal(t, m.At(start), 0.0)
+func TestArrivalRate(t *testing.T) {
+	var rate stages.ArrivalRate
+	assert.Equal(t, rate.At(start), 0.0)
 	now := start
 	for range 20 {
-		m.Add(100, now)
+		rate.Add(100, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	early := m.At(now)
+	early := rate.At(now)
 	assert.Assert(t, early > 800 && early < 1300, "after two seconds: %v", early)
 	for range 300 {
-		m.Add(100, now)
+		rate.Add(100, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	late := m.At(now)
+	late := rate.At(now)
 	assert.Assert(t, late > 900 && late < 1100, "after half a minute: %v", late)
-	assert.Assert(t, m.At(now.Add(time.Minute)) < 1)
+	assert.Assert(t, rate.At(now.Add(time.Minute)) < 1)
 }
