--- a/policy/prefixcache/index_test.go
+++ b/policy/prefixcache/index_test.go
@@ -17,20 +17,20 @@
 var names = strings.Split("abcdefghijklmnopqrstuvwx", "")
 
 func event(sequence, hash uint64, evicted bool) engine.CacheEvent {
-	return engine.CacheEvent{Sequence: sequence, PrefixHash: hash, Tokens: tokensOf(int(hash - 1)), Evicted: evicted}
+	return engine.CacheEvent{Sequence: sequence, PrefixHash: hash, Tokens: prefixTokens(int(hash - 1)), Evicted: evicted}
 }
 
 func TestLookup(t *testing.T) {
 	hashes := []uint64{1, 2, 3, 4}
-	cfg := Config{Entries: 100, HalfLife: time.Minute, PlacedConfidence: 0.5, EvictedShare: 0.5, MissPenalty: 0.1}
+	cfg := Config{MaxEntries: 100, HalfLife: time.Minute, PlacedConfidence: 0.5, EvictedShare: 0.5, MissPenalty: 0.1}
 	for _, tc := range []struct {
 		name       string
-		feed       func(x *Index)
+		setup      func(x *Index)
 		after      time.Duration
 		tokens     int
 		confidence float64
 	}{
-		{"nothing known", func(*Index) {}, 0, 0, 0},
+		{"empty index", func(*Index) {}, 0, 0, 0},
 		{"placed", func(x *Index) { x.RecordPlacement("a", hashes[:2], start) }, 0, 128, 0.5},
 		{"placed elsewhere", func(x *Index) { x.RecordPlacement("b", hashes, start) }, 0, 0, 0},
 		{"decays", func(x *Index) { x.RecordPlacement("a", hashes, start) }, time.Minute, 256, 0.25},
@@ -39,7 +39,7 @@
 			x.RecordPlacement("a", hashes, start)
 			x.RecordResult("a", hashes, 256, start)
 		}, 0, 256, 1},
-		{"result refutes", func(x *Index) {
+		{"result contradicts", func(x *Index) {
 			x.RecordResult("a", hashes, 0, start)
 			x.RecordResult("a", hashes[:1], 0, start)
 			x.RecordResult("a", hashes[:2], 0, start)
@@ -47,7 +47,7 @@
 		{"events", func(x *Index) {
 			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false), event(2, 2, false), event(3, 2, true)}, start)
 		}, 0, 64, 1},
-		{"late repetition of an event", func(x *Index) {
+		{"late duplicate of an event", func(x *Index) {
 			x.ApplyEvents("a", []engine.CacheEvent{event(5, 1, false), event(6, 1, true), event(5, 1, false)}, start)
 		}, 0, 0, 0},
 		{"gap of two events over two entries", func(x *Index) {
@@ -56,7 +56,7 @@
 		{"an entry after the gap is not affected", func(x *Index) {
 			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false), event(9, 2, false)}, start)
 		}, 0, 128, 1},
-		{"placement does not weaken an event", func(x *Index) {
+		{"placement does not lower the confidence of an event", func(x *Index) {
 			x.ApplyEvents("a", []engine.CacheEvent{event(1, 1, false)}, start)
 			x.RecordPlacement("a", hashes[:1], start)
 		}, 0, 64, 1},
@@ -67,15 +67,15 @@
 		}, 0, 64, 0.5},
 	} {
 		x := New(cfg)
-		tc.feed(x)
+		tc.setup(x)
 		got := x.Lookup("a", hashes, start.Add(tc.after))
 		assert.Equal(t, got.Tokens, tc.tokens, tc.name)
 		assert.Assert(t, math.Abs(got.Confidence-tc.confidence) < 1e-6, "%s: %v", tc.name, got)
 	}
 }
 
-func TestLeastRecentlyUsedGivesWay(t *testing.T) {
-	x := New(Config{Entries: 2, PlacedConfidence: 1})
+func TestLeastRecentlyUsedIsEvicted(t *testing.T) {
+	x := New(Config{MaxEntries: 2, PlacedConfidence: 1})
 	for _, hash := range []uint64{1, 2, 1, 3} {
 		x.RecordPlacement("a", []uint64{hash}, start)
 	}
@@ -83,10 +83,10 @@
 	assert.Equal(t, x.Lookup("a", []uint64{2}, start).Tokens, 0)
 }
 
-// TestInvariants drives an index at random and checks its accounting.
+// TestInvariants applies random operations to an index and checks its accounting.
 func TestInvariants(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	x := New(Config{Entries: 50, HalfLife: time.Minute, PlacedConfidence: 0.7, EvictedShare: 0.5})
+	x := New(Config{MaxEntries: 50, HalfLife: time.Minute, PlacedConfidence: 0.7, EvictedShare: 0.5})
 	now, sequence := start, uint64(0)
 	for range 20_000 {
 		id := names[rng.IntN(5)]
@@ -110,17 +110,17 @@
 		}
 		assert.Assert(t, x.Len() <= 50)
 	}
-	held := map[uint32]int{}
+	entries := map[uint32]int{}
 	for k := range x.slots {
-		held[k.backend]++
+		entries[k.backend]++
 	}
 	for id, b := range x.backends {
-		assert.Equal(t, held[b.id], b.held, id)
+		assert.Equal(t, entries[b.id], b.entries, id)
 	}
 }
 
-// The size of an entry two years on: 24 candidates a request, and prompts of
-// 2,000 tokens on average.
+// BenchmarkPlaceAndLookUp24 has the size of an entry process planned for two years ahead: 24
+// candidates per request, and prompts of 2,000 tokens on average.
 func BenchmarkPlaceAndLookUp24(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	x := New(DefaultConfig())
--- a/policy/prefixcache/list.go
+++ b/policy/prefixcache/list.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// none marks the end of a list.
-const none int32 = -1
+// noSlot marks the end of a list.
+const noSlot int32 = -1
 
 // entry is one prefix held by one backend server.
 type entry struct {
-	key        key
-	owner      *backend
-	at         time.Time
-	lost       float64
-	tokens     int32
-	confidence float32
+	key            key
+	backend        *backend
+	recorded       time.Time
+	negLogSurvival float64
+	tokens         int32
+	confidence     float32
 }
 
 type node struct {
@@ -20,77 +20,76 @@
 	prev, next int32
 }
 
-// list is up to size nodes in order of use. Unused nodes form a free list through
-// next.
-type list struct {
-	size         int
-	nodes        []node
-	newest, last int32
-	free         int32
+// lruList holds up to size nodes in order of use. Unused nodes form a free list linked by next.
+type lruList struct {
+	size                    int
+	nodes                   []node
+	mostRecent, leastRecent int32
+	free                    int32
 }
 
-func newList(size int) list {
-	return list{size: size, newest: none, last: none, free: none}
+func newLRUList(size int) lruList {
+	return lruList{size: size, mostRecent: noSlot, leastRecent: noSlot, free: noSlot}
 }
 
-// take returns a node as the newest. When none is free it is the least recently
-// used one, whose entry is still in it, and full is true.
-func (l *list) take() (slot int32, full bool) {
-	if l.free != none {
+// acquire returns a node as the most recently used one. When none is free, it reuses the least
+// recently used node, which still holds its old entry, and reused is true.
+func (l *lruList) acquire() (slot int32, reused bool) {
+	if l.free != noSlot {
 		slot = l.free
 		l.free = l.nodes[slot].next
-		l.push(slot)
+		l.pushFront(slot)
 		return slot, false
 	}
 	if len(l.nodes) < l.size {
 		slot = int32(len(l.nodes))
 		l.nodes = append(l.nodes, node{})
-		l.push(slot)
+		l.pushFront(slot)
 		return slot, false
 	}
-	slot = l.last
+	slot = l.leastRecent
 	l.touch(slot)
 	return slot, true
 }
 
-// touch makes a node the newest.
-func (l *list) touch(slot int32) {
-	if l.newest == slot {
+// touch makes a node the most recently used one.
+func (l *lruList) touch(slot int32) {
+	if l.mostRecent == slot {
 		return
 	}
 	l.unlink(slot)
-	l.push(slot)
+	l.pushFront(slot)
 }
 
-// release clears a node and makes it free.
-func (l *list) release(slot int32) {
+// release clears a node and adds it to the free list.
+func (l *lruList) release(slot int32) {
 	l.unlink(slot)
 	l.nodes[slot] = node{next: l.free}
 	l.free = slot
 }
 
-func (l *list) push(slot int32) {
+func (l *lruList) pushFront(slot int32) {
 	n := &l.nodes[slot]
-	n.prev, n.next = none, l.newest
-	if l.newest != none {
-		l.nodes[l.newest].prev = slot
+	n.prev, n.next = noSlot, l.mostRecent
+	if l.mostRecent != noSlot {
+		l.nodes[l.mostRecent].prev = slot
 	}
-	l.newest = slot
-	if l.last == none {
-		l.last = slot
+	l.mostRecent = slot
+	if l.leastRecent == noSlot {
+		l.leastRecent = slot
 	}
 }
 
-func (l *list) unlink(slot int32) {
+func (l *lruList) unlink(slot int32) {
 	n := &l.nodes[slot]
-	if n.prev != none {
+	if n.prev != noSlot {
 		l.nodes[n.prev].next = n.next
 	} else {
-		l.newest = n.next
+		l.mostRecent = n.next
 	}
-	if n.next != none {
+	if n.next != noSlot {
 		l.nodes[n.next].prev = n.prev
 	} else {
-		l.last = n.prev
+		l.leastRecent = n.prev
 	}
 }
--- a/policy/subset/hash.go
+++ b/policy/subset/hash.go
@@ -1,6 +1,6 @@
 package subset
 
-// hashString is FNV-1a with 64 bits; all entries of all builds have to agree.
+// hashString is 64-bit FNV-1a; all entries must compute the same hash, whatever their build.
 func hashString(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
--- a/policy/subset/subset.go
+++ b/policy/subset/subset.go
@@ -1,12 +1,10 @@
-// Package subset chooses which backend servers an entry keeps links to: a
-// bounded number for each model and role, such that zones are covered, every
-// server is covered by about the same number of entries, and the change of one
-// server or entry moves few links.
+// Package subset chooses the backend servers to which an entry keeps links: a bounded number for
+// each model and role, such that all zones are covered, every server is covered by about the same
+// number of entries, and adding or removing one server or entry changes few links.
 //
-// The choice is by rendezvous hashing. An entry that knows its index among the
-// entries and their number evens out the cover exactly; one that doesn't gets
-// the spread of a random choice. Functions are pure, deterministic and safe for
-// concurrent use.
+// The algorithm is rendezvous hashing. An entry that knows its index and the number of entries
+// balances the coverage exactly; otherwise the coverage varies as with random choice. Functions
+// are pure, deterministic and safe for concurrent use.
 package subset
 
 import (
@@ -15,11 +13,11 @@
 	"strconv"
 )
 
-// Entry is the process that chooses.
+// Entry is the entry process that chooses.
 type Entry struct {
 	ID, Zone string
-	// Index and Count place the entry among all of them; a Count of zero means
-	// that they are not known. All entries have to agree on Count.
+	// Index is the position of the entry among all Count entries; a Count of zero means that they
+	// are unknown. All entries must agree on Count.
 	Index, Count int
 }
 
@@ -28,47 +26,47 @@
 	ID, Zone string
 }
 
-// Options bound and shape a subset.
+// Options set the size and zones of a subset.
 type Options struct {
-	// MaxSize is the most servers chosen; zero or less means all.
+	// MaxSize is the maximum number of servers chosen; zero or less means all.
 	MaxSize int
-	// OwnZoneShare is the part of Size that comes from the own zone at least, as far
-	// as it has servers. It plays no part with a known Count, where all entries
-	// have to choose alike.
+	// OwnZoneShare is the minimum fraction of MaxSize that comes from the entry's own zone, if
+	// that has enough servers. It is ignored with a known Count, where all entries must use the
+	// same quotas.
 	OwnZoneShare float64
 }
 
-// Pick returns the ids of the chosen servers, in order of id.
+// Pick returns the ids of the chosen servers, sorted.
 func Pick(e Entry, backends []Backend, o Options) []string {
 	if o.MaxSize <= 0 || len(backends) <= o.MaxSize {
-		return ids(backends)
+		return sortedIDs(backends)
 	}
-	zones := byZone(backends)
+	zones := groupByZone(backends)
 	if e.Count > 0 && e.Index >= 0 && e.Index < e.Count {
-		return even(e, zones, quotas(zones, o.MaxSize, "", 0))
+		return pickEven(e, zones, quotas(zones, o.MaxSize, "", 0))
 	}
 	var chosen []string
 	for i, quota := range quotas(zones, o.MaxSize, e.Zone, o.OwnZoneShare) {
-		chosen = append(chosen, take(hashString(e.ID), zones[i].servers, quota)...)
+		chosen = append(chosen, highestRanked(hashString(e.ID), zones[i].servers, quota)...)
 	}
 	slices.Sort(chosen)
 	return chosen
 }
 
-// server is a backend server with its hash and the number of entries covering it.
-type server struct {
-	id    string
-	hash  uint64
-	cover int
+// hashedServer is a backend server with its hash and the number of entries that cover it.
+type hashedServer struct {
+	id       string
+	hash     uint64
+	coverage int
 }
 
-// zone is the servers of one zone, in order of id.
+// zone holds the servers of one zone, ordered by id.
 type zone struct {
 	name    string
-	servers []server
+	servers []hashedServer
 }
 
-func byZone(backends []Backend) []zone {
+func groupByZone(backends []Backend) []zone {
 	sorted := slices.Clone(backends)
 	slices.SortFunc(sorted, func(a, b Backend) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID))
@@ -79,23 +77,23 @@
 			zones = append(zones, zone{name: b.Zone})
 		}
 		z := &zones[len(zones)-1]
-		z.servers = append(z.servers, server{id: b.ID, hash: hashString(b.ID)})
+		z.servers = append(z.servers, hashedServer{id: b.ID, hash: hashString(b.ID)})
 	}
 	return zones
 }
 
-// quotas splits size over the zones: share of it to the own zone, the rest in
-// proportion to their servers, each zone getting one as long as they last.
-func quotas(zones []zone, size int, own string, share float64) []int {
+// quotas divides size among the zones: ownShare of it for ownZone, and the rest in proportion to
+// their servers, with at least one for each zone as far as size allows.
+func quotas(zones []zone, size int, ownZone string, ownShare float64) []int {
 	q := make([]int, len(zones))
 	for i, z := range zones {
-		if z.name == own {
-			q[i] = min(int(share*float64(size)), len(z.servers))
+		if z.name == ownZone {
+			q[i] = min(int(ownShare*float64(size)), len(z.servers))
 			size -= q[i]
 		}
 	}
 	for ; size > 0; size-- {
-		i := neediest(zones, q)
+		i := leastCoveredZone(zones, q)
 		if i < 0 {
 			break
 		}
@@ -104,25 +102,25 @@
 	return q
 }
 
-// neediest returns the zone with the smallest part of its servers chosen, or -1
-// when all are.
-func neediest(zones []zone, q []int) int {
+// leastCoveredZone returns the index of the zone with the smallest share of its servers chosen, or
+// -1 if all servers are chosen.
+func leastCoveredZone(zones []zone, q []int) int {
 	best := -1
 	for i, z := range zones {
 		if q[i] == len(z.servers) {
 			continue
 		}
-		if best < 0 || part(q[i], z) < part(q[best], zones[best]) {
+		if best < 0 || chosenShare(q[i], z) < chosenShare(q[best], zones[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-func part(quota int, z zone) float64 { return float64(quota) / float64(len(z.servers)) }
+func chosenShare(quota int, z zone) float64 { return float64(quota) / float64(len(z.servers)) }
 
-// take returns the quota servers that rank highest for an entry.
-func take(entry uint64, servers []server, quota int) []string {
+// highestRanked returns the quota servers with the highest scores for an entry.
+func highestRanked(entry uint64, servers []hashedServer, quota int) []string {
 	out := make([]string, 0, quota)
 	for _, i := range ranked(entry, servers)[:quota] {
 		out = append(out, servers[i].id)
@@ -131,7 +129,7 @@
 }
 
 // ranked returns the indexes of servers by descending score for an entry.
-func ranked(entry uint64, servers []server) []int {
+func ranked(entry uint64, servers []hashedServer) []int {
 	type scored struct {
 		index int
 		score uint64
@@ -148,47 +146,47 @@
 	return out
 }
 
-// even replays the choices of all entries with a lower index under a limit to
-// the entries that may cover one server, and returns the entry's own.
-func even(e Entry, zones []zone, quotas []int) []string {
+// pickEven replays the choices of all entries up to this one, with a limit on the entries that
+// cover one server, and returns this entry's own.
+func pickEven(e Entry, zones []zone, quotas []int) []string {
 	var chosen []string
 	for i := range zones {
 		limit := ceilDiv(e.Count*quotas[i], len(zones[i].servers))
-		all := assign(e.Index+1, zones[i].servers, quotas[i], limit)
+		all := replay(e.Index+1, zones[i].servers, quotas[i], limit)
 		chosen = append(chosen, all[e.Index]...)
 	}
 	slices.Sort(chosen)
 	return chosen
 }
 
-// assign returns the choices of the first n entries, in order of index.
-func assign(n int, servers []server, quota, limit int) [][]string {
+// replay returns the choices of the first n entries, ordered by index.
+func replay(n int, servers []hashedServer, quota, limit int) [][]string {
 	out := make([][]string, n)
 	for index := range out {
-		out[index] = takeBounded(hashString(strconv.Itoa(index)), servers, quota, limit)
+		out[index] = highestRankedBounded(hashString(strconv.Itoa(index)), servers, quota, limit)
 	}
 	return out
 }
 
-// takeBounded is take, passing over servers covered by limit entries as long as
-// there are others.
-func takeBounded(entry uint64, servers []server, quota, limit int) []string {
+// highestRankedBounded is highestRanked, except that it skips servers already covered by limit
+// entries as long as there are others.
+func highestRankedBounded(entry uint64, servers []hashedServer, quota, limit int) []string {
 	order := ranked(entry, servers)
 	out := make([]string, 0, quota)
 	for _, bounded := range []bool{true, false} {
 		for _, i := range order {
 			s := &servers[i]
-			if len(out) == quota || (s.cover < limit) != bounded || slices.Contains(out, s.id) {
+			if len(out) == quota || (s.coverage < limit) != bounded || slices.Contains(out, s.id) {
 				continue
 			}
-			s.cover++
+			s.coverage++
 			out = append(out, s.id)
 		}
 	}
 	return out
 }
 
-func ids(backends []Backend) []string {
+func sortedIDs(backends []Backend) []string {
 	out := make([]string, len(backends))
 	for i, b := range backends {
 		out[i] = b.ID
--- a/policy/subset/subset_test.go
+++ b/policy/subset/subset_test.go
@@ -22,7 +22,7 @@
 		name     string
 		backends string
 		size     int
-		own      float64
+		ownShare float64
 		perZone  string
 	}{
 		{"none", "", 4, 0, ""},
@@ -34,7 +34,7 @@
 		{"own zone is small", "a1 b1 b2 b3 b4 c1 c2 c3 c4", 5, 0.8, "a1 b2 c2"},
 	} {
 		e := Entry{ID: "e", Zone: "a"}
-		got := Pick(e, servers(tc.backends), Options{MaxSize: tc.size, OwnZoneShare: tc.own})
+		got := Pick(e, servers(tc.backends), Options{MaxSize: tc.size, OwnZoneShare: tc.ownShare})
 		count := map[byte]int{}
 		for _, id := range got {
 			count[id[0]]++
@@ -48,12 +48,13 @@
 		assert.Equal(t, strings.Join(zones, " "), tc.perZone, tc.name)
 		reversed := servers(tc.backends)
 		slices.Reverse(reversed)
-		assert.DeepEqual(t, Pick(e, reversed, Options{MaxSize: tc.size, OwnZoneShare: tc.own}), got)
+		assert.DeepEqual(t, Pick(e, reversed, Options{MaxSize: tc.size, OwnZoneShare: tc.ownShare}), got)
 	}
 }
 
-// fleet is the servers of one model two years on: 4,500 over 32 models in 6 zones.
-func fleet(n int) []Backend {
+// cluster returns n servers of one model, spread over 6 zones. The size planned for two years
+// ahead is 4,500 servers over 32 models in 6 zones.
+func cluster(n int) []Backend {
 	out := make([]Backend, n)
 	for i := range out {
 		out[i] = Backend{ID: fmt.Sprintf("vm-%d", i), Zone: string(rune('a' + i%6))}
@@ -80,13 +81,13 @@
 	return out
 }
 
-// linksByIndex is what the entries arrive at one by one.
+// linksByIndex computes in one pass the links that indexed entries choose one by one.
 func linksByIndex(backends []Backend, count int) map[string]bool {
 	out := map[string]bool{}
-	zones := byZone(backends)
+	zones := groupByZone(backends)
 	for z, quota := range quotas(zones, linksEach, "", 0) {
 		limit := ceilDiv(count*quota, len(zones[z].servers))
-		for i, chosen := range assign(count, zones[z].servers, quota, limit) {
+		for i, chosen := range replay(count, zones[z].servers, quota, limit) {
 			for _, id := range chosen {
 				out[fmt.Sprint(i, " ", id)] = true
 			}
@@ -95,19 +96,19 @@
 	return out
 }
 
-func spread(links map[string]bool, backends []Backend) (low, high int) {
-	cover := map[string]int{}
+func coverageRange(links map[string]bool, backends []Backend) (low, high int) {
+	coverage := map[string]int{}
 	for l := range links {
-		cover[strings.Fields(l)[1]]++
+		coverage[strings.Fields(l)[1]]++
 	}
 	low = entries
 	for _, b := range backends {
-		low, high = min(low, cover[b.ID]), max(high, cover[b.ID])
+		low, high = min(low, coverage[b.ID]), max(high, coverage[b.ID])
 	}
 	return low, high
 }
 
-func moved(before, after map[string]bool) int {
+func addedLinks(before, after map[string]bool) int {
 	n := 0
 	for l := range after {
 		if !before[l] {
@@ -117,8 +118,9 @@
 	return n
 }
 
-// TestFleet states the figures of one model at the two-year size and holds them.
-func TestFleet(t *testing.T) {
+// TestCoverageAndMovedLinks checks the coverage of servers, and the links moved by one added entry
+// or removed server, for one model at the size planned for two years ahead.
+func TestCoverageAndMovedLinks(t *testing.T) {
 	for _, tc := range []struct {
 		indexed                       bool
 		low, high, byBackend, byEntry int
@@ -126,12 +128,12 @@
 		{false, 19, 49, 32, linksEach},
 		{true, 27, 36, 55, linksEach},
 	} {
-		all := fleet(perModel)
+		all := cluster(perModel)
 		before := links(all, entries, tc.indexed)
-		low, high := spread(before, all)
-		byBackend := moved(before, links(all[1:], entries, tc.indexed))
-		byEntry := moved(before, links(all, entries+1, tc.indexed))
-		t.Logf("indexed %v: %d links, entries for each server %d to %d, mean %.1f; moved by a server %d, by an entry %d",
+		low, high := coverageRange(before, all)
+		byBackend := addedLinks(before, links(all[1:], entries, tc.indexed))
+		byEntry := addedLinks(before, links(all, entries+1, tc.indexed))
+		t.Logf("indexed %v: %d links, entries per server %d to %d, mean %.1f; links moved by a removed server %d, by an added entry %d",
 			tc.indexed, len(before), low, high, float64(len(before))/perModel, byBackend, byEntry)
 		assert.Equal(t, len(before), entries*linksEach)
 		assert.Assert(t, low >= tc.low && high <= tc.high)
@@ -140,7 +142,7 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	all := fleet(perModel)
+	all := cluster(perModel)
 	for _, e := range []Entry{{ID: "entry-409"}, {Index: 409, Count: 410}} {
 		b.Run(fmt.Sprintf("count=%d", e.Count), func(b *testing.B) {
 			b.ReportAllocs()
