--- a/policy/subset/subset.go
+++ b/policy/subset/subset.go
@@ -2,9 +2,10 @@
 // each model and role, such that all zones are covered, every server is covered by about the same
 // number of entries, and adding or removing one server or entry changes few links.
 //
-// The algorithm is rendezvous hashing. An entry that knows its index and the number of entries
-// balances the coverage exactly; otherwise the coverage varies as with random choice. Functions
-// are pure, deterministic and safe for concurrent use.
+// The algorithm is rendezvous hashing. If entries know their index and number, the coverage of a
+// server is limited to the rounded-up mean of its zone as long as other servers are below it;
+// otherwise the coverage varies as with random choice. Functions are pure, deterministic and safe
+// for concurrent use.
 package subset
 
 import (
