--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -92,11 +92,11 @@
 	prefillPool *prefillpool.Pool
 	engines     *engines
 	// promptRate is the arrival rate of prompts, in tokens per second.
-	promptRate stages.Mean
+	promptRate stages.ArrivalRate
 	// memoryRate is the rate at which requests ask for memory, in tokens per second; weightedMemoryRate weights each
 	// request by the tokens that it generates. holdTime is how long runs hold memory.
-	memoryRate, weightedMemoryRate stages.Mean
-	holdTime                       stages.Hold
+	memoryRate, weightedMemoryRate stages.ArrivalRate
+	holdTime                       stages.HoldTime
 }
 
 // New returns a Forwarder.
@@ -337,7 +337,7 @@
 	f.mu.Unlock()
 	out := map[string]stages.Load{}
 	for _, name := range names {
-		if load := f.ServiceLoad(name); load.ReadRate > 0 {
+		if load := f.ServiceLoad(name); load.PromptRate > 0 {
 			out[name] = load
 		}
 	}
@@ -353,8 +353,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return stages.Load{
-		Short:    short,
-		ReadRate: s.promptRate.At(now), EngineRate: s.prefillPool.PerSecond(), Held: s.holdTime.Want(s.memoryRate.At(now), s.weightedMemoryRate.At(now)),
+		MemoryShort: short,
+		PromptRate:  s.promptRate.At(now), EnginePrefillRate: s.prefillPool.PerSecond(), MemoryDemand: s.holdTime.Demand(s.memoryRate.At(now), s.weightedMemoryRate.At(now)),
 	}
 }
 
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -12,10 +12,10 @@
 // memoryConfig returns the configuration for choosing decode engines without the disabled mechanisms.
 func memoryConfig(off mechanism.Set) kvmemory.Config {
 	c := kvmemory.DefaultConfig()
-	if off.Has(mechanism.Turns) {
+	if off.Has(mechanism.Stagger) {
 		c.Turn = 0
 	}
-	if off.Has(mechanism.LateSpare) {
+	if off.Has(mechanism.LateHeadroom) {
 		c.LateSpare = 0
 	}
 	if off.Has(mechanism.ZoneBonus) {
@@ -27,7 +27,7 @@
 // prefillConfig returns the configuration for choosing prefill engines without the disabled mechanisms.
 func prefillConfig(off mechanism.Set) prefillpool.Config {
 	c := prefillpool.DefaultConfig()
-	if off.Has(mechanism.SelfRead) {
+	if off.Has(mechanism.LocalPrefill) {
 		c.Self = 0
 	}
 	return c
@@ -36,10 +36,10 @@
 // queueTerms returns the terms of the wait queue without the disabled mechanisms.
 func queueTerms(off mechanism.Set) waitqueue.Terms {
 	t := waitqueue.DefaultTerms()
-	if off.Has(mechanism.LateWait) {
+	if off.Has(mechanism.RetryQueueing) {
 		t.LateWait = 0
 	}
-	if off.Has(mechanism.Hopeless) {
+	if off.Has(mechanism.EarlyRejection) {
 		t.Doubt = math.Inf(1)
 	}
 	return t
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -264,7 +264,7 @@
 	defer f.mu.Unlock()
 	for _, s := range f.services {
 		s.engines.setPeerLoads(loads, routers)
-		if f.Off.Has(mechanism.ReaderLines) {
+		if f.Off.Has(mechanism.PrefillQueues) {
 			continue
 		}
 		for id, l := range loads {
--- a/forward/suspicions.go
+++ b/forward/suspicions.go
@@ -67,7 +67,7 @@
 
 // suspect makes this and the other gateways prefer other engines for a while.
 func (f *Forwarder) suspect(s registry.Server) {
-	if !f.Off.Has(mechanism.Doubts) && f.suspicions.failed(s.ID) {
+	if !f.Off.Has(mechanism.Suspicion) && f.suspicions.failed(s.ID) {
 		f.notifyPlacementChanged()
 	}
 }
@@ -78,7 +78,7 @@
 
 // ReceiveFailure takes another gateway's report that a request has failed at an engine.
 func (f *Forwarder) ReceiveFailure(gateway, id string) {
-	if !f.Off.Has(mechanism.Doubts) {
+	if !f.Off.Has(mechanism.Suspicion) {
 		f.suspicions.reported(gateway, id)
 	}
 }
