--- a/forward/baserequest.go
+++ b/forward/baserequest.go
@@ -22,40 +22,40 @@
 
 // noServerLeft is the outcome of a request for which no server is left: the reason of the last attempt, or reason if
 // there was none.
-func (c *baseRequest) noServerLeft(reason outcome.Reason) outcome.Outcome {
-	if c.last.Reason != "" {
-		reason = c.last.Reason
+func (b *baseRequest) noServerLeft(reason outcome.Reason) outcome.Outcome {
+	if b.last.Reason != "" {
+		reason = b.last.Reason
 	}
-	return c.j.unanswered(reason)
+	return b.j.unanswered(reason)
 }
 
 // afterAttempt decides whether there is another attempt after one with outcome o.
-func (c *baseRequest) afterAttempt(ctx context.Context, o outcome.Outcome) (outcome.Outcome, bool) {
-	c.last = o
-	if o.Kind == outcome.Completed || ctx.Err() != nil || c.j.caller.Gone() || !c.retryable(o.Reason) {
+func (b *baseRequest) afterAttempt(ctx context.Context, o outcome.Outcome) (outcome.Outcome, bool) {
+	b.last = o
+	if o.Kind == outcome.Completed || ctx.Err() != nil || b.j.caller.Gone() || !b.retryable(o.Reason) {
 		return o, false
 	}
-	if _, held := c.f.quarantined(c.j); held {
-		c.f.Metrics.RetryDenied("held")
-		return c.j.unanswered(outcome.Quarantined), false
+	if _, held := b.f.quarantined(b.j); held {
+		b.f.Metrics.RetryDenied("held")
+		return b.j.unanswered(outcome.Quarantined), false
 	}
-	if !c.f.takeRetry(c.j) {
-		return c.j.unanswered(outcome.RetryBudgetSpent), false
+	if !b.f.takeRetry(b.j) {
+		return b.j.unanswered(outcome.RetryBudgetSpent), false
 	}
-	c.f.Metrics.Retried(o.Reason)
+	b.f.Metrics.Retried(o.Reason)
 	return outcome.Outcome{}, true
 }
 
 // retryable reports whether the request may be sent to another server after an attempt that ended for the reason.
-func (c *baseRequest) retryable(reason outcome.Reason) bool {
-	j := c.j
+func (b *baseRequest) retryable(reason outcome.Reason) bool {
+	j := b.j
 	switch {
 	case reason == outcome.CallerGone || reason == outcome.RetryBudgetSpent || blocked(reason):
 		return false
 	case j.ran && !j.route.Repeatable():
 		return false
 	case j.sends >= j.route.Attempts:
-		c.f.Metrics.RetryDenied("attempts")
+		b.f.Metrics.RetryDenied("attempts")
 		return false
 	default:
 		return true
@@ -72,14 +72,14 @@
 }
 
 // finish answers the client if no attempt has done so, and records the outcome of the request.
-func (c *baseRequest) finish(o outcome.Outcome) {
-	f, j := c.f, c.j
+func (b *baseRequest) finish(o outcome.Outcome) {
+	f, j := b.f, b.j
 	switch {
 	case o.Kind == outcome.Completed:
 	case j.started:
 		httpserver.Abort(j.w)
-	case c.failure != nil:
-		o = f.passOn(j, c.failure)
+	case b.failure != nil:
+		o = f.passOn(j, b.failure)
 	case o.Kind == outcome.NotRun:
 		f.refuse(j, o.Reason, f.retryAfter(j, o.Reason))
 		return
--- a/forward/cooldowns.go
+++ b/forward/cooldowns.go
@@ -21,27 +21,27 @@
 func newCooldowns() *cooldowns { return &cooldowns{tracker: cooldown.New()} }
 
 // requested records that a server has just asked for a cooldown.
-func (r *cooldowns) requested(id string, period time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.tracker.Asked(id, period, time.Now())
-	r.count.Store(int64(r.tracker.Len()))
+func (c *cooldowns) requested(id string, period time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tracker.Asked(id, period, time.Now())
+	c.count.Store(int64(c.tracker.Len()))
 }
 
 // remaining is how much longer a server is to be sent nothing; zero if it is in no cooldown.
-func (r *cooldowns) remaining(id string) time.Duration {
-	if r.count.Load() == 0 {
+func (c *cooldowns) remaining(id string) time.Duration {
+	if c.count.Load() == 0 {
 		return 0
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.tracker.Left(id, time.Now())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.tracker.Left(id, time.Now())
 }
 
 // forget drops expired cooldowns, and servers that known does not report.
-func (r *cooldowns) forget(known func(id string) bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.tracker.Forget(known, time.Now())
-	r.count.Store(int64(r.tracker.Len()))
+func (c *cooldowns) forget(known func(id string) bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tracker.Forget(known, time.Now())
+	c.count.Store(int64(c.tracker.Len()))
 }
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -26,7 +26,7 @@
 	// list returns the servers that may get new work; synced is the list that memory was last updated with.
 	list   func() []registry.Server
 	synced engineList
-	// suspected reports whether requests fail at an engine.
+	// suspected reports whether requests have recently failed at an engine.
 	suspected func(id string) bool
 	// unavailable reports whether an engine has signalled that it takes nothing now.
 	unavailable func(id string) bool
@@ -149,12 +149,12 @@
 
 // await waits until the request is dispatched to an engine. The engine's memory is then taken for the run, until
 // refused, failed or release is called.
-func (e *engines) await(ctx context.Context, w *waitqueue.Waiter, t queueEntry, capacity, slots int) (string, bool) {
+func (e *engines) await(ctx context.Context, w *waitqueue.Waiter, entry queueEntry, capacity, slots int) (string, bool) {
 	e.mu.Lock()
 	e.sync(e.list(), capacity, slots)
 	engine := make(chan string, 1)
-	t.engine = engine
-	e.entries[w] = t
+	entry.engine = engine
+	e.entries[w] = entry
 	e.queue.Add(w)
 	e.dispatch()
 	if e.queue.Len() > 0 {
@@ -182,10 +182,10 @@
 
 // dropQuarantined ends the wait of requests that have been quarantined in the meantime. The caller holds mu.
 func (e *engines) dropQuarantined() {
-	for w, t := range e.entries {
-		if t.quarantined() && e.queue.Remove(w) {
+	for w, entry := range e.entries {
+		if entry.quarantined() && e.queue.Remove(w) {
 			delete(e.entries, w)
-			t.engine <- ""
+			entry.engine <- ""
 		}
 	}
 }
@@ -197,19 +197,19 @@
 		var id string
 		w := e.queue.Next(func(w *waitqueue.Waiter) bool {
 			var ok bool
-			t := e.entries[w]
+			entry := e.entries[w]
 			id, ok = e.memory.Pick(kvmemory.Ask{
-				Run: t.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.suspected, Closed: e.unavailable,
+				Run: entry.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.suspected, Closed: e.unavailable,
 			}, now)
-			return ok && t.reserve(id)
+			return ok && entry.reserve(id)
 		}, overtakeLimit, now)
 		if w == nil {
 			break
 		}
-		t := e.entries[w]
-		e.memory.Take(id, t.run)
+		entry := e.entries[w]
+		e.memory.Take(id, entry.run)
 		e.markChanged(id)
-		t.engine <- id
+		entry.engine <- id
 		delete(e.entries, w)
 	}
 	e.scheduleCheck()
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -61,7 +61,7 @@
 	attempts *attempts
 	// interrupted tracks the attempts that were in progress at servers that terminated.
 	interrupted *interrupted
-	// suspicions tracks engines at which requests fail.
+	// suspicions tracks engines at which requests have recently failed.
 	suspicions *suspicions
 	// limits are the request rates that servers declare, invalidFields the fields of their answers that can't be
 	// parsed.
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -298,7 +298,7 @@
 	return terms.ComeBack(left, rand.Float64())
 }
 
-// serviceCooldown is how long all servers of a service that answer requests are in a cooldown; zero if one is not.
+// serviceCooldown is how long all servers of a service that answer requests stay in a cooldown; zero if one is not.
 func (f *Forwarder) serviceCooldown(service string) time.Duration {
 	var shortest time.Duration
 	for _, s := range f.View.Servers(service) {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -88,9 +88,9 @@
 // Answer implements lifecycle.Attempt: the engine of the lease generates the tokens.
 func (a *streamAttempt) Answer(ctx context.Context) outcome.Outcome {
 	f, j := a.r.f, a.r.j
-	run, end := f.attempts.begin(ctx, a.lease.server.ID)
+	runCtx, end := f.attempts.begin(ctx, a.lease.server.ID)
 	defer end()
-	head, res, err := a.start(run)
+	head, res, err := a.start(runCtx)
 	if err != nil {
 		reason := f.reasonFor(ctx, err)
 		a.lease.refused = ctx.Err() == nil && !blocked(reason) && !isWithheld(err)
--- a/forward/suspicions.go
+++ b/forward/suspicions.go
@@ -22,39 +22,39 @@
 func newSuspicions(router string) *suspicions { return &suspicions{tracker: suspicion.New(router)} }
 
 // failed records a failure observed here and returns whether to report it to the other gateways.
-func (d *suspicions) failed(id string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.tracker.Failed(id, time.Now()) {
+func (s *suspicions) failed(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.tracker.Failed(id, time.Now()) {
 		return false
 	}
-	d.updates = append(d.updates, id)
+	s.updates = append(s.updates, id)
 	return true
 }
 
-func (d *suspicions) reported(from, id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.tracker.Told(from, id, time.Now())
+func (s *suspicions) reported(from, id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tracker.Told(from, id, time.Now())
 }
 
-func (d *suspicions) succeeded(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.tracker.Succeeded(id)
+func (s *suspicions) succeeded(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tracker.Succeeded(id)
 }
 
-func (d *suspicions) suspected(id string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.tracker.Doubtful(id, time.Now())
+func (s *suspicions) suspected(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.tracker.Doubtful(id, time.Now())
 }
 
-func (d *suspicions) takeUpdates() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := d.updates
-	d.updates = nil
+func (s *suspicions) takeUpdates() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := s.updates
+	s.updates = nil
 	return out
 }
 
--- a/forward/terminations.go
+++ b/forward/terminations.go
@@ -29,10 +29,10 @@
 // maxLoggedDigests bounds the digests in one log line.
 const maxLoggedDigests = 50
 
-// The connection of a terminated host may stay open. A request whose attempt ends counts as in progress at the
-// termination, if the server turns out to have terminated, only if nothing had come from the server for some time: for
-// maxQuietPeriod, several times the longest usual interval between events of a stream, or for quietObjectives times
-// the objective of a route if that is less.
+// A server may terminate without closing its connections. When an attempt ends, its request counts as in progress at
+// such a termination only if nothing had come from the server for a while: for maxQuietPeriod, several times the
+// longest usual interval between events of a stream, or for quietObjectives times the objective of the route if that
+// is less.
 const (
 	maxQuietPeriod  = time.Second
 	quietObjectives = 4
