--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -27,22 +27,22 @@
 	customers       []string
 }
 
-func (p *fakeQuota) Take(customer string, _ route.Quota, cost float64) (time.Duration, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if cost > p.left {
+func (q *fakeQuota) Take(customer string, _ route.Quota, cost float64) (time.Duration, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if cost > q.left {
 		return 1500 * time.Millisecond, false
 	}
-	p.left -= cost
-	p.taken, p.customers = append(p.taken, cost), append(p.customers, customer)
+	q.left -= cost
+	q.taken, q.customers = append(q.taken, cost), append(q.customers, customer)
 	return 0, true
 }
 
-func (p *fakeQuota) Return(_ string, cost float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.left += cost
-	p.returned = append(p.returned, cost)
+func (q *fakeQuota) Return(_ string, cost float64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.left += cost
+	q.returned = append(q.returned, cost)
 }
 
 // The keys of these tests, and the scheme of the header that carries them.
@@ -191,9 +191,9 @@
 // not run, and a request with an unknown key is not told that its key is unknown.
 func TestUnprovedConfiguration(t *testing.T) {
 	for _, c := range []struct {
-		name, path, key string
-		recent, lately  bool
-		status          int
+		name, path, key       string
+		recent, forUnknownKey bool
+		status                int
 	}{
 		{"a known key", "/safe/1", ownKey, false, false, 503},
 		{"a known key, proved", "/safe/1", ownKey, true, false, 200},
@@ -206,7 +206,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newPlainEnv(t)
 			w.withTenants(t, tenant("a", ownKey))
-			w.setProved(c.recent, c.lately)
+			w.setProved(c.recent, c.forUnknownKey)
 			var extra []string
 			if c.key != "" {
 				extra = []string{site.Credentials, scheme + c.key}
@@ -327,7 +327,7 @@
 func TestUnknownKeysAreRejectedBeforeBody(t *testing.T) {
 	for _, c := range []struct {
 		name, path, credentials string
-		lately                  bool
+		forUnknownKey           bool
 		status                  int
 	}{
 		{"no key", "/safe/1", "", true, 401},
@@ -339,7 +339,7 @@
 	} {
 		w := newPlainEnv(t)
 		w.withTenants(t, tenant("a", ownKey))
-		w.setProved(true, c.lately)
+		w.setProved(true, c.forUnknownKey)
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://h"+c.path, nil)
 		assert.NilError(t, err)
 		if c.credentials != "" {
--- a/forward/env_test.go
+++ b/forward/env_test.go
@@ -71,10 +71,10 @@
 }
 
 // setProved sets what is proved about the configuration.
-func (v *view) setProved(recent, lately bool) {
+func (v *view) setProved(recent, forUnknownKey bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.unproved, v.stale = !recent, !lately
+	v.unproved, v.stale = !recent, !forUnknownKey
 }
 
 func (v *view) Routers() int { return 1 }
@@ -222,7 +222,7 @@
 	return w
 }
 
-// add starts a server. The first plain server is in the gateway's zone, the others in another one.
+// add starts a server. Engines and the first server are in the gateway's zone, further plain servers in another one.
 func (w *testEnv) add(t *testing.T, id, service string, stage registry.Stage) *site.Server {
 	s := site.NewServer(t, id, w.log)
 	w.servers[id] = s
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -18,7 +18,7 @@
 	logged := func(text string) int { return strings.Count(w.logged.String(), text) }
 	limited := func() int64 { return w.met.Gauge(metrics.ServersLimited).Value() }
 	// A server with a limit may not be called again for a while.
-	ask := func(limit, text string) {
+	awaitLogged := func(limit, text string) {
 		s.SetLimit(limit)
 		const maxCalls = 5000
 		for i := 0; i < maxCalls && logged(text) == 0; i++ {
@@ -29,10 +29,10 @@
 	}
 	w.post(t, "/safe/1")
 	assert.Equal(t, logged(`"event":737`), 0)
-	ask("3000.5", `"limited":true,"per_second":3000.5`)
+	awaitLogged("3000.5", `"limited":true,"per_second":3000.5`)
 	assert.Equal(t, limited(), int64(1))
-	ask("4000", `"limited":true,"per_second":4000`)
-	ask("", `"limited":false,"per_second":0`)
+	awaitLogged("4000", `"limited":true,"per_second":4000`)
+	awaitLogged("", `"limited":false,"per_second":0`)
 	assert.Equal(t, limited(), int64(0))
 }
 
--- a/forward/terminations_test.go
+++ b/forward/terminations_test.go
@@ -170,7 +170,7 @@
 	for _, c := range []struct {
 		name            string
 		listed, leaving bool
-		ends            int64
+		terminations    int64
 	}{
 		{"its entry expires", false, false, 1},
 		{"it hangs", true, false, 0},
@@ -192,7 +192,7 @@
 			w.view.mu.Unlock()
 			assert.Equal(t, (<-done).status, http.StatusGatewayTimeout)
 			w.fwd.Forget(w.view.Listed)
-			assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), c.ends)
+			assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), c.terminations)
 		})
 	}
 }
--- a/forward/yield_test.go
+++ b/forward/yield_test.go
@@ -20,9 +20,9 @@
 	forward.Engines
 	fwd *forward.Forwarder
 
-	mu       sync.Mutex
-	maxTimes int
-	asked    []string
+	mu         sync.Mutex
+	maxTimes   int
+	reservedAt []string
 }
 
 // Reserve implements forward.Engines.
@@ -30,8 +30,8 @@
 	reservation, err := c.Engines.Reserve(ctx, s, tokens, life)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, s.ID)
-	if len(c.asked) <= c.maxTimes {
+	c.reservedAt = append(c.reservedAt, s.ID)
+	if len(c.reservedAt) <= c.maxTimes {
 		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Ahead: kvmemory.Constant(10_000)}
 		c.fwd.SetPeerLoads(map[string]kvmemory.Load{s.ID: full})
 	}
@@ -57,9 +57,9 @@
 			engines := &saturatingEngines{Engines: w.fwd.Engines, fwd: w.fwd, maxTimes: c.saturated}
 			w.fwd.Engines = engines
 			assert.Equal(t, w.post(t, "/draft/patient/1").status, 200)
-			assert.Equal(t, len(engines.asked), c.want, "%v", engines.asked)
+			assert.Equal(t, len(engines.reservedAt), c.want, "%v", engines.reservedAt)
 			assert.Equal(t, w.met.Counter(metrics.ReservationsYielded).Count(), int64(c.want-1))
-			last := engines.asked[c.want-1]
+			last := engines.reservedAt[c.want-1]
 			w.log.Wait(t, false, func(call site.Call) bool { return call.Kind == site.Decode && call.Server == last })
 		})
 	}
