--- a/entry/limiter.go
+++ b/entry/limiter.go
@@ -54,7 +54,7 @@
 	if !d.Admitted {
 		return allowance{}, nil, outcome.Refuse(d.Reason, d.RetryAfter), false
 	}
-	above := limit.Above(t, at.all)
+	above := limit.ReportThreshold(t, at.all)
 	a = allowance{weightMilli: milli(d.Weight), tellRateMilli: milli(above.Demand), tellRunning: uint32(above.Running)}
 	return a, func() { l.done(c.Customer) }, outcome.Outcome{}, true
 }
@@ -79,7 +79,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, d := range demands {
-		e := limit.Echo{Demand: float64(d.GetRateMilli()) / 1000, Running: int(d.GetRunning())}
+		e := limit.Load{Demand: float64(d.GetRateMilli()) / 1000, Running: int(d.GetRunning())}
 		l.limiter.Observe(d.GetCustomer(), backend, e, at.scale(), now)
 	}
 }
--- a/forward/serverlimits.go
+++ b/forward/serverlimits.go
@@ -26,9 +26,9 @@
 
 // ServerLimitNews is what one router tells of servers with limits.
 type ServerLimitNews struct {
-	Limits []serverlimit.Told
-	// Used is what was sent there; Informed is that of limit.Shared.Tell.
-	Used     []limit.Told
+	Limits []serverlimit.ReportedLimit
+	// Used is what was sent there; Informed is that of limit.SharedQuotas.Report.
+	Used     []limit.ReportedUsage
 	Informed bool
 }
 
@@ -44,7 +44,7 @@
 // name takes a limit that a server names, and reports whether it has changed.
 func (l *ServerLimits) name(id string, perSecond float64) bool {
 	now := time.Now()
-	return l.update(id, serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: perSecond}, At: now}, now)
+	return l.update(id, serverlimit.Statement{Limit: serverlimit.Limit{Limited: true, PerSecond: perSecond}, At: now}, now)
 }
 
 // end takes that a server names no limit in the answer to a request that was sent at a time, and reports whether it had one.
@@ -93,7 +93,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ok := l.limits.Take(id, time.Now())
-	if l.limits.Used().Untold(time.Now()) {
+	if l.limits.Usage().UpdateDue(time.Now()) {
 		l.wake()
 	}
 	return ok
@@ -103,7 +103,7 @@
 func (l *ServerLimits) giveBack(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.GiveBack(id, time.Now())
+	l.limits.Return(id, time.Now())
 }
 
 // of is the limit of a server.
@@ -113,14 +113,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limits.Of(id)
+	return l.limits.LimitOf(id)
 }
 
 // forget drops servers that known does not name.
 func (l *ServerLimits) forget(known func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.Forget(known)
+	l.limits.Retain(known)
 	l.recount()
 }
 
@@ -131,7 +131,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	var out ServerLimitNews
-	for _, t := range l.limits.Tell(now) {
+	for _, t := range l.limits.Report(now) {
 		if _, news := l.news[t.ID]; news || !changes {
 			out.Limits = append(out.Limits, t)
 		}
@@ -139,7 +139,7 @@
 	if changes {
 		clear(l.news)
 	}
-	out.Used, out.Informed = l.limits.Used().Tell(changes, now)
+	out.Used, out.Informed = l.limits.Usage().Report(changes, now)
 	return out
 }
 
@@ -152,7 +152,7 @@
 		l.limits.Update(t.ID, t.Statement, now)
 	}
 	l.recount()
-	l.limits.Used().Hear(addr, incarnation, news.Informed, all, news.Used, now)
+	l.limits.Usage().Receive(addr, incarnation, news.Informed, all, news.Used, now)
 }
 
 // Refresh looks for routers that have fallen silent, of so many that exchange reports with that pause.
@@ -160,13 +160,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.SetRouters(routers)
-	l.limits.Used().SetPace(pace)
-	l.limits.Used().Refresh(time.Now())
+	l.limits.Usage().SetReportInterval(pace)
+	l.limits.Usage().CheckMembers(time.Now())
 }
 
 // Lost notes that the router at an address does not answer.
 func (l *ServerLimits) Lost(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.Used().Lost(addr, time.Now())
+	l.limits.Usage().MarkUnresponsive(addr, time.Now())
 }
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -123,7 +123,7 @@
 
 // reserveSend takes one request from what a server says that it takes, to be sent there later, and reports whether it may be.
 func (f *Forwarder) reserveSend(j *job, id string) bool {
-	limited := f.limits.of(id).Named
+	limited := f.limits.of(id).Limited
 	if !f.limits.take(id) {
 		return false
 	}
--- a/gateway/access.go
+++ b/gateway/access.go
@@ -68,7 +68,7 @@
 
 func customerAccess(name string, keys int, unit string, q limit.State) CustomerAccess {
 	return CustomerAccess{
-		Name: name, Keys: keys, Unit: unit, Rate: q.Rate, Burst: q.Burst, Left: q.Left, Share: 1 - q.Apart,
+		Name: name, Keys: keys, Unit: unit, Rate: q.Rate, Burst: q.Burst, Left: q.Remaining, Share: 1 - q.ReservedShare,
 		Used: q.Charged, DemandPerS: q.Demand,
 	}
 }
--- a/gateway/encode.go
+++ b/gateway/encode.go
@@ -71,24 +71,24 @@
 }
 
 // encodeUsages is nil if there is nothing to tell.
-func encodeUsages(told []limit.Told, informed bool) *peer.Usages {
+func encodeUsages(told []limit.ReportedUsage, informed bool) *peer.Usages {
 	if len(told) == 0 {
 		return nil
 	}
 	out := &peer.Usages{Informed: informed}
 	for _, t := range told {
 		out.Customers = append(out.Customers, &peer.Usage{
-			Customer: t.Customer, Charged: t.Charged, Returned: t.Returned, Demand: t.Demand, Left: t.Left,
+			Customer: t.Customer, Charged: t.Charged, Returned: t.Returned, Demand: t.Demand, Left: t.Remaining,
 		})
 	}
 	return out
 }
 
-func decodeUsages(u *peer.Usages) []limit.Told {
-	told := make([]limit.Told, 0, len(u.GetCustomers()))
+func decodeUsages(u *peer.Usages) []limit.ReportedUsage {
+	told := make([]limit.ReportedUsage, 0, len(u.GetCustomers()))
 	for _, t := range u.GetCustomers() {
-		told = append(told, limit.Told{
-			Customer: t.GetCustomer(), Charged: t.GetCharged(), Returned: t.GetReturned(), Demand: t.GetDemand(), Left: t.GetLeft(),
+		told = append(told, limit.ReportedUsage{
+			Customer: t.GetCustomer(), Charged: t.GetCharged(), Returned: t.GetReturned(), Demand: t.GetDemand(), Remaining: t.GetLeft(),
 		})
 	}
 	return told
@@ -102,7 +102,7 @@
 	out := &peer.ServerLimits{Sent: encodeUsages(n.Used, n.Informed)}
 	for _, t := range n.Limits {
 		out.Limits = append(out.Limits, &peer.ServerLimit{
-			Server: t.ID, Limited: t.Named, PerSecond: t.PerSecond, AgeMs: uint32(max(now.Sub(t.At).Milliseconds(), 0)),
+			Server: t.ID, Limited: t.Limited, PerSecond: t.PerSecond, AgeMs: uint32(max(now.Sub(t.At).Milliseconds(), 0)),
 		})
 	}
 	return out
@@ -112,12 +112,12 @@
 func decodeServerLimits(told *peer.ServerLimits, now time.Time) forward.ServerLimitNews {
 	out := forward.ServerLimitNews{Used: decodeUsages(told.GetSent()), Informed: told.GetSent().GetInformed()}
 	for _, t := range told.GetLimits() {
-		l := serverlimit.Limit{Named: t.GetLimited(), PerSecond: t.GetPerSecond()}
+		l := serverlimit.Limit{Limited: t.GetLimited(), PerSecond: t.GetPerSecond()}
 		if !l.Valid() {
 			continue
 		}
 		at := now.Add(-time.Duration(t.GetAgeMs()) * time.Millisecond)
-		out.Limits = append(out.Limits, serverlimit.Told{ID: t.GetServer(), Statement: serverlimit.Statement{Limit: l, At: at}})
+		out.Limits = append(out.Limits, serverlimit.ReportedLimit{ID: t.GetServer(), Statement: serverlimit.Statement{Limit: l, At: at}})
 	}
 	return out
 }
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -22,7 +22,7 @@
 	changed chan struct{}
 
 	mu     sync.Mutex
-	shared *limit.Shared
+	shared *limit.SharedQuotas
 	// noted is when it was last logged that a customer's quota was used up, silent the number of gateways that was last
 	// logged as not heard.
 	noted  map[string]time.Time
@@ -33,7 +33,7 @@
 const usedUpEvery = 10 * time.Second
 
 func newQuotas(l *log.Logger, now time.Time) *quotas {
-	return &quotas{log: l, changed: make(chan struct{}, 1), shared: limit.NewShared(now), noted: map[string]time.Time{}}
+	return &quotas{log: l, changed: make(chan struct{}, 1), shared: limit.NewSharedQuotas(now), noted: map[string]time.Time{}}
 }
 
 // termsOf are the terms of a customer's quota for a request of some cost.
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	q.shared.Keep(func(customer string) bool { return names[customer] })
+	q.shared.Retain(func(customer string) bool { return names[customer] })
 	maps.DeleteFunc(q.noted, func(customer string, _ time.Time) bool { return !names[customer] })
 }
 
@@ -78,8 +78,8 @@
 	}
 	q.noted[customer] = now
 	s := q.shared.States(now)[customer]
-	event.QuotaUsed.Log(q.log).Str("customer", customer).Float64("left", s.Left).Float64("rate", s.Rate).
-		Float64("burst", s.Burst).Float64("apart", s.Apart).Msg("")
+	event.QuotaUsed.Log(q.log).Str("customer", customer).Float64("left", s.Remaining).Float64("rate", s.Rate).
+		Float64("burst", s.Burst).Float64("apart", s.ReservedShare).Msg("")
 }
 
 // Return implements forward.Quota.
@@ -92,7 +92,7 @@
 
 // tellIfDue has other gateways told of what is worth it. The caller holds mu.
 func (q *quotas) tellIfDue() {
-	if q.shared.Untold(time.Now()) {
+	if q.shared.UpdateDue(time.Now()) {
 		wake(q.changed)
 	}
 }
@@ -100,7 +100,7 @@
 // tell returns what other gateways are told: what has changed since, or all that is active. It is nil if there is nothing.
 func (q *quotas) tell(changes bool) *peer.Usages {
 	q.mu.Lock()
-	told, informed := q.shared.Tell(changes, time.Now())
+	told, informed := q.shared.Report(changes, time.Now())
 	q.mu.Unlock()
 	return encodeUsages(told, informed)
 }
@@ -111,13 +111,13 @@
 	told := decodeUsages(u)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.Hear(addr, incarnation, u.GetInformed(), all, told, time.Now())
+	q.shared.Receive(addr, incarnation, u.GetInformed(), all, told, time.Now())
 }
 
 // followQuotas looks for gateways that have fallen silent until ctx ends.
 func (s *Service) followQuotas(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, limit.RefreshEvery)
+		pause(ctx, limit.MemberCheckInterval)
 		s.quotas.refresh(s.peers.Pace())
 		s.fwd.ServerLimits().Refresh(s.view.Routers(), s.peers.Pace())
 	}
@@ -126,10 +126,10 @@
 func (q *quotas) refresh(pace time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.SetPace(pace)
-	q.shared.Refresh(time.Now())
+	q.shared.SetReportInterval(pace)
+	q.shared.CheckMembers(time.Now())
 	q.tellIfDue()
-	if silent := q.shared.Silent(); silent != q.silent {
+	if silent := q.shared.UnresponsiveMembers(); silent != q.silent {
 		q.silent = silent
 		event.QuotaShared.Log(q.log).Int("silent", silent).Msg("")
 	}
@@ -139,7 +139,7 @@
 func (q *quotas) silentNow() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return int64(q.shared.Silent())
+	return int64(q.shared.UnresponsiveMembers())
 }
 
 // states returns what is known of the quotas of customers.
@@ -153,5 +153,5 @@
 func (q *quotas) lost(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.Lost(addr, time.Now())
+	q.shared.MarkUnresponsive(addr, time.Now())
 }
--- a/gateway/serverlimits_test.go
+++ b/gateway/serverlimits_test.go
@@ -17,11 +17,11 @@
 func TestServerLimitsAreTold(t *testing.T) {
 	now := start.Add(time.Minute)
 	told := forward.ServerLimitNews{
-		Limits: []serverlimit.Told{
-			{ID: "a@1", Statement: serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: 3.2}, At: now.Add(-time.Second)}},
+		Limits: []serverlimit.ReportedLimit{
+			{ID: "a@1", Statement: serverlimit.Statement{Limit: serverlimit.Limit{Limited: true, PerSecond: 3.2}, At: now.Add(-time.Second)}},
 			{ID: "b", Statement: serverlimit.Statement{At: now.Add(-2 * time.Second)}},
 		},
-		Used:     []limit.Told{{Customer: "a@1", Charged: 7, Returned: 1, Demand: 2, Left: -0.5}},
+		Used:     []limit.ReportedUsage{{Customer: "a@1", Charged: 7, Returned: 1, Demand: 2, Remaining: -0.5}},
 		Informed: true,
 	}
 	assert.DeepEqual(t, decodeServerLimits(encodeServerLimits(told, now), now), told)
--- a/policy/limit/demand.go
+++ b/policy/limit/demand.go
@@ -26,7 +26,7 @@
 }
 
 type heard struct {
-	Echo
+	Load
 	scale float64
 	at    time.Time
 	// sent is the rate of the entry's own requests at that time.
@@ -69,7 +69,7 @@
 // are a sample of all; the entry's own requests are spread over the linked ones
 // alone, so they are taken out before the sample is scaled. A sidecar that sends
 // no echo has next to no demand.
-func (d *demand) others(v *view, now time.Time) Echo {
+func (d *demand) others(v *view, now time.Time) Load {
 	var demand, running, sent float64
 	for id, e := range v.echoes {
 		if now.Sub(e.at) > echoLife {
@@ -83,7 +83,7 @@
 	if len(v.echoes) > 0 {
 		demand -= sent / float64(len(v.echoes))
 	}
-	return Echo{Demand: max(demand, 0), Running: int(running)}
+	return Load{Demand: max(demand, 0), Running: int(running)}
 }
 
 // Done implements Limiter.
@@ -94,9 +94,9 @@
 }
 
 // Observe implements Limiter.
-func (d *demand) Observe(customer, backend string, e Echo, scale float64, now time.Time) {
+func (d *demand) Observe(customer, backend string, e Load, scale float64, now time.Time) {
 	v := d.view(customer)
-	v.echoes[backend] = heard{Echo: e, scale: max(scale, 1), at: now, sent: v.sent.rate(now)}
+	v.echoes[backend] = heard{Load: e, scale: max(scale, 1), at: now, sent: v.sent.rate(now)}
 }
 
 func (d *demand) view(customer string) *view {
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -42,8 +42,8 @@
 	Weight float64
 }
 
-// Echo is what a sidecar tells of one customer.
-type Echo struct {
+// Load is what a sidecar tells of one customer.
+type Load struct {
 	// Demand is the rate of requests of all entries at this sidecar, by weight.
 	Demand float64
 	// Running is the number of the customer's requests in progress there that came
@@ -58,7 +58,7 @@
 	// Done notes that an admitted request has ended.
 	Done(customer string)
 	// Observe takes the echo of one sidecar; scale is as in Terms.
-	Observe(customer, backend string, e Echo, scale float64, now time.Time)
+	Observe(customer, backend string, e Load, scale float64, now time.Time)
 }
 
 // Names of the limiters.
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -28,18 +28,18 @@
 		limiter  string
 		entries  int
 		terms    Terms
-		echo     Echo
+		echo     Load
 		offered  int
 		admitted int
 		reason   outcome.Reason
 	}{
-		{"no limits", Demand, 1, Terms{}, Echo{}, 50, 50, ""},
-		{"burst of one entry", Demand, 1, Terms{Rate: 1, Burst: 10}, Echo{}, 50, 10, outcome.RateLimited},
-		{"concurrency of one entry", Demand, 1, Terms{Concurrent: 7}, Echo{}, 50, 7, outcome.ConcurrencyLimited},
-		{"concurrency with others", Demand, 1, Terms{Concurrent: 9, Scale: 2}, Echo{Running: 1}, 50, 7, outcome.ConcurrencyLimited},
-		{"demand of others is ten times the rate", Demand, 1, Terms{Rate: 100, Burst: 100, Scale: 10}, Echo{Demand: 100}, 50, 4, outcome.RateLimited},
-		{"static part", Static, 5, Terms{Rate: 1, Burst: 50}, Echo{Demand: 100}, 50, 10, outcome.RateLimited},
-		{"static part of concurrency", Static, 5, Terms{Concurrent: 50}, Echo{}, 50, 10, outcome.ConcurrencyLimited},
+		{"no limits", Demand, 1, Terms{}, Load{}, 50, 50, ""},
+		{"burst of one entry", Demand, 1, Terms{Rate: 1, Burst: 10}, Load{}, 50, 10, outcome.RateLimited},
+		{"concurrency of one entry", Demand, 1, Terms{Concurrent: 7}, Load{}, 50, 7, outcome.ConcurrencyLimited},
+		{"concurrency with others", Demand, 1, Terms{Concurrent: 9, Scale: 2}, Load{Running: 1}, 50, 7, outcome.ConcurrencyLimited},
+		{"demand of others is ten times the rate", Demand, 1, Terms{Rate: 100, Burst: 100, Scale: 10}, Load{Demand: 100}, 50, 4, outcome.RateLimited},
+		{"static part", Static, 5, Terms{Rate: 1, Burst: 50}, Load{Demand: 100}, 50, 10, outcome.RateLimited},
+		{"static part of concurrency", Static, 5, Terms{Concurrent: 50}, Load{}, 50, 10, outcome.ConcurrencyLimited},
 	} {
 		l, rng := limiter(t, tc.limiter, tc.entries), source()
 		l.Observe("x", "s", tc.echo, tc.terms.Scale, start)
@@ -89,7 +89,7 @@
 func run(t testing.TB, name string, sc scenario) (ratio, echoes float64) {
 	rng, now, sent := source(), start, 0
 	terms := Terms{Rate: sc.rate, Burst: max(2*sc.rate, 1), Scale: sc.scale()}
-	above := Above(terms, sc.Sidecars)
+	above := ReportThreshold(terms, sc.Sidecars)
 	ls, links, meters := make([]Limiter, sc.Entries), make([][]int, sc.Entries), make([]*Meter, sc.Sidecars)
 	for i := range ls {
 		ls[i] = limiter(t, name, sc.Entries)
@@ -106,7 +106,7 @@
 		}
 		i := sc.entry(now, rng)
 		if d := ls[i].Admit("x", terms, now, rng); d.Admitted {
-			meters[links[i][rng.IntN(sc.Linked)]].Offered("x", d.Weight, above, now)
+			meters[links[i][rng.IntN(sc.Linked)]].RecordOffered("x", d.Weight, above, now)
 			if now.Sub(start) > 30*time.Second {
 				allowed++
 			}
@@ -130,8 +130,8 @@
 func echo(ls []Limiter, links [][]int, meters []*Meter, terms Terms, now time.Time) (sent int) {
 	for i, l := range ls {
 		for _, s := range links[i] {
-			for _, e := range meters[s].Echoes(nil, now) {
-				l.Observe(e.Customer, fmt.Sprint(s), e.Echo, terms.Scale, now)
+			for _, e := range meters[s].Loads(nil, now) {
+				l.Observe(e.Customer, fmt.Sprint(s), e.Load, terms.Scale, now)
 				sent++
 			}
 		}
@@ -184,7 +184,7 @@
 		b.Run(name, func(b *testing.B) {
 			l, rng := limiter(b, name, later.Entries), source()
 			for s := range later.Linked {
-				l.Observe("x", fmt.Sprint(s), Echo{Demand: 1}, 12, start)
+				l.Observe("x", fmt.Sprint(s), Load{Demand: 1}, 12, start)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/policy/limit/meter.go
+++ b/policy/limit/meter.go
@@ -33,22 +33,22 @@
 
 type metered struct {
 	meter
-	above Echo
+	above Load
 }
 
-// Named is the echo of one customer.
-type Named struct {
+// CustomerLoad is the echo of one customer.
+type CustomerLoad struct {
 	Customer string
-	Echo
+	Load
 }
 
 // NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{customers: map[string]*metered{}} }
 
-// Offered counts one request by its weight, whether it is taken or not. The entry
+// RecordOffered counts one request by its weight, whether it is taken or not. The entry
 // that sent it wants to be told from the levels of above on, zero meaning never;
 // see Above.
-func (m *Meter) Offered(customer string, weight float64, above Echo, now time.Time) {
+func (m *Meter) RecordOffered(customer string, weight float64, above Load, now time.Time) {
 	c := m.customers[customer]
 	if c == nil {
 		c = &metered{}
@@ -58,15 +58,15 @@
 	c.add(max(weight, 1), now)
 }
 
-// Echoes returns what is worth telling, given the requests in progress by
+// Loads returns what is worth telling, given the requests in progress by
 // customer. Customers of whom nothing is left are forgotten.
-func (m *Meter) Echoes(running map[string]int, now time.Time) []Named {
-	var out []Named
+func (m *Meter) Loads(running map[string]int, now time.Time) []CustomerLoad {
+	var out []CustomerLoad
 	for id, c := range m.customers {
-		e := Echo{Demand: c.rate(now), Running: running[id]}
+		e := Load{Demand: c.rate(now), Running: running[id]}
 		switch {
 		case c.above.Demand > 0 && e.Demand >= c.above.Demand, c.above.Running > 0 && e.Running >= c.above.Running:
-			out = append(out, Named{id, e})
+			out = append(out, CustomerLoad{id, e})
 		case e.Running == 0 && e.Demand < forgotten:
 			delete(m.customers, id)
 		}
@@ -77,11 +77,11 @@
 // forgotten is the rate per second under which a customer isn't metered any more.
 const forgotten = 1e-3
 
-// Above returns the levels from which the echo of one sidecar is worth its bytes:
+// ReportThreshold returns the levels from which the echo of one sidecar is worth its bytes:
 // those at which, were they the same at all, half of a limit were reached.
-func Above(t Terms, sidecars int) Echo {
+func ReportThreshold(t Terms, sidecars int) Load {
 	n := float64(max(sidecars, 1))
-	above := Echo{Demand: t.Rate / 2 / n}
+	above := Load{Demand: t.Rate / 2 / n}
 	if t.Concurrent > 0 {
 		above.Running = int(math.Ceil(float64(t.Concurrent) / 2 / n))
 	}
--- a/policy/limit/shared.go
+++ b/policy/limit/shared.go
@@ -7,7 +7,7 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-// Shared holds customers to quotas by what all processes tell each other of what they have used. Each keeps the bucket
+// SharedQuotas holds customers to quotas by what all processes tell each other of what they have used. Each keeps the bucket
 // of all: it takes from it what it admits itself at once, and what others admit as soon as it hears of it.
 //
 // Load pattern: a customer sends several times its quota for some seconds, through many processes or a few, while its
@@ -18,7 +18,7 @@
 //
 // A request is admitted while anything is left, whatever it costs, and what it takes beyond is owed. Were as much left
 // as it costs to be waited for, small requests would pass all larger ones.
-type Shared struct {
+type SharedQuotas struct {
 	accounts map[string]*account
 	members  map[string]*member
 	// silence is the time after which a member that was not heard counts as silent. beat is the pause after which a process
@@ -83,12 +83,12 @@
 	apart bool
 }
 
-// Told is what one process tells of one customer: sums since its start, which only grow.
-type Told struct {
+// ReportedUsage is what one process tells of one customer: sums since its start, which only grow.
+type ReportedUsage struct {
 	Customer          string
 	Charged, Returned float64
-	// Demand is in units per second, Left what is left of the quota of all.
-	Demand, Left float64
+	// Demand is in units per second, Remaining what is left of the quota of all.
+	Demand, Remaining float64
 }
 
 const (
@@ -118,8 +118,8 @@
 	// tightFor is how long a process goes on telling once a quota is not nearly used up any more as it sees it: others may
 	// see it a little later.
 	tightFor = 2 * time.Second
-	// RefreshEvery is the pause between two calls of Refresh.
-	RefreshEvery = 100 * time.Millisecond
+	// MemberCheckInterval is the pause between two calls of Refresh.
+	MemberCheckInterval = 100 * time.Millisecond
 	// memberForgotten is how long a silent member's share is set apart for it.
 	memberForgotten = 30 * time.Second
 	// activeFor is how long a customer is told of after its last request.
@@ -132,27 +132,27 @@
 	mostPromised = 10
 )
 
-// NewShared returns the quotas of a process that starts now.
-func NewShared(now time.Time) *Shared {
-	return &Shared{accounts: map[string]*account{}, members: map[string]*member{}, started: now, silence: time.Second, beat: leastBeat}
+// NewSharedQuotas returns the quotas of a process that starts now.
+func NewSharedQuotas(now time.Time) *SharedQuotas {
+	return &SharedQuotas{accounts: map[string]*account{}, members: map[string]*member{}, started: now, silence: time.Second, beat: leastBeat}
 }
 
-// WithoutBeats has members that fall silent found by their reports alone: of quotas that are always nearly used up, where
+// WithoutHeartbeats has members that fall silent found by their reports alone: of quotas that are always nearly used up, where
 // what a member takes meanwhile does little harm, nothing need be told that has not changed.
-func (s *Shared) WithoutBeats() *Shared {
+func (s *SharedQuotas) WithoutHeartbeats() *SharedQuotas {
 	s.beatless = true
 	return s
 }
 
-// SetPace takes the pause between two reports of a pair of processes.
-func (s *Shared) SetPace(pace time.Duration) {
+// SetReportInterval takes the pause between two reports of a pair of processes.
+func (s *SharedQuotas) SetReportInterval(pace time.Duration) {
 	s.pace = pace
 	s.silence = max(leastSilence, time.Duration(silentPaces*float64(pace)))
 	s.beat = max(leastBeat, pace/beatsInPace)
 }
 
-// Keep drops the customers that want does not name.
-func (s *Shared) Keep(want func(customer string) bool) {
+// Retain drops the customers that want does not name.
+func (s *SharedQuotas) Retain(want func(customer string) bool) {
 	for name := range s.accounts {
 		if !want(name) {
 			delete(s.accounts, name)
@@ -161,10 +161,12 @@
 }
 
 // Configure sets the quota of a customer.
-func (s *Shared) Configure(customer string, t Terms, now time.Time) { s.account(customer, t, now) }
+func (s *SharedQuotas) Configure(customer string, t Terms, now time.Time) {
+	s.account(customer, t, now)
+}
 
 // account returns the account of a customer, brought up to now. With a quota that was raised what is left grows with it.
-func (s *Shared) account(customer string, t Terms, now time.Time) *account {
+func (s *SharedQuotas) account(customer string, t Terms, now time.Time) *account {
 	a := s.accounts[customer]
 	if a == nil {
 		a = &account{rate: t.Rate, burst: t.Burst, left: t.Burst, at: now, members: map[string]*usage{}}
@@ -205,7 +207,7 @@
 }
 
 // Admit implements Limiter.
-func (s *Shared) Admit(customer string, t Terms, now time.Time, _ *rand.Rand) Decision {
+func (s *SharedQuotas) Admit(customer string, t Terms, now time.Time, _ *rand.Rand) Decision {
 	if t.Rate <= 0 {
 		return admitted(1)
 	}
@@ -225,17 +227,17 @@
 // mostFree bounds what Free returns.
 const mostFree = time.Hour
 
-// Owe has a customer's quota begin with a debt, which every process knows of itself.
-func (s *Shared) Owe(customer string, cost float64, now time.Time) {
+// StartInDebt has a customer's quota begin with a debt, which every process knows of itself.
+func (s *SharedQuotas) StartInDebt(customer string, cost float64, now time.Time) {
 	if a := s.accounts[customer]; a != nil {
 		a.refill(now)
 		a.left = min(a.left, -cost)
 	}
 }
 
-// Free is how long it takes until a request of a customer would be admitted. Below zero it is how long one would have been
+// TimeToAdmit is how long it takes until a request of a customer would be admitted. Below zero it is how long one would have been
 // already.
-func (s *Shared) Free(customer string, t Terms, now time.Time) time.Duration {
+func (s *SharedQuotas) TimeToAdmit(customer string, t Terms, now time.Time) time.Duration {
 	a := s.account(customer, t, now)
 	rate := max(a.rate*a.usable(), 1e-9)
 	return time.Duration(min((s.untouched(a, now)-a.left)/rate, mostFree.Seconds()) * float64(time.Second))
@@ -243,7 +245,7 @@
 
 // untouched is what of the bucket is not used right after a start: a process meets the others within some tenths of a second,
 // and leaves them most of it until one was heard.
-func (s *Shared) untouched(a *account, now time.Time) float64 {
+func (s *SharedQuotas) untouched(a *account, now time.Time) float64 {
 	if len(s.members) > 0 || now.Sub(s.started) >= assumedFor {
 		return 0
 	}
@@ -259,7 +261,7 @@
 }
 
 // Return gives back what was charged for a request that has not run.
-func (s *Shared) Return(customer string, cost float64, now time.Time) {
+func (s *SharedQuotas) Return(customer string, cost float64, now time.Time) {
 	a := s.accounts[customer]
 	if a == nil {
 		return
@@ -271,14 +273,14 @@
 	s.noteUntold(a)
 }
 
-func (s *Shared) noteUntold(a *account) {
+func (s *SharedQuotas) noteUntold(a *account) {
 	if change := a.charged - a.returned - a.told; change >= toldPart*a.burst || -change >= toldPart*a.burst {
 		s.untold = true
 	}
 }
 
-// Untold reports whether something is worth telling at once.
-func (s *Shared) Untold(now time.Time) bool {
+// UpdateDue reports whether something is worth telling at once.
+func (s *SharedQuotas) UpdateDue(now time.Time) bool {
 	if s.untold {
 		return true
 	}
@@ -294,34 +296,34 @@
 func (a *account) tight() bool { return a.left < a.burst*a.usable()/2 }
 
 // beats reports whether this process has to show that it uses a quota that is nearly used up.
-func (s *Shared) beats(a *account, now time.Time) bool {
+func (s *SharedQuotas) beats(a *account, now time.Time) bool {
 	return !s.beatless && now.Sub(a.active) < activeFor && now.Sub(a.tightAt) < tightFor
 }
 
 // State is what is known of one customer's quota.
 type State struct {
 	Rate, Burst float64
-	// Left is what is left of it for this process and those that it hears; Apart is the share that is set apart for others.
-	Left, Apart float64
+	// Remaining is what is left of it for this process and those that it hears; ReservedShare is the share that is set apart for others.
+	Remaining, ReservedShare float64
 	// Charged is what was admitted here and has run, Demand what is asked for here a second.
 	Charged, Demand float64
 }
 
 // States returns the state of each customer that has a quota.
-func (s *Shared) States(now time.Time) map[string]State {
+func (s *SharedQuotas) States(now time.Time) map[string]State {
 	out := make(map[string]State, len(s.accounts))
 	for name, a := range s.accounts {
 		a.refill(now)
 		out[name] = State{
-			Rate: a.rate, Burst: a.burst, Left: a.left, Apart: 1 - a.usable(),
+			Rate: a.rate, Burst: a.burst, Remaining: a.left, ReservedShare: 1 - a.usable(),
 			Charged: a.charged - a.returned, Demand: a.offered.rate(now),
 		}
 	}
 	return out
 }
 
-// Silent is the number of members that are not heard.
-func (s *Shared) Silent() int {
+// UnresponsiveMembers is the number of members that are not heard.
+func (s *SharedQuotas) UnresponsiveMembers() int {
 	silent := 0
 	for _, m := range s.members {
 		if m.silent {
@@ -332,7 +334,7 @@
 }
 
 // Done implements Limiter; requests in progress are not bounded here.
-func (s *Shared) Done(string) {}
+func (s *SharedQuotas) Done(string) {}
 
 // Observe implements Limiter; what servers tell plays no part.
-func (s *Shared) Observe(string, string, Echo, float64, time.Time) {}
+func (s *SharedQuotas) Observe(string, string, Load, float64, time.Time) {}
--- a/policy/limit/shared_sim_test.go
+++ b/policy/limit/shared_sim_test.go
@@ -284,7 +284,7 @@
 func (s *sim) lost(from, to int, at time.Time) {
 	g, other := s.gateways[to], s.gateways[from]
 	if shared, ok := g.way.(sharedWay); ok && s.works(to) && (g.cut || other.cut || other.frozen) {
-		shared.Lost(fmt.Sprint(from), at)
+		shared.MarkUnresponsive(fmt.Sprint(from), at)
 	}
 }
 
--- a/policy/limit/shared_test.go
+++ b/policy/limit/shared_test.go
@@ -18,13 +18,13 @@
 var quota = Terms{Rate: 1000, Burst: 1000, Cost: 100}
 
 // learned is a process that has run for long enough to know what is left.
-func learned() *Shared {
-	s := NewShared(start.Add(-learnFor))
+func learned() *SharedQuotas {
+	s := NewSharedQuotas(start.Add(-learnFor))
 	s.Configure(customer, quota, start)
 	return s
 }
 
-func admit(s *Shared, times int, now time.Time) (admitted int, last Decision) {
+func admit(s *SharedQuotas, times int, now time.Time) (admitted int, last Decision) {
 	for range times {
 		last = s.Admit(customer, quota, now, nil)
 		if last.Admitted {
@@ -48,11 +48,11 @@
 	s.Return(customer, 300, start.Add(time.Hour))
 	n, _ = admit(s, 20, start.Add(time.Hour))
 	assert.Equal(t, n, 3, "what did not run is given back")
-	fresh := NewShared(start)
+	fresh := NewSharedQuotas(start)
 	n, _ = admit(fresh, 20, start)
 	assert.Equal(t, n, 1, "an eighth of that right after a start, since nobody was heard yet")
-	fresh = NewShared(start)
-	fresh.Hear("other", 1, false, true, nil, start)
+	fresh = NewSharedQuotas(start)
+	fresh.Receive("other", 1, false, true, nil, start)
 	n, _ = admit(fresh, 20, start)
 	assert.Equal(t, n, 5, "half of it while nobody knows what is left")
 	_, last = admit(s, 1, start)
@@ -91,22 +91,22 @@
 // TestWhatOthersUsedIsTakenOff: messages may be lost, come twice or in another order.
 func TestWhatOthersUsedIsTakenOff(t *testing.T) {
 	a, b := learned(), learned()
-	b.Hear("a", 1, true, true, nil, start)
+	b.Receive("a", 1, true, true, nil, start)
 	admit(a, 2, start)
-	first, informed := a.Tell(true, start)
+	first, informed := a.Report(true, start)
 	assert.Assert(t, informed)
 	admit(a, 1, start)
-	second, _ := a.Tell(true, start)
-	for _, told := range [][]Told{second, first, second} {
-		b.Hear("a", 1, true, false, told, start)
+	second, _ := a.Report(true, start)
+	for _, told := range [][]ReportedUsage{second, first, second} {
+		b.Receive("a", 1, true, false, told, start)
 	}
 	n, _ := admit(b, 20, start)
 	assert.Equal(t, n, 7)
-	again, _ := a.Tell(true, start)
+	again, _ := a.Report(true, start)
 	assert.Equal(t, len(again), 0, "nothing has changed")
-	whole, _ := a.Tell(false, start)
+	whole, _ := a.Report(false, start)
 	assert.Equal(t, len(whole), 1)
-	gone, _ := a.Tell(false, start.Add(activeFor))
+	gone, _ := a.Report(false, start.Add(activeFor))
 	assert.Equal(t, len(gone), 0, "it is not active any more")
 }
 
@@ -115,11 +115,11 @@
 func TestNewProcessLearnsWhatIsLeft(t *testing.T) {
 	old := learned()
 	admit(old, 10, start)
-	told, informed := old.Tell(false, start)
+	told, informed := old.Report(false, start)
 	told[0].Charged += 50_000
-	fresh := NewShared(start)
+	fresh := NewSharedQuotas(start)
 	fresh.Configure(customer, quota, start)
-	fresh.Hear("old", 7, informed, true, told, start)
+	fresh.Receive("old", 7, informed, true, told, start)
 	n, _ := admit(fresh, 20, start)
 	assert.Equal(t, n, 0)
 	n, _ = admit(fresh, 20, start.Add(time.Second))
@@ -133,12 +133,12 @@
 	old := learned()
 	old.Configure("other", quota, start)
 	admit(old, 10, start)
-	usedUp, _ := old.Tell(true, start)
-	fresh := NewShared(start)
+	usedUp, _ := old.Report(true, start)
+	fresh := NewSharedQuotas(start)
 	fresh.Configure(customer, quota, start)
 	fresh.Configure("other", quota, start)
-	fresh.Hear("old", 7, true, false, []Told{{Customer: "other", Charged: 100, Left: 900}}, start)
-	fresh.Hear("old", 7, true, false, usedUp, start)
+	fresh.Receive("old", 7, true, false, []ReportedUsage{{Customer: "other", Charged: 100, Remaining: 900}}, start)
+	fresh.Receive("old", 7, true, false, usedUp, start)
 	n, _ := admit(fresh, 20, start)
 	assert.Equal(t, n, 0)
 }
@@ -148,16 +148,16 @@
 func TestHeardBeforeConfigured(t *testing.T) {
 	old := learned()
 	admit(old, 10, start)
-	told, informed := old.Tell(false, start)
-	fresh := NewShared(start)
-	fresh.Hear("old", 7, informed, true, told, start)
+	told, informed := old.Report(false, start)
+	fresh := NewSharedQuotas(start)
+	fresh.Receive("old", 7, informed, true, told, start)
 	fresh.Configure(customer, quota, start)
 	n, _ := admit(fresh, 20, start)
 	assert.Equal(t, n, 5)
-	fresh = NewShared(start)
-	fresh.Hear("old", 7, informed, true, told, start)
+	fresh = NewSharedQuotas(start)
+	fresh.Receive("old", 7, informed, true, told, start)
 	fresh.Configure(customer, quota, start)
-	fresh.Hear("old", 7, informed, true, told, start)
+	fresh.Receive("old", 7, informed, true, told, start)
 	n, _ = admit(fresh, 20, start)
 	assert.Equal(t, n, 0)
 }
@@ -168,7 +168,7 @@
 	s := learned()
 	const members = 9
 	hear := func(i int, charged float64, now time.Time) {
-		s.Hear(fmt.Sprint(i), 1, true, true, []Told{{Customer: customer, Charged: charged, Demand: 500}}, now)
+		s.Receive(fmt.Sprint(i), 1, true, true, []ReportedUsage{{Customer: customer, Charged: charged, Demand: 500}}, now)
 	}
 	for i := range members {
 		hear(i, 0, start)
@@ -178,7 +178,7 @@
 	for i := range members - 1 {
 		hear(i, 0, later)
 	}
-	s.Refresh(later)
+	s.CheckMembers(later)
 	a := s.accounts[customer]
 	assert.Assert(t, a.apart > 0.09 && a.apart < 0.11, "%.3f", a.apart)
 	n, _ := admit(s, 20, later)
@@ -195,17 +195,17 @@
 func TestAloneKeepsToItsShare(t *testing.T) {
 	s := learned()
 	for i := range 9 {
-		s.Hear(fmt.Sprint(i), 1, true, true, []Told{{Customer: customer, Demand: 500}}, start)
+		s.Receive(fmt.Sprint(i), 1, true, true, []ReportedUsage{{Customer: customer, Demand: 500}}, start)
 	}
 	s.accounts[customer].demand = 500
 	cut := start.Add(500 * time.Millisecond)
-	s.Refresh(cut)
+	s.CheckMembers(cut)
 	assert.Assert(t, s.accounts[customer].left > 99 && s.accounts[customer].left < 101)
 	n, _ := admit(s, 20, cut)
 	assert.Assert(t, n <= 2)
 	s.account(customer, quota, cut.Add(10*time.Second))
 	assert.Assert(t, s.accounts[customer].left < 101, "a tenth of the burst at most")
-	s.Refresh(start.Add(memberForgotten))
+	s.CheckMembers(start.Add(memberForgotten))
 	n, _ = admit(s, 20, start.Add(memberForgotten+10*time.Second))
 	assert.Equal(t, n, 10, "the others are forgotten")
 }
@@ -221,7 +221,7 @@
 	assert.Equal(t, s.accounts[customer].left, 2000.0)
 	s.Configure(customer, lowered, start)
 	assert.Equal(t, s.accounts[customer].left, 200.0)
-	s.Keep(func(string) bool { return false })
+	s.Retain(func(string) bool { return false })
 	assert.Equal(t, len(s.accounts), 0)
 }
 
@@ -230,7 +230,7 @@
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			s := learned()
 			for i := range members {
-				s.Hear(fmt.Sprint(i), 1, true, true, []Told{{Customer: customer, Demand: 5}}, start)
+				s.Receive(fmt.Sprint(i), 1, true, true, []ReportedUsage{{Customer: customer, Demand: 5}}, start)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -243,15 +243,15 @@
 // TestFree: when a request would be admitted, as Admit says at that moment.
 func TestFree(t *testing.T) {
 	s := learned()
-	assert.Check(t, s.Free(customer, quota, start) < 0)
-	s.Owe(customer, 500, start)
-	free := s.Free(customer, quota, start)
+	assert.Check(t, s.TimeToAdmit(customer, quota, start) < 0)
+	s.StartInDebt(customer, 500, start)
+	free := s.TimeToAdmit(customer, quota, start)
 	assert.Equal(t, free, 500*time.Millisecond)
 	n, _ := admit(s, 1, start.Add(free-time.Millisecond))
 	assert.Equal(t, n, 0)
 	n, _ = admit(s, 1, start.Add(free+time.Millisecond))
 	assert.Equal(t, n, 1)
-	s.Owe("nobody", 1, start)
+	s.StartInDebt("nobody", 1, start)
 }
 
 // TestWithoutBeats: a quota that is nearly used up is told of when it is used and not besides, and nobody counts as silent for
@@ -260,16 +260,16 @@
 	for _, beats := range []bool{true, false} {
 		s := learned()
 		if !beats {
-			s.WithoutBeats()
+			s.WithoutHeartbeats()
 		}
-		s.Hear("other", 1, true, true, []Told{{Customer: customer, Charged: 900, Left: 100}}, start)
+		s.Receive("other", 1, true, true, []ReportedUsage{{Customer: customer, Charged: 900, Remaining: 100}}, start)
 		admit(s, 10, start)
-		s.Tell(true, start)
+		s.Report(true, start)
 		later := start.Add(500 * time.Millisecond)
-		s.Owe(customer, 0, later)
-		assert.Equal(t, s.Untold(later), beats)
-		s.Hear("other", 1, true, false, nil, start.Add(100*time.Millisecond))
-		s.Refresh(start.Add(110 * time.Millisecond))
-		assert.Equal(t, s.Silent(), 0)
+		s.StartInDebt(customer, 0, later)
+		assert.Equal(t, s.UpdateDue(later), beats)
+		s.Receive("other", 1, true, false, nil, start.Add(100*time.Millisecond))
+		s.CheckMembers(start.Add(110 * time.Millisecond))
+		assert.Equal(t, s.UnresponsiveMembers(), 0)
 	}
 }
--- a/policy/limit/shared_ways_test.go
+++ b/policy/limit/shared_ways_test.go
@@ -16,16 +16,16 @@
 }
 
 // sharedWay is the one that is kept.
-type sharedWay struct{ *Shared }
+type sharedWay struct{ *SharedQuotas }
 
 func newSharedWay(gateways int, now time.Time) simWay {
-	s := NewShared(now)
-	s.SetPace(simPace(gateways))
+	s := NewSharedQuotas(now)
+	s.SetReportInterval(simPace(gateways))
 	return sharedWay{s}
 }
 
 type simTold struct {
-	told          []Told
+	told          []ReportedUsage
 	informed, all bool
 }
 
@@ -34,19 +34,19 @@
 }
 
 func (w sharedWay) tell(changes bool, now time.Time) any {
-	if changes && !w.Untold(now) {
+	if changes && !w.UpdateDue(now) {
 		return nil
 	}
-	told, informed := w.Tell(changes, now)
+	told, informed := w.Report(changes, now)
 	return simTold{told, informed, !changes}
 }
 
 func (w sharedWay) hear(from int, incarnation uint64, message any, now time.Time) {
 	m := message.(simTold)
-	w.Hear(fmt.Sprint(from), incarnation, m.informed, m.all, m.told, now)
+	w.Receive(fmt.Sprint(from), incarnation, m.informed, m.all, m.told, now)
 }
 
-func (w sharedWay) refresh(now time.Time) { w.Refresh(now) }
+func (w sharedWay) refresh(now time.Time) { w.CheckMembers(now) }
 
 // evenWay gives each gateway its even part.
 type evenWay struct{ Limiter }
--- a/policy/limit/static.go
+++ b/policy/limit/static.go
@@ -47,4 +47,4 @@
 }
 
 // Observe implements Limiter; echoes play no part.
-func (s *static) Observe(string, string, Echo, float64, time.Time) {}
+func (s *static) Observe(string, string, Load, float64, time.Time) {}
--- a/policy/limit/tell.go
+++ b/policy/limit/tell.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Tell returns what is to be told, and whether what is left is known here: to all other processes what they were not told
+// Report returns what is to be told, and whether what is left is known here: to all other processes what they were not told
 // yet, with changes, and to one of them all customers that were active of late, without.
-func (s *Shared) Tell(changes bool, now time.Time) (told []Told, informed bool) {
+func (s *SharedQuotas) Report(changes bool, now time.Time) (told []ReportedUsage, informed bool) {
 	s.untold = s.untold && !changes
 	apart := s.isolated()
 	for name, a := range s.accounts {
@@ -19,24 +19,24 @@
 		if changes {
 			a.told, a.toldAt = a.charged-a.returned, now
 		}
-		told = append(told, Told{Customer: name, Charged: a.charged, Returned: a.returned, Demand: a.demand, Left: a.left})
+		told = append(told, ReportedUsage{Customer: name, Charged: a.charged, Returned: a.returned, Demand: a.demand, Remaining: a.left})
 	}
 	return told, s.isInformed(now)
 }
 
-func (s *Shared) isInformed(now time.Time) bool {
+func (s *SharedQuotas) isInformed(now time.Time) bool {
 	s.informed = s.informed || now.Sub(s.started) >= learnFor
 	return s.informed
 }
 
 // isolated reports whether more than half of the members are silent.
-func (s *Shared) isolated() bool {
-	return 2*s.Silent() > len(s.members)
+func (s *SharedQuotas) isolated() bool {
+	return 2*s.UnresponsiveMembers() > len(s.members)
 }
 
-// Hear takes what a member told. With all it told of every customer that is active there, without only of those whose use
+// Receive takes what a member told. With all it told of every customer that is active there, without only of those whose use
 // has changed.
-func (s *Shared) Hear(source string, incarnation uint64, informed, all bool, told []Told, now time.Time) {
+func (s *SharedQuotas) Receive(source string, incarnation uint64, informed, all bool, told []ReportedUsage, now time.Time) {
 	m := s.members[source]
 	if m == nil || m.incarnation != incarnation {
 		s.forget(source)
@@ -52,7 +52,7 @@
 			a.backAgain(source, now)
 			a.hear(source, t, fresh, now)
 			if learn && !a.learned {
-				a.left, a.learned = min(a.left, t.Left), true
+				a.left, a.learned = min(a.left, t.Remaining), true
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 
 // hear takes what a member told of the customer. The first that it tells counts from its start, so that it is not charged
 // by a process that is fresh, nor if it is more than can be recent.
-func (a *account) hear(source string, t Told, fresh bool, now time.Time) {
+func (a *account) hear(source string, t ReportedUsage, fresh bool, now time.Time) {
 	u := a.member(source)
 	charged, returned := max(t.Charged, u.charged), max(t.Returned, u.returned)
 	delta := charged - u.charged - (returned - u.returned)
@@ -78,7 +78,7 @@
 		u.used = now
 	}
 	u.charged, u.returned, u.demand = charged, returned, t.Demand
-	u.beats = t.Left < a.burst/2
+	u.beats = t.Remaining < a.burst/2
 	if u.known || !fresh && delta <= a.burst {
 		a.left -= delta
 	}
@@ -96,21 +96,21 @@
 	return u
 }
 
-// Refresh looks for members that have fallen silent.
-func (s *Shared) Refresh(now time.Time) {
+// CheckMembers looks for members that have fallen silent.
+func (s *SharedQuotas) CheckMembers(now time.Time) {
 	alone := now.Sub(s.heard) >= max(leastAlone, alonePauses*s.pace/time.Duration(max(len(s.members), 1)))
 	for source, m := range s.members {
 		quiet := now.Sub(m.heard)
 		if quiet >= memberForgotten {
 			s.forget(source)
-		} else if alone || quiet >= s.silence || (!s.beatless && quiet >= beatsMissed*(s.beat+RefreshEvery) && s.owesBeats(source, now)) {
+		} else if alone || quiet >= s.silence || (!s.beatless && quiet >= beatsMissed*(s.beat+MemberCheckInterval) && s.owesBeats(source, now)) {
 			s.setSilent(source, m, now)
 		}
 	}
 }
 
 // owesBeats reports whether a member used a quota that is nearly used up, when it was last heard.
-func (s *Shared) owesBeats(source string, now time.Time) bool {
+func (s *SharedQuotas) owesBeats(source string, now time.Time) bool {
 	for _, a := range s.accounts {
 		if u := a.members[source]; u != nil && u.beats && a.tight() && now.Sub(u.used) < activeFor-s.beat {
 			return true
@@ -119,14 +119,14 @@
 	return false
 }
 
-// Lost notes that a member does not answer.
-func (s *Shared) Lost(source string, now time.Time) {
+// MarkUnresponsive notes that a member does not answer.
+func (s *SharedQuotas) MarkUnresponsive(source string, now time.Time) {
 	if m := s.members[source]; m != nil {
 		s.setSilent(source, m, now)
 	}
 }
 
-func (s *Shared) setSilent(source string, m *member, now time.Time) {
+func (s *SharedQuotas) setSilent(source string, m *member, now time.Time) {
 	if m.silent {
 		return
 	}
@@ -165,7 +165,7 @@
 }
 
 // forget drops a member. What was set apart for it is there for all from now on; what it had is not.
-func (s *Shared) forget(source string) {
+func (s *SharedQuotas) forget(source string) {
 	delete(s.members, source)
 	for _, a := range s.accounts {
 		if u := a.members[source]; u != nil {
--- a/policy/serverlimit/routers_test.go
+++ b/policy/serverlimit/routers_test.go
@@ -26,7 +26,7 @@
 type news struct {
 	all      bool
 	informed bool
-	used     []limit.Told
+	used     []limit.ReportedUsage
 }
 
 // together is the way of this package.
@@ -41,15 +41,15 @@
 func (w together) take(now time.Time) bool { return w.Take("a", now) }
 
 func (w together) tell(all bool, now time.Time) *news {
-	if !all && !w.Used().Untold(now) {
+	if !all && !w.Usage().UpdateDue(now) {
 		return nil
 	}
-	told, informed := w.Used().Tell(!all, now)
+	told, informed := w.Usage().Report(!all, now)
 	return &news{all: all, informed: informed, used: told}
 }
 
 func (w together) hear(from int, n *news, now time.Time) {
-	w.Used().Hear(fmt.Sprint(from), 1, n.informed, n.all, n.used, now)
+	w.Usage().Receive(fmt.Sprint(from), 1, n.informed, n.all, n.used, now)
 }
 
 // atOnce is the same without turns.
--- a/policy/serverlimit/serverlimit.go
+++ b/policy/serverlimit/serverlimit.go
@@ -38,8 +38,8 @@
 
 // Limit is what a server said that it takes.
 type Limit struct {
-	// Named is set if it takes no more than PerSecond requests a second.
-	Named     bool
+	// Limited is set if it takes no more than PerSecond requests a second.
+	Limited   bool
 	PerSecond float64
 }
 
@@ -58,7 +58,7 @@
 // Limits is what one router knows of the limits of servers, and of what all routers sent there.
 type Limits struct {
 	servers map[string]*server
-	used    *limit.Shared
+	used    *limit.SharedQuotas
 	rng     *rand.Rand
 	routers int
 }
@@ -71,20 +71,20 @@
 
 // New returns the limits of a process that starts now. Seeds differ between routers.
 func New(seed uint64, now time.Time) *Limits {
-	return &Limits{servers: map[string]*server{}, used: limit.NewShared(now).WithoutBeats(), rng: rand.New(rand.NewPCG(seed, 0)), routers: 1}
+	return &Limits{servers: map[string]*server{}, used: limit.NewSharedQuotas(now).WithoutHeartbeats(), rng: rand.New(rand.NewPCG(seed, 0)), routers: 1}
 }
 
 // SetRouters takes the number of routers that send requests, this one included.
 func (l *Limits) SetRouters(n int) { l.routers = max(n, 1) }
 
-// Used is what routers tell each other of the requests that they sent to servers with limits.
-func (l *Limits) Used() *limit.Shared { return l.used }
+// Usage is what routers tell each other of the requests that they sent to servers with limits.
+func (l *Limits) Usage() *limit.SharedQuotas { return l.used }
 
 // Update takes what a server said, to this router or to another, and reports whether its limit has changed. What is older
 // than what is known changes nothing.
 func (l *Limits) Update(id string, st Statement, now time.Time) bool {
 	s, known := l.servers[id]
-	if !known && !st.Named {
+	if !known && !st.Limited {
 		return false
 	}
 	if !known {
@@ -99,13 +99,13 @@
 	if before == st.Limit {
 		return false
 	}
-	if st.Named {
+	if st.Limited {
 		l.used.Configure(id, s.terms(), now)
 	}
-	if !before.Named {
+	if !before.Limited {
 		// The request is owed whose answer named the limit. Every router learns of it in the same few milliseconds: with a
 		// full bucket all would take from it at once.
-		l.used.Owe(id, 1, now)
+		l.used.StartInDebt(id, 1, now)
 		s.turn = l.rng.Float64()
 	}
 	return true
@@ -121,15 +121,15 @@
 func (l *Limits) Count() int {
 	n := 0
 	for _, s := range l.servers {
-		if s.latest.Named {
+		if s.latest.Limited {
 			n++
 		}
 	}
 	return n
 }
 
-// Of is the limit of a server.
-func (l *Limits) Of(id string) Limit {
+// LimitOf is the limit of a server.
+func (l *Limits) LimitOf(id string) Limit {
 	if s, ok := l.servers[id]; ok {
 		return s.latest.Limit
 	}
@@ -139,18 +139,18 @@
 // Wait is how long a server is to be sent no request; zero if it may be sent one now.
 func (l *Limits) Wait(id string, now time.Time) time.Duration {
 	s, ok := l.servers[id]
-	if !ok || !s.latest.Named {
+	if !ok || !s.latest.Limited {
 		return 0
 	}
 	t := s.terms()
 	all := min(time.Duration(l.routers-1)*turn, time.Duration(turnsShare/t.Rate*float64(time.Second)))
-	return max(l.used.Free(id, t, now)+time.Duration(s.turn*float64(all)), 0)
+	return max(l.used.TimeToAdmit(id, t, now)+time.Duration(s.turn*float64(all)), 0)
 }
 
 // Take notes a request that is sent to a server, and reports whether it may be.
 func (l *Limits) Take(id string, now time.Time) bool {
 	s, ok := l.servers[id]
-	if !ok || !s.latest.Named {
+	if !ok || !s.latest.Limited {
 		return true
 	}
 	if l.Wait(id, now) > 0 || !l.used.Admit(id, s.terms(), now, nil).Admitted {
@@ -160,31 +160,31 @@
 	return true
 }
 
-// GiveBack notes that a request that was taken was not sent.
-func (l *Limits) GiveBack(id string, now time.Time) { l.used.Return(id, 1, now) }
+// Return notes that a request that was taken was not sent.
+func (l *Limits) Return(id string, now time.Time) { l.used.Return(id, 1, now) }
 
-// Forget drops servers that known does not name.
-func (l *Limits) Forget(known func(id string) bool) {
+// Retain drops servers that known does not name.
+func (l *Limits) Retain(known func(id string) bool) {
 	for id := range l.servers {
 		if !known(id) {
 			delete(l.servers, id)
 		}
 	}
-	l.used.Keep(known)
+	l.used.Retain(known)
 }
 
-// Told is what is told of one server.
-type Told struct {
+// ReportedLimit is what is told of one server.
+type ReportedLimit struct {
 	ID string
 	Statement
 }
 
-// Tell returns the limits that other routers are to know, and those that ended a while ago.
-func (l *Limits) Tell(now time.Time) []Told {
-	var out []Told
+// Report returns the limits that other routers are to know, and those that ended a while ago.
+func (l *Limits) Report(now time.Time) []ReportedLimit {
+	var out []ReportedLimit
 	for id, s := range l.servers {
-		if s.latest.Named || now.Sub(s.latest.At) < endToldFor {
-			out = append(out, Told{ID: id, Statement: s.latest})
+		if s.latest.Limited || now.Sub(s.latest.At) < endToldFor {
+			out = append(out, ReportedLimit{ID: id, Statement: s.latest})
 		}
 	}
 	return out
--- a/policy/serverlimit/serverlimit_test.go
+++ b/policy/serverlimit/serverlimit_test.go
@@ -13,7 +13,7 @@
 
 // named is a server's limit as an answer of that time names it.
 func named(perSecond float64, now time.Time) Statement {
-	return Statement{Limit: Limit{Named: true, PerSecond: perSecond}, At: now}
+	return Statement{Limit: Limit{Limited: true, PerSecond: perSecond}, At: now}
 }
 
 // old is a process that knows by itself what is left of limits.
@@ -33,7 +33,7 @@
 	l := old()
 	assert.Equal(t, take(l, "a", 100, 0), 100, "no limit is known")
 	assert.Assert(t, l.Update("a", named(2, start), start))
-	assert.Equal(t, l.Of("a"), Limit{Named: true, PerSecond: 2})
+	assert.Equal(t, l.LimitOf("a"), Limit{Limited: true, PerSecond: 2})
 	sent := take(l, "a", 1000, 10*time.Millisecond)
 	assert.Check(t, sent >= 19 && sent <= 22, "%d in ten seconds", sent)
 	assert.Equal(t, take(l, "b", 100, 0), 100, "another server")
@@ -65,7 +65,7 @@
 	l := old()
 	l.Update("a", named(1, start), start)
 	l.Update("b", named(1, start), start)
-	l.Forget(func(id string) bool { return id == "b" })
+	l.Retain(func(id string) bool { return id == "b" })
 	assert.Equal(t, l.Count(), 1)
 	assert.Equal(t, take(l, "a", 10, 0), 10)
 }
@@ -76,15 +76,15 @@
 	now := at(3 * time.Second)
 	assert.Assert(t, l.Take("a", now))
 	assert.Assert(t, !l.Take("a", now))
-	l.GiveBack("a", now)
+	l.Return("a", now)
 	assert.Assert(t, l.Take("a", now))
 }
 
 func TestEndsAreToldForAWhile(t *testing.T) {
 	l := old()
 	l.Update("a", named(1, start), start)
-	assert.Equal(t, len(l.Tell(at(time.Hour))), 1)
+	assert.Equal(t, len(l.Report(at(time.Hour))), 1)
 	l.Update("a", Statement{At: at(time.Second)}, at(time.Second))
-	assert.DeepEqual(t, l.Tell(at(2*time.Second)), []Told{{ID: "a", Statement: Statement{At: at(time.Second)}}})
-	assert.Equal(t, len(l.Tell(at(time.Second+endToldFor))), 0)
+	assert.DeepEqual(t, l.Report(at(2*time.Second)), []ReportedLimit{{ID: "a", Statement: Statement{At: at(time.Second)}}})
+	assert.Equal(t, len(l.Report(at(time.Second+endToldFor))), 0)
 }
--- a/sidecar/demand.go
+++ b/sidecar/demand.go
@@ -16,8 +16,8 @@
 	if t.GetWeightMilli() == 0 {
 		return
 	}
-	above := limit.Echo{Demand: float64(t.GetTellRateMilli()) / 1000, Running: int(t.GetTellRunning())}
-	s.demand.Offered(t.GetCustomer(), float64(t.GetWeightMilli())/1000, above, time.Now())
+	above := limit.Load{Demand: float64(t.GetTellRateMilli()) / 1000, Running: int(t.GetTellRunning())}
+	s.demand.RecordOffered(t.GetCustomer(), float64(t.GetWeightMilli())/1000, above, time.Now())
 }
 
 // addDemand lets the demand of customers near a limit ride on a frame. The caller
@@ -27,7 +27,7 @@
 		return
 	}
 	sess.demandAt = now
-	for _, e := range s.demand.Echoes(s.runningOfOthers(sess), now) {
+	for _, e := range s.demand.Loads(s.runningOfOthers(sess), now) {
 		f.Demands = append(f.Demands, &wire.Demand{
 			Customer:  e.Customer,
 			RateMilli: uint32(e.Demand * 1000),
