--- a/policy/limit/bucket.go
+++ b/policy/limit/bucket.go
@@ -8,7 +8,7 @@
 	at     time.Time
 }
 
-// take takes tokens and returns zero, or returns the wait until there are as many.
+// take takes cost tokens and returns zero, or takes none and returns the time until there are enough.
 func (b *bucket) take(cost, rate, burst float64, now time.Time) time.Duration {
 	if b.at.IsZero() {
 		b.tokens, b.at = burst, now
--- a/policy/limit/demand.go
+++ b/policy/limit/demand.go
@@ -7,25 +7,24 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-// demand admits each request with the probability rate/demand, where demand is
-// that of all entries as far as the sidecars have seen it. The probability is
-// the same at all entries, so a shift of demand between them changes nothing. A
-// bucket with the whole limit is the bound for the entry by itself.
+// demand admits each request with the probability rate/demand (global random drop), where demand is that of all entries
+// as far as sidecars have reported it. The probability is the same at all entries, so a shift of demand between them
+// changes nothing. A token bucket with the whole limit bounds each entry by itself.
 type demand struct {
-	customers map[string]*view
+	customers map[string]*customerState
 }
 
-// view is what one entry knows of one customer.
-type view struct {
+// customerState is the local state of one customer at one entry.
+type customerState struct {
 	// offered counts requests, and sent those admitted, by weight and scale.
-	offered, sent meter
+	offered, sent rateMeter
 	bucket        bucket
 	running       int
-	// echoes holds the latest echo of each sidecar.
-	echoes map[string]heard
+	// loads holds the latest load reported by each sidecar.
+	loads map[string]receivedLoad
 }
 
-type heard struct {
+type receivedLoad struct {
 	Load
 	scale float64
 	at    time.Time
@@ -33,77 +32,75 @@
 	sent float64
 }
 
-// echoLife is how long an echo counts. Sidecars repeat the echo of a customer
-// near its limit well within it.
-const echoLife = 15 * time.Second
+// loadTTL is how long a reported load is valid. Sidecars repeat the load of a customer near its limit well within it.
+const loadTTL = 15 * time.Second
 
-// alone is the demand of other entries, as a part of the own, under which the
-// bucket by itself is exact.
-const alone = 0.02
+// negligibleDemandShare is the demand of other entries, relative to the entry's own, below which the bucket by itself
+// is exact.
+const negligibleDemandShare = 0.02
 
 // Admit implements Limiter.
 func (d *demand) Admit(customer string, t Terms, now time.Time, rng *rand.Rand) Decision {
-	v := d.view(customer)
-	others := d.others(v, now)
-	if t.Concurrent > 0 && float64(v.running)+float64(others.Running) >= float64(t.Concurrent) {
-		return refused(outcome.ConcurrencyLimited, concurrencyRetryAfter)
+	c := d.state(customer)
+	others := d.otherEntries(c, now)
+	if t.Concurrent > 0 && float64(c.running)+float64(others.Running) >= float64(t.Concurrent) {
+		return rejected(outcome.ConcurrencyLimited, concurrencyRetryAfter)
 	}
 	weight := 1.0
 	if t.Rate > 0 {
-		own := v.offered.rate(now)
-		v.offered.add(t.cost(), now)
+		own := c.offered.rate(now)
+		c.offered.add(t.cost(), now)
 		weight = max((own+others.Demand)/t.Rate, 1)
-		if others.Demand > alone*own && rng.Float64()*weight >= 1 {
-			return refused(outcome.RateLimited, time.Duration(weight*t.cost()/t.Rate*float64(time.Second)))
+		if others.Demand > negligibleDemandShare*own && rng.Float64()*weight >= 1 {
+			return rejected(outcome.RateLimited, time.Duration(weight*t.cost()/t.Rate*float64(time.Second)))
 		}
-		if wait := v.bucket.take(t.cost(), t.Rate, max(t.Burst, t.cost()), now); wait > 0 {
-			return refused(outcome.RateLimited, wait)
+		if wait := c.bucket.take(t.cost(), t.Rate, max(t.Burst, t.cost()), now); wait > 0 {
+			return rejected(outcome.RateLimited, wait)
 		}
 	}
-	v.sent.add(weight*t.cost()*max(t.Scale, 1), now)
-	v.running++
+	c.sent.add(weight*t.cost()*max(t.Scale, 1), now)
+	c.running++
 	return admitted(weight)
 }
 
-// others estimates what the other entries ask for in all. The sidecars linked
-// are a sample of all; the entry's own requests are spread over the linked ones
-// alone, so they are taken out before the sample is scaled. A sidecar that sends
-// no echo has next to no demand.
-func (d *demand) others(v *view, now time.Time) Load {
+// otherEntries estimates the total load of the other entries. The sidecars linked are a sample of all; the entry's own
+// requests are spread over the linked ones alone, so they are subtracted before the sample is scaled. A sidecar that
+// reports no load has next to no demand.
+func (d *demand) otherEntries(c *customerState, now time.Time) Load {
 	var demand, running, sent float64
-	for id, e := range v.echoes {
-		if now.Sub(e.at) > echoLife {
-			delete(v.echoes, id)
+	for id, load := range c.loads {
+		if now.Sub(load.at) > loadTTL {
+			delete(c.loads, id)
 			continue
 		}
-		demand += e.Demand * e.scale
-		running += float64(e.Running) * e.scale
-		sent += e.sent
+		demand += load.Demand * load.scale
+		running += float64(load.Running) * load.scale
+		sent += load.sent
 	}
-	if len(v.echoes) > 0 {
-		demand -= sent / float64(len(v.echoes))
+	if len(c.loads) > 0 {
+		demand -= sent / float64(len(c.loads))
 	}
 	return Load{Demand: max(demand, 0), Running: int(running)}
 }
 
 // Done implements Limiter.
 func (d *demand) Done(customer string) {
-	if v := d.customers[customer]; v != nil && v.running > 0 {
-		v.running--
+	if c := d.customers[customer]; c != nil && c.running > 0 {
+		c.running--
 	}
 }
 
 // Observe implements Limiter.
-func (d *demand) Observe(customer, backend string, e Load, scale float64, now time.Time) {
-	v := d.view(customer)
-	v.echoes[backend] = heard{Load: e, scale: max(scale, 1), at: now, sent: v.sent.rate(now)}
+func (d *demand) Observe(customer, backend string, load Load, scale float64, now time.Time) {
+	c := d.state(customer)
+	c.loads[backend] = receivedLoad{Load: load, scale: max(scale, 1), at: now, sent: c.sent.rate(now)}
 }
 
-func (d *demand) view(customer string) *view {
-	v := d.customers[customer]
-	if v == nil {
-		v = &view{echoes: map[string]heard{}}
-		d.customers[customer] = v
+func (d *demand) state(customer string) *customerState {
+	c := d.customers[customer]
+	if c == nil {
+		c = &customerState{loads: map[string]receivedLoad{}}
+		d.customers[customer] = c
 	}
-	return v
+	return c
 }
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func limiter(t testing.TB, name string, entries int) Limiter {
 	l, err := New(name, entries)
@@ -28,7 +28,7 @@
 		limiter  string
 		entries  int
 		terms    Terms
-		echo     Load
+		load     Load
 		offered  int
 		admitted int
 		reason   outcome.Reason
@@ -38,11 +38,11 @@
 		{"concurrency of one entry", Demand, 1, Terms{Concurrent: 7}, Load{}, 50, 7, outcome.ConcurrencyLimited},
 		{"concurrency with others", Demand, 1, Terms{Concurrent: 9, Scale: 2}, Load{Running: 1}, 50, 7, outcome.ConcurrencyLimited},
 		{"demand of others is ten times the rate", Demand, 1, Terms{Rate: 100, Burst: 100, Scale: 10}, Load{Demand: 100}, 50, 4, outcome.RateLimited},
-		{"static part", Static, 5, Terms{Rate: 1, Burst: 50}, Load{Demand: 100}, 50, 10, outcome.RateLimited},
-		{"static part of concurrency", Static, 5, Terms{Concurrent: 50}, Load{}, 50, 10, outcome.ConcurrencyLimited},
+		{"static share", Static, 5, Terms{Rate: 1, Burst: 50}, Load{Demand: 100}, 50, 10, outcome.RateLimited},
+		{"static share of concurrency", Static, 5, Terms{Concurrent: 50}, Load{}, 50, 10, outcome.ConcurrencyLimited},
 	} {
-		l, rng := limiter(t, tc.limiter, tc.entries), source()
-		l.Observe("x", "s", tc.echo, tc.terms.Scale, start)
+		l, rng := limiter(t, tc.limiter, tc.entries), newRand()
+		l.Observe("x", "s", tc.load, tc.terms.Scale, start)
 		admitted, last := 0, Decision{}
 		for range tc.offered {
 			last = l.Admit("x", tc.terms, start, rng)
@@ -58,38 +58,37 @@
 	assert.ErrorContains(t, err, "unknown limiter")
 }
 
-// scenario is a customer's demand on a fleet of entries.
+// scenario is a customer's demand on a cluster of entries.
 type scenario struct {
 	name string
 	rate float64
-	// load is the demand over the limit, and hot the part of it at one entry.
-	load, hot float64
-	// shift moves the hot entry every 20 s.
-	shift bool
-	fleet
+	// load is the demand relative to the limit, and hotShare the part of it at one entry.
+	load, hotShare float64
+	// hotEntryShifts moves the hot entry every 20 s.
+	hotEntryShifts bool
+	cluster
 }
 
-// fleet is a number of entries with links to some of all sidecars.
-type fleet struct{ Entries, Linked, Sidecars int }
+// cluster is a number of entries, each with links to some of the sidecars.
+type cluster struct{ Entries, Linked, Sidecars int }
 
-func (f fleet) scale() float64 { return float64(f.Sidecars) / float64(f.Linked) }
+func (c cluster) scale() float64 { return float64(c.Sidecars) / float64(c.Linked) }
 
-// later is one model at the two-year size, today one of Reykjavík.
+// futureCluster is one model at the size planned for in two years, currentCluster one model of Reykjavík at present.
 var (
-	later = fleet{Entries: 410, Linked: 12, Sidecars: 140}
-	today = fleet{Entries: 3, Linked: 18, Sidecars: 18}
+	futureCluster  = cluster{Entries: 410, Linked: 12, Sidecars: 140}
+	currentCluster = cluster{Entries: 3, Linked: 18, Sidecars: 18}
 )
 
-// interval is the time between echoes.
-const interval = 2 * time.Second
+// loadInterval is the interval between two load reports.
+const loadInterval = 2 * time.Second
 
-// run offers Poisson demand for two minutes, and returns the rate allowed over
-// the one that would be right, from the 30th second on, and echoes per second
-// and entry.
-func run(t testing.TB, name string, sc scenario) (ratio, echoes float64) {
-	rng, now, sent := source(), start, 0
+// run offers Poisson demand for two minutes. It returns the admitted rate relative to the expected one, from the 30th
+// second on, and the load reports per second and entry.
+func run(t testing.TB, name string, sc scenario) (ratio, loads float64) {
+	rng, now, sent := newRand(), start, 0
 	terms := Terms{Rate: sc.rate, Burst: max(2*sc.rate, 1), Scale: sc.scale()}
-	above := ReportThreshold(terms, sc.Sidecars)
+	threshold := ReportThreshold(terms, sc.Sidecars)
 	ls, links, meters := make([]Limiter, sc.Entries), make([][]int, sc.Entries), make([]*Meter, sc.Sidecars)
 	for i := range ls {
 		ls[i] = limiter(t, name, sc.Entries)
@@ -98,36 +97,36 @@
 	for i := range meters {
 		meters[i] = NewMeter()
 	}
-	allowed, next, end := 0, start.Add(interval), start.Add(2*time.Minute)
+	allowed, next, end := 0, start.Add(loadInterval), start.Add(2*time.Minute)
 	for now.Before(end) {
 		now = now.Add(time.Duration(rng.ExpFloat64() / (sc.rate * sc.load) * float64(time.Second)))
-		for ; next.Before(now); next = next.Add(interval) {
-			sent += echo(ls, links, meters, terms, next)
+		for ; next.Before(now); next = next.Add(loadInterval) {
+			sent += reportLoads(ls, links, meters, terms, next)
 		}
 		i := sc.entry(now, rng)
 		if d := ls[i].Admit("x", terms, now, rng); d.Admitted {
-			meters[links[i][rng.IntN(sc.Linked)]].RecordOffered("x", d.Weight, above, now)
+			meters[links[i][rng.IntN(sc.Linked)]].RecordOffered("x", d.Weight, threshold, now)
 			if now.Sub(start) > 30*time.Second {
 				allowed++
 			}
 		}
 	}
-	right := sc.rate * min(sc.load, 1) * 90
-	return float64(allowed) / right, float64(sent) / 120 / float64(sc.Entries)
+	expected := sc.rate * min(sc.load, 1) * 90
+	return float64(allowed) / expected, float64(sent) / 120 / float64(sc.Entries)
 }
 
-// entry draws the entry that a request comes to.
+// entry draws the entry that receives a request.
 func (sc scenario) entry(now time.Time, rng *rand.Rand) int {
-	if rng.Float64() >= sc.hot {
+	if rng.Float64() >= sc.hotShare {
 		return rng.IntN(sc.Entries)
 	}
-	if !sc.shift {
+	if !sc.hotEntryShifts {
 		return 0
 	}
 	return int(now.Sub(start)/(20*time.Second)) * 7 % sc.Entries
 }
 
-func echo(ls []Limiter, links [][]int, meters []*Meter, terms Terms, now time.Time) (sent int) {
+func reportLoads(ls []Limiter, links [][]int, meters []*Meter, terms Terms, now time.Time) (sent int) {
 	for i, l := range ls {
 		for _, s := range links[i] {
 			for _, e := range meters[s].Loads(nil, now) {
@@ -139,23 +138,23 @@
 	return sent
 }
 
-func scenarios(f fleet, rates ...float64) []scenario {
+func scenarios(c cluster, rates ...float64) []scenario {
 	var out []scenario
 	for _, rate := range rates {
 		out = append(out,
-			scenario{"even", rate, 0.8, 0, false, f}, scenario{"even", rate, 3, 0, false, f},
-			scenario{"hot", rate, 0.8, 0.5, false, f}, scenario{"hot", rate, 3, 0.5, false, f},
-			scenario{"shifting", rate, 3, 0.5, true, f})
+			scenario{"even", rate, 0.8, 0, false, c}, scenario{"even", rate, 3, 0, false, c},
+			scenario{"hot", rate, 0.8, 0.5, false, c}, scenario{"hot", rate, 3, 0.5, false, c},
+			scenario{"shifting", rate, 3, 0.5, true, c})
 	}
 	return out
 }
 
-// TestAllowedRate holds the demand limiter to the contract for customers of the
-// mean rate: within 15 in 100, and within 30 while demand keeps shifting.
+// TestAllowedRate checks that the demand limiter keeps the contract for customers of the mean rate: within 15 in 100,
+// and within 30 in 100 while demand keeps shifting.
 func TestAllowedRate(t *testing.T) {
-	for _, sc := range append(scenarios(later, 35), scenarios(today, 35)...) {
+	for _, sc := range append(scenarios(futureCluster, 35), scenarios(currentCluster, 35)...) {
 		bound := 0.15
-		if sc.shift {
+		if sc.hotEntryShifts {
 			bound = 0.3
 		}
 		ratio, _ := run(t, Demand, sc)
@@ -165,14 +164,14 @@
 
 func BenchmarkAllowedRate(b *testing.B) {
 	for _, name := range []string{Static, Demand} {
-		for _, sc := range append(scenarios(later, 2, 35, 500), scenarios(today, 2, 35)...) {
+		for _, sc := range append(scenarios(futureCluster, 2, 35, 500), scenarios(currentCluster, 2, 35)...) {
 			b.Run(fmt.Sprintf("%s/%s/entries=%d/rate=%v/load=%v", name, sc.name, sc.Entries, sc.rate, sc.load), func(b *testing.B) {
-				var ratio, echoes float64
+				var ratio, loads float64
 				for b.Loop() {
-					ratio, echoes = run(b, name, sc)
+					ratio, loads = run(b, name, sc)
 				}
 				b.ReportMetric(ratio, "allowed/right")
-				b.ReportMetric(echoes, "echoes/s/entry")
+				b.ReportMetric(loads, "echoes/s/entry")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
@@ -182,8 +181,8 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, name := range []string{Static, Demand} {
 		b.Run(name, func(b *testing.B) {
-			l, rng := limiter(b, name, later.Entries), source()
-			for s := range later.Linked {
+			l, rng := limiter(b, name, futureCluster.Entries), newRand()
+			for s := range futureCluster.Linked {
 				l.Observe("x", fmt.Sprint(s), Load{Demand: 1}, 12, start)
 			}
 			b.ReportAllocs()
--- a/policy/limit/shared_sim_test.go
+++ b/policy/limit/shared_sim_test.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// The simulation: gateways that tell each other what customers have used, over a network that loses datagrams, while
-// demand moves and gateways are cut off, freeze, end, start and join. What was admitted is judged by the users' own rule.
+// The simulation: gateways report to each other what customers have used, over a network that loses datagrams, while
+// demand moves and gateways are partitioned, freeze, terminate, start and join. A checker applies the users' own rule
+// to what was admitted.
 const (
-	simWindow   = 8 * time.Second
-	simOverage  = 0.1
-	simSlack    = 190_000
-	simDay      = 30 * time.Second
-	simTick     = time.Millisecond
-	simLoss     = 0.005
-	simDatagram = 3 * time.Millisecond
-	simReport   = 6 * time.Millisecond
-	simRefresh  = 100 * time.Millisecond
-	simFails    = 700 * time.Millisecond
+	simWindow        = 8 * time.Second
+	simOverage       = 0.1
+	simSlack         = 190_000
+	simDuration      = 30 * time.Second
+	simTick          = time.Millisecond
+	simLoss          = 0.005
+	simDatagramDelay = 3 * time.Millisecond
+	simReportDelay   = 6 * time.Millisecond
+	simCheckInterval = 100 * time.Millisecond
+	simFailureDelay  = 700 * time.Millisecond
 )
 
-// simPace is the pause between two reports of a pair, as gateways choose it.
-func simPace(gateways int) time.Duration {
+// simReportInterval is the interval between two reports of a pair, as gateways choose it.
+func simReportInterval(gateways int) time.Duration {
 	return 200 * time.Millisecond * time.Duration(max(gateways, 8)) / 8
 }
 
-// simCustomer asks for load times its rate, over gateways by weights of its own.
+// simCustomer offers load times its rate, spread over gateways by its weights.
 type simCustomer struct {
 	name        string
 	rate, burst float64
@@ -34,34 +35,34 @@
 	weights     []float64
 }
 
-// simEvent changes the world from a time on until another.
+// simEvent changes the simulation during a span of time.
 type simEvent struct {
 	from, to time.Duration
-	// hot multiplies the demand of the first customer.
-	hot float64
-	// moves has all callers of every customer move to other gateways.
-	moves bool
-	// cut, frozen and down are the shares of gateways that hear nobody, stand still, or are ended; those that were down
-	// have forgotten everything.
-	cut, frozen, down float64
-	// after is the share of gateways that are passed over, so that events can strike one part after the other.
-	after float64
-	// falls is what becomes of all quotas.
-	falls float64
+	// demandFactor multiplies the demand of the first customer.
+	demandFactor float64
+	// clientsMove has all clients of every customer move to other gateways.
+	clientsMove bool
+	// partitioned, frozen and down are the shares of gateways that exchange nothing with others, are suspended, or have
+	// terminated; those that were down have lost their state.
+	partitioned, frozen, down float64
+	// skipped is the share of gateways that are passed over, so that events can affect one part after the other.
+	skipped float64
+	// quotaFactor multiplies all quotas.
+	quotaFactor float64
 }
 
 type simScenario struct {
-	name   string
-	events []simEvent
-	joins  int
+	name    string
+	events  []simEvent
+	joining int
 }
 
-func (e simEvent) at(now time.Duration) bool { return now >= e.from && now < e.to }
+func (e simEvent) active(now time.Duration) bool { return now >= e.from && now < e.to }
 
-// deaf reports whether some can't hear others for a while, and keep to shares.
-func (sc simScenario) deaf() bool {
+// isolatesGateways reports whether some gateways receive no reports for a while, and are limited to their shares.
+func (sc simScenario) isolatesGateways() bool {
 	for _, e := range sc.events {
-		if e.cut > 0 || e.frozen > 0 || e.down > 0.5 && e.down < 1 {
+		if e.partitioned > 0 || e.frozen > 0 || e.down > 0.5 && e.down < 1 {
 			return true
 		}
 	}
@@ -70,12 +71,12 @@
 
 // simGateway is one gateway of the simulation.
 type simGateway struct {
-	way                    simWay
-	incarnation            uint64
-	cut, frozen, down, new bool
+	strategy                           simStrategy
+	incarnation                        uint64
+	partitioned, frozen, down, joining bool
 }
 
-// simMessage is on its way.
+// simMessage is a message in flight.
 type simMessage struct {
 	from, to    int
 	incarnation uint64
@@ -83,31 +84,32 @@
 }
 
 type sim struct {
-	rng       *rand.Rand
-	make      func(gateways int, now time.Time) simWay
-	gateways  []*simGateway
-	customers []*simCustomer
-	events    []simEvent
-	mail      map[int64][]simMessage
-	// pairs are those that exchange reports, by the tick of the next.
+	rng         *rand.Rand
+	newStrategy func(gateways int, now time.Time) simStrategy
+	gateways    []*simGateway
+	customers   []*simCustomer
+	events      []simEvent
+	inFlight    map[int64][]simMessage
+	// pairs are the gateways that exchange reports, by the tick of the next exchange.
 	pairs     map[int64][][2]int
-	judges    map[string]*simJudge
+	checkers  map[string]*simChecker
 	datagrams int
 	trace     func(time.Duration, time.Time)
 }
 
-// simJudge is the users' rule for one customer, and the bucket of what all gateways together have really admitted.
-type simJudge struct {
-	admitted []simTaken
-	real     bucket
-	// owed are tokens that were admitted, refused those that were turned away though half of the bucket was there, by
-	// seconds. Of what lies below that, buckets that start with half of what they hold don't know.
-	owed, refused [int(simDay/time.Second) + 1]float64
+// simChecker checks the users' rule for one customer. actual is the bucket less what all gateways together have really
+// admitted.
+type simChecker struct {
+	admitted []simAdmission
+	actual   bucket
+	// admittedCost is the cost of the requests admitted in each second, rejectedCost that of the requests rejected
+	// although half of the bucket remained. Below that, buckets that start half full don't know what remains.
+	admittedCost, rejectedCost [int(simDuration/time.Second) + 1]float64
 	// limits are the quotas in force, over time.
 	limits []simLimit
 }
 
-type simTaken struct {
+type simAdmission struct {
 	at   time.Duration
 	cost float64
 }
@@ -117,34 +119,35 @@
 	rate, burst float64
 }
 
-func newSim(seed uint64, gateways int, sc simScenario, way func(int, time.Time) simWay) *sim {
+func newSim(seed uint64, gateways int, sc simScenario, newStrategy func(int, time.Time) simStrategy) *sim {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 11)), make: way, events: sc.events,
-		mail: map[int64][]simMessage{}, pairs: map[int64][][2]int{}, judges: map[string]*simJudge{},
+		rng: rand.New(rand.NewPCG(seed, 11)), newStrategy: newStrategy, events: sc.events,
+		inFlight: map[int64][]simMessage{}, pairs: map[int64][][2]int{}, checkers: map[string]*simChecker{},
 	}
 	for i, rate := range []float64{53_000, 60_000, 118_000, 47_000} {
 		c := &simCustomer{name: fmt.Sprint("c", i), rate: rate, burst: rate, load: 1 / 1.8}
-		c.weights = s.draw(gateways)
+		c.weights = s.drawWeights(gateways)
 		s.customers = append(s.customers, c)
-		s.judges[c.name] = &simJudge{limits: []simLimit{{rate: rate, burst: rate}}}
+		s.checkers[c.name] = &simChecker{limits: []simLimit{{rate: rate, burst: rate}}}
 	}
-	for i := range gateways + sc.joins {
-		g := &simGateway{new: i >= gateways, down: i >= gateways}
+	for i := range gateways + sc.joining {
+		g := &simGateway{joining: i >= gateways, down: i >= gateways}
 		s.gateways = append(s.gateways, g)
 		if !g.down {
-			// They run for a while before traffic comes.
-			g.way, g.incarnation = s.made(gateways, start.Add(-14*time.Second)), 1
+			// Gateways run for a while before traffic arrives.
+			g.strategy, g.incarnation = s.configuredStrategy(gateways, start.Add(-14*time.Second)), 1
 		}
 		for j := range i {
-			slot := int64(s.rng.IntN(int(simPace(gateways) / simTick)))
+			slot := int64(s.rng.IntN(int(simReportInterval(gateways) / simTick)))
 			s.pairs[slot] = append(s.pairs[slot], [2]int{i, j})
 		}
 	}
 	return s
 }
 
-// draw spreads a customer's callers over gateways: a balancer that hashes callers gives some several, and many none.
-func (s *sim) draw(gateways int) []float64 {
+// drawWeights spreads a customer's clients over gateways: a load balancer that hashes clients gives some gateways
+// several, and many none.
+func (s *sim) drawWeights(gateways int) []float64 {
 	out := make([]float64, len(s.gateways)+gateways)
 	for range 24 {
 		out[s.rng.IntN(gateways)] += s.rng.ExpFloat64()
@@ -152,170 +155,170 @@
 	return out
 }
 
-func (s *sim) play() *sim {
-	for now := time.Duration(0); now < simDay; now += simTick {
+func (s *sim) run() *sim {
+	for now := time.Duration(0); now < simDuration; now += simTick {
 		at := start.Add(now)
-		s.happen(now, at)
-		for _, m := range s.mail[int64(now/simTick)] {
-			if _, lost := m.body.(simLost); lost {
-				s.lost(m.from, m.to, at)
+		s.applyEvents(now, at)
+		for _, m := range s.inFlight[int64(now/simTick)] {
+			if _, failed := m.body.(simExchangeFailure); failed {
+				s.receiveFailure(m.from, m.to, at)
 				continue
 			}
-			if g := s.gateways[m.to]; !g.cut && !g.down && !s.gateways[m.from].cut {
-				g.way.hear(m.from, m.incarnation, m.body, at)
+			if g := s.gateways[m.to]; !g.partitioned && !g.down && !s.gateways[m.from].partitioned {
+				g.strategy.receive(m.from, m.incarnation, m.body, at)
 			}
 		}
-		delete(s.mail, int64(now/simTick))
-		s.report(now, at)
+		delete(s.inFlight, int64(now/simTick))
+		s.exchangeReports(now, at)
 		if s.trace != nil {
 			s.trace(now, at)
 		}
 		for _, c := range s.customers {
-			s.ask(c, now, at)
+			s.sendRequests(c, now, at)
 		}
 	}
 	return s
 }
 
-// happen begins and ends events.
-func (s *sim) happen(now time.Duration, at time.Time) {
+// applyEvents begins and ends events.
+func (s *sim) applyEvents(now time.Duration, at time.Time) {
 	for _, e := range s.events {
 		if now == e.from {
-			s.begin(e, now, at)
+			s.beginEvent(e, now, at)
 		}
 		if now == e.to {
-			s.end(e, at)
+			s.endEvent(e, at)
 		}
 	}
 	for i, g := range s.gateways {
-		if !g.down && !g.frozen && now%simRefresh == 0 {
-			g.way.refresh(at)
-			s.tell(i, now, at)
+		if !g.down && !g.frozen && now%simCheckInterval == 0 {
+			g.strategy.checkMembers(at)
+			s.broadcastChanges(i, now, at)
 		}
 	}
 }
 
-func (s *sim) begin(e simEvent, now time.Duration, at time.Time) {
+func (s *sim) beginEvent(e simEvent, now time.Duration, at time.Time) {
 	for i, g := range s.gateways {
-		g.cut = g.cut || s.among(i, e, e.cut)
-		g.frozen = g.frozen || s.among(i, e, e.frozen)
-		g.down = g.down || s.among(i, e, e.down)
-		if g.new && now > 0 {
-			s.startAgain(g, at)
-			g.new = false
+		g.partitioned = g.partitioned || s.affected(i, e, e.partitioned)
+		g.frozen = g.frozen || s.affected(i, e, e.frozen)
+		g.down = g.down || s.affected(i, e, e.down)
+		if g.joining && now > 0 {
+			s.restart(g, at)
+			g.joining = false
 		}
 	}
 	for _, c := range s.customers {
-		if e.moves {
-			c.weights = s.draw(len(s.gateways))
+		if e.clientsMove {
+			c.weights = s.drawWeights(len(s.gateways))
 		}
-		if e.falls > 0 {
-			c.rate, c.burst = c.rate*e.falls, c.burst*e.falls
-			s.judges[c.name].limits = append(s.judges[c.name].limits, simLimit{now, c.rate, c.burst})
+		if e.quotaFactor > 0 {
+			c.rate, c.burst = c.rate*e.quotaFactor, c.burst*e.quotaFactor
+			s.checkers[c.name].limits = append(s.checkers[c.name].limits, simLimit{now, c.rate, c.burst})
 		}
 	}
 }
 
-// among reports whether a gateway is among the share of them that an event strikes.
-func (s *sim) among(i int, e simEvent, share float64) bool {
-	place := float64(i*7919%len(s.gateways)) / float64(len(s.gateways))
-	return place >= e.after && place < e.after+share
+// affected reports whether a gateway is in the share of gateways that an event affects.
+func (s *sim) affected(i int, e simEvent, share float64) bool {
+	position := float64(i*7919%len(s.gateways)) / float64(len(s.gateways))
+	return position >= e.skipped && position < e.skipped+share
 }
 
-func (s *sim) end(e simEvent, at time.Time) {
+func (s *sim) endEvent(e simEvent, at time.Time) {
 	for i, g := range s.gateways {
-		if s.among(i, e, e.cut) {
-			g.cut = false
+		if s.affected(i, e, e.partitioned) {
+			g.partitioned = false
 		}
-		if s.among(i, e, e.frozen) {
+		if s.affected(i, e, e.frozen) {
 			g.frozen = false
 		}
-		if s.among(i, e, e.down) {
-			s.startAgain(g, at)
+		if s.affected(i, e, e.down) {
+			s.restart(g, at)
 		}
 	}
 }
 
-func (s *sim) startAgain(g *simGateway, at time.Time) {
+func (s *sim) restart(g *simGateway, at time.Time) {
 	g.down = false
 	g.incarnation++
-	g.way = s.made(len(s.gateways), at)
+	g.strategy = s.configuredStrategy(len(s.gateways), at)
 }
 
-// made is a new way, which knows the quotas from the configuration.
-func (s *sim) made(gateways int, at time.Time) simWay {
-	w := s.make(gateways, at)
-	if shared, ok := w.(sharedWay); ok {
+// configuredStrategy returns a new strategy that has the quotas from the configuration.
+func (s *sim) configuredStrategy(gateways int, at time.Time) simStrategy {
+	strategy := s.newStrategy(gateways, at)
+	if shared, ok := strategy.(sharedStrategy); ok {
 		for _, c := range s.customers {
 			shared.Configure(c.name, simTerms(c, 0), at)
 		}
 	}
-	return w
+	return strategy
 }
 
-// report has pairs exchange reports, each once in a pace.
-func (s *sim) report(now time.Duration, at time.Time) {
-	pace := simPace(len(s.gateways))
+// exchangeReports has pairs exchange reports, each once per report interval.
+func (s *sim) exchangeReports(now time.Duration, at time.Time) {
+	interval := simReportInterval(len(s.gateways))
 	slot := int64(now / simTick)
 	for _, p := range s.pairs[slot] {
-		s.lose(p[0], p[1], now)
-		s.lose(p[1], p[0], now)
-		s.send(p[0], p[1], false, now, at, simReport)
-		s.send(p[1], p[0], false, now, at, simReport)
-		next := slot + int64(float64(pace/simTick)*(0.75+0.5*s.rng.Float64()))
+		s.failExchange(p[0], p[1], now)
+		s.failExchange(p[1], p[0], now)
+		s.send(p[0], p[1], false, now, at, simReportDelay)
+		s.send(p[1], p[0], false, now, at, simReportDelay)
+		next := slot + int64(float64(interval/simTick)*(0.75+0.5*s.rng.Float64()))
 		s.pairs[next] = append(s.pairs[next], p)
 	}
 	delete(s.pairs, slot)
 }
 
-// lose notes that an exchange with a gateway fails, as it does after a while.
-func (s *sim) lose(from, to int, now time.Duration) {
-	if !s.works(from) {
+// failExchange schedules the failure of an exchange with a gateway, which is detected after a while.
+func (s *sim) failExchange(from, to int, now time.Duration) {
+	if !s.running(from) {
 		return
 	}
-	if g := s.gateways[to]; g.cut || g.frozen || s.gateways[from].cut {
-		s.post(to, from, simLost{}, now+simFails)
+	if g := s.gateways[to]; g.partitioned || g.frozen || s.gateways[from].partitioned {
+		s.post(to, from, simExchangeFailure{}, now+simFailureDelay)
 	}
 }
 
-// simLost is told in place of a message that does not come.
-type simLost struct{}
+// simExchangeFailure is delivered in place of a message that does not arrive.
+type simExchangeFailure struct{}
 
-func (s *sim) lost(from, to int, at time.Time) {
+func (s *sim) receiveFailure(from, to int, at time.Time) {
 	g, other := s.gateways[to], s.gateways[from]
-	if shared, ok := g.way.(sharedWay); ok && s.works(to) && (g.cut || other.cut || other.frozen) {
+	if shared, ok := g.strategy.(sharedStrategy); ok && s.running(to) && (g.partitioned || other.partitioned || other.frozen) {
 		shared.MarkUnresponsive(fmt.Sprint(from), at)
 	}
 }
 
-func (s *sim) works(i int) bool {
+func (s *sim) running(i int) bool {
 	g := s.gateways[i]
 	return !g.down && !g.frozen
 }
 
-func (s *sim) send(from, to int, changes bool, now time.Duration, at time.Time, takes time.Duration) {
-	if !s.works(from) || !s.works(to) || s.gateways[from].cut {
+func (s *sim) send(from, to int, changes bool, now time.Duration, at time.Time, delay time.Duration) {
+	if !s.running(from) || !s.running(to) || s.gateways[from].partitioned {
 		return
 	}
-	if body := s.gateways[from].way.tell(changes, at); body != nil {
-		s.post(from, to, body, now+takes)
+	if body := s.gateways[from].strategy.report(changes, at); body != nil {
+		s.post(from, to, body, now+delay)
 	}
 }
 
 func (s *sim) post(from, to int, body any, when time.Duration) {
 	slot := int64(when / simTick)
-	s.mail[slot] = append(s.mail[slot], simMessage{from, to, s.gateways[from].incarnation, body})
+	s.inFlight[slot] = append(s.inFlight[slot], simMessage{from, to, s.gateways[from].incarnation, body})
 }
 
-// ask has the callers of a customer send what they do in one tick.
-func (s *sim) ask(c *simCustomer, now time.Duration, at time.Time) {
-	demand := s.judges[c.name].limits[0].rate * c.load
+// sendRequests has the clients of a customer send their requests of one tick.
+func (s *sim) sendRequests(c *simCustomer, now time.Duration, at time.Time) {
+	demand := s.checkers[c.name].limits[0].rate * c.load
 	for _, e := range s.events {
-		if e.hot > 0 && e.at(now) && c == s.customers[0] {
-			demand *= e.hot
+		if e.demandFactor > 0 && e.active(now) && c == s.customers[0] {
+			demand *= e.demandFactor
 		}
 	}
-	// Three in ten are streams of 3,000 tokens in the mean, the others plain calls.
+	// Three in ten are streams of 3,000 tokens on average, the others plain calls.
 	const plainCost, mean = 200, 0.7*200 + 0.3*3200
 	expected := demand / mean * simTick.Seconds()
 	for ; expected > 0 && s.rng.Float64() < expected; expected-- {
@@ -336,38 +339,38 @@
 	if i < 0 {
 		return
 	}
-	judge := s.judges[c.name]
+	checker := s.checkers[c.name]
 	second := int(now / time.Second)
-	limit := judge.limits[len(judge.limits)-1]
-	if !s.gateways[i].way.admit(c.name, simTerms(c, cost), at) {
-		if judge.real.level(limit.rate, limit.burst, at) >= max(cost, limit.burst/2) {
-			judge.refused[second] += cost
+	limit := checker.limits[len(checker.limits)-1]
+	if !s.gateways[i].strategy.admit(c.name, simTerms(c, cost), at) {
+		if checker.actual.level(limit.rate, limit.burst, at) >= max(cost, limit.burst/2) {
+			checker.rejectedCost[second] += cost
 		}
 		return
 	}
-	judge.owed[second] += cost
-	judge.real.level(limit.rate, limit.burst, at)
-	judge.real.tokens -= cost
-	judge.admitted = append(judge.admitted, simTaken{now, cost})
-	s.tell(i, now, at)
+	checker.admittedCost[second] += cost
+	checker.actual.level(limit.rate, limit.burst, at)
+	checker.actual.tokens -= cost
+	checker.admitted = append(checker.admitted, simAdmission{now, cost})
+	s.broadcastChanges(i, now, at)
 }
 
-// tell sends one datagram to all others.
-func (s *sim) tell(i int, now time.Duration, at time.Time) {
-	body := s.gateways[i].way.tell(true, at)
-	if body == nil || s.gateways[i].cut {
+// broadcastChanges sends one datagram with the changes to all other gateways.
+func (s *sim) broadcastChanges(i int, now time.Duration, at time.Time) {
+	body := s.gateways[i].strategy.report(true, at)
+	if body == nil || s.gateways[i].partitioned {
 		return
 	}
 	for j := range s.gateways {
-		if j != i && s.works(j) && s.rng.Float64() >= simLoss {
+		if j != i && s.running(j) && s.rng.Float64() >= simLoss {
 			s.datagrams++
-			s.post(i, j, body, now+simDatagram)
+			s.post(i, j, body, now+simDatagramDelay)
 		}
 	}
 }
 
-// gatewayFor draws a gateway by the customer's weights. Callers of one that is down go to the next that works, those of one that
-// is frozen wait.
+// gatewayFor draws a gateway by the customer's weights. Clients of one that is down use the next running one, those of
+// a frozen one wait.
 func (s *sim) gatewayFor(c *simCustomer) int {
 	sum := 0.0
 	for _, w := range c.weights {
@@ -382,7 +385,7 @@
 		return -1
 	}
 	for k := range s.gateways {
-		if j := (i + k) % len(s.gateways); s.works(j) {
+		if j := (i + k) % len(s.gateways); s.running(j) {
 			return j
 		}
 	}
--- a/policy/limit/static.go
+++ b/policy/limit/static.go
@@ -7,14 +7,14 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-// static gives each entry the same part of every limit. It needs no messages,
-// and is right only when the demand is even and each part is more than a request.
+// static gives each entry the same share of every limit (static partitioning). It needs no messages, and is right only
+// when the demand is even and each share is more than a request.
 type static struct {
 	entries   int
-	customers map[string]*part
+	customers map[string]*entryShare
 }
 
-type part struct {
+type entryShare struct {
 	bucket  bucket
 	running int
 }
@@ -23,16 +23,16 @@
 func (s *static) Admit(customer string, t Terms, now time.Time, _ *rand.Rand) Decision {
 	p := s.customers[customer]
 	if p == nil {
-		p = &part{}
+		p = &entryShare{}
 		s.customers[customer] = p
 	}
 	n := float64(s.entries)
 	if t.Concurrent > 0 && float64(p.running) >= max(float64(t.Concurrent)/n, 1) {
-		return refused(outcome.ConcurrencyLimited, concurrencyRetryAfter)
+		return rejected(outcome.ConcurrencyLimited, concurrencyRetryAfter)
 	}
 	if t.Rate > 0 {
 		if wait := p.bucket.take(t.cost(), t.Rate/n, max(t.Burst/n, t.cost()), now); wait > 0 {
-			return refused(outcome.RateLimited, wait)
+			return rejected(outcome.RateLimited, wait)
 		}
 	}
 	p.running++
@@ -46,5 +46,5 @@
 	}
 }
 
-// Observe implements Limiter; echoes play no part.
+// Observe implements Limiter; reported loads are not used.
 func (s *static) Observe(string, string, Load, float64, time.Time) {}
--- a/policy/serverlimit/routers_test.go
+++ b/policy/serverlimit/routers_test.go
@@ -12,138 +12,139 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/limit"
 )
 
-// The load of the package's first lines: a server in need before many routers, which hear of each other by datagrams and
-// by reports, and each of which gets its share of the calls of all.
+// The tests below simulate the load pattern in the package comment: many routers send to one server with a limit, report
+// to each other by datagrams and by regular reports, and each gets its share of all calls.
 
-// way is how a router decides whether the server gets a call.
-type way interface {
+// strategy decides at one router whether the server gets a call.
+type strategy interface {
 	take(now time.Time) bool
-	// tell returns what the others are told; nil if nothing.
-	tell(all bool, now time.Time) *news
-	hear(from int, n *news, now time.Time)
+	// report returns what is reported to the others; nil if nothing.
+	report(all bool, now time.Time) *update
+	receive(from int, u *update, now time.Time)
 }
 
-type news struct {
+type update struct {
 	all      bool
 	informed bool
-	used     []limit.ReportedUsage
+	usage    []limit.ReportedUsage
 }
 
-// together is the way of this package.
-type together struct{ *Limits }
+// sharedLimits is the strategy of this package.
+type sharedLimits struct{ *Limits }
 
-func newTogether(router, routers int) way {
+func newSharedLimits(router, routers int) strategy {
 	l := New(uint64(router), start.Add(-time.Hour))
 	l.SetRouters(routers)
-	return together{l}
+	return sharedLimits{l}
 }
 
-func (w together) take(now time.Time) bool { return w.Take("a", now) }
+func (s sharedLimits) take(now time.Time) bool { return s.Take("a", now) }
 
-func (w together) tell(all bool, now time.Time) *news {
-	if !all && !w.Usage().UpdateDue(now) {
+func (s sharedLimits) report(all bool, now time.Time) *update {
+	if !all && !s.Usage().UpdateDue(now) {
 		return nil
 	}
-	told, informed := w.Usage().Report(!all, now)
-	return &news{all: all, informed: informed, used: told}
+	usage, informed := s.Usage().Report(!all, now)
+	return &update{all: all, informed: informed, usage: usage}
 }
 
-func (w together) hear(from int, n *news, now time.Time) {
-	w.Usage().Receive(fmt.Sprint(from), 1, n.informed, n.all, n.used, now)
+func (s sharedLimits) receive(from int, u *update, now time.Time) {
+	s.Usage().Receive(fmt.Sprint(from), 1, u.informed, u.all, u.usage, now)
 }
 
-// atOnce is the same without turns.
-func newAtOnce(router, routers int) way {
-	w := newTogether(router, routers).(together)
-	w.SetRouters(1)
-	return w
+// newWithoutStagger returns the same strategy without staggered delays.
+func newWithoutStagger(router, routers int) strategy {
+	s := newSharedLimits(router, routers).(sharedLimits)
+	s.SetRouters(1)
+	return s
 }
 
-// parts gives each router its even part of the limit, and one request more after a pause.
-type parts struct{ *Limits }
+// evenSplit gives each router an equal share of the limit, and one more request after an idle time.
+type evenSplit struct{ *Limits }
 
-func newParts(router, routers int) way {
+func newEvenSplit(router, routers int) strategy {
 	l := New(uint64(router), start.Add(-time.Hour))
-	return parts{l}
+	return evenSplit{l}
 }
-func (w parts) take(now time.Time) bool  { return w.Take("a", now) }
-func (parts) tell(bool, time.Time) *news { return nil }
-func (parts) hear(int, *news, time.Time) {}
+func (s evenSplit) take(now time.Time) bool       { return s.Take("a", now) }
+func (evenSplit) report(bool, time.Time) *update  { return nil }
+func (evenSplit) receive(int, *update, time.Time) {}
 
 const (
-	// simTold is the least time from a send to its being known at another router, of which each needs up to simSlow more.
-	simTold = 4 * time.Millisecond
-	simSlow = 20 * time.Millisecond
-	simLoss = 0.01
-	simDay  = 20 * time.Second
-	// The users' rule: in some window no more than overage times what the limit allows, and some more. It binds from
-	// contact on.
-	window  = 4 * time.Second
-	overage = 1.5
-	more    = 5
-	contact = 3 * time.Second
+	// simMinDelay is the least time from the sending of a report to its receipt at another router, which takes up to
+	// simJitter more.
+	simMinDelay = 4 * time.Millisecond
+	simJitter   = 20 * time.Millisecond
+	simLoss     = 0.01
+	simDuration = 20 * time.Second
+	// The users' rule: every window has at most overage times what the limit allows, plus allowance. It is binding from
+	// bindsAfter on.
+	window     = 4 * time.Second
+	overage    = 1.5
+	allowance  = 5
+	bindsAfter = 3 * time.Second
 )
 
-// message is news on its way.
+// message is an update in flight.
 type message struct {
 	at       time.Time
 	from, to int
-	news     *news
+	update   *update
 }
 
-type mail []message
+type messageQueue []message
 
-func (m mail) Len() int           { return len(m) }
-func (m mail) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
-func (m mail) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *mail) Push(x any)        { *m = append(*m, x.(message)) }
-func (m *mail) Pop() any {
+func (m messageQueue) Len() int           { return len(m) }
+func (m messageQueue) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
+func (m messageQueue) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
+func (m *messageQueue) Push(x any)        { *m = append(*m, x.(message)) }
+func (m *messageQueue) Pop() any {
 	old := *m
 	last := old[len(old)-1]
 	*m = old[:len(old)-1]
 	return last
 }
 
-// simulate returns when the server got requests, of calls that come that often a second at all routers together.
-func simulate(newWay func(router, routers int) way, routers int, limit, calls float64) []time.Time {
+// simulate returns when the server received requests, with that many calls per second at all routers together.
+func simulate(newStrategy func(router, routers int) strategy, routers int, limit, calls float64) []time.Time {
 	rng := rand.New(rand.NewPCG(uint64(routers), uint64(10*limit)))
-	ways := make([]way, routers)
-	for i := range ways {
-		ways[i] = newWay(i, routers)
-		st := named(limit, start)
-		if p, ok := ways[i].(parts); ok {
+	strategies := make([]strategy, routers)
+	for i := range strategies {
+		strategies[i] = newStrategy(i, routers)
+		st := limited(limit, start)
+		if p, ok := strategies[i].(evenSplit); ok {
 			st.PerSecond /= float64(routers)
 			p.Update("a", st, start)
 		} else {
-			ways[i].(together).Update("a", st, start)
+			strategies[i].(sharedLimits).Update("a", st, start)
 		}
 	}
-	pace := 200 * time.Millisecond * time.Duration(max(routers, 8)) / 8
+	interval := 200 * time.Millisecond * time.Duration(max(routers, 8)) / 8
 	var sent []time.Time
-	var box mail
-	for now := start; now.Before(at(simDay)); now = now.Add(time.Millisecond) {
-		for len(box) > 0 && !box[0].at.After(now) {
-			m := heap.Pop(&box).(message)
-			ways[m.to].hear(m.from, m.news, now)
+	var inFlight messageQueue
+	for now := start; now.Before(at(simDuration)); now = now.Add(time.Millisecond) {
+		for len(inFlight) > 0 && !inFlight[0].at.After(now) {
+			m := heap.Pop(&inFlight).(message)
+			strategies[m.to].receive(m.from, m.update, now)
 		}
-		for i, w := range ways {
-			if routers > 1 && rng.Float64() < time.Millisecond.Seconds()/pace.Seconds() {
+		for i, s := range strategies {
+			if routers > 1 && rng.Float64() < time.Millisecond.Seconds()/interval.Seconds() {
 				to := rng.IntN(routers)
-				if n := w.tell(true, now); n != nil && to != i {
-					heap.Push(&box, message{now.Add(simTold), i, to, n})
+				if u := s.report(true, now); u != nil && to != i {
+					heap.Push(&inFlight, message{now.Add(simMinDelay), i, to, u})
 				}
 			}
 		}
 		for range arrivals(rng, calls/1000) {
 			i := rng.IntN(routers)
-			if !ways[i].take(now) {
+			if !strategies[i].take(now) {
 				continue
 			}
 			sent = append(sent, now)
-			n := ways[i].tell(false, now)
-			for to := range ways {
-				if n != nil && to != i && rng.Float64() >= simLoss {
-					heap.Push(&box, message{now.Add(simTold + time.Duration(rng.Int64N(int64(simSlow)))), i, to, n})
+			u := strategies[i].report(false, now)
+			for to := range strategies {
+				if u != nil && to != i && rng.Float64() >= simLoss {
+					heap.Push(&inFlight, message{now.Add(simMinDelay + time.Duration(rng.Int64N(int64(simJitter)))), i, to, u})
 				}
 			}
 		}
@@ -151,7 +152,7 @@
 	return sent
 }
 
-// arrivals is how many calls come in a millisecond.
+// arrivals returns how many calls arrive in a millisecond.
 func arrivals(rng *rand.Rand, mean float64) int {
 	n := int(mean)
 	if rng.Float64() < mean-float64(n) {
@@ -160,11 +161,11 @@
 	return n
 }
 
-// worst is the most that came in a window, from contact on.
-func worst(sent []time.Time) int {
-	most := 0
+// maxInWindow returns the largest number of requests in a window, from bindsAfter on.
+func maxInWindow(sent []time.Time) int {
+	maximum := 0
 	for i, from := range sent {
-		if from.Before(at(contact)) {
+		if from.Before(at(bindsAfter)) {
 			continue
 		}
 		n := 0
@@ -173,13 +174,13 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return most
+	return maximum
 }
 
-// TestManyRoutersKeepToOneLimit: at few and at hundreds of routers no window has more than the users allow, and nearly all
-// that the server takes is used.
+// TestManyRoutersKeepToOneLimit: with few and with hundreds of routers no window has more than the users allow, and
+// nearly all that the server takes is used.
 func TestManyRoutersKeepToOneLimit(t *testing.T) {
 	for _, c := range []struct {
 		routers int
@@ -187,15 +188,15 @@
 	}{{1, 20}, {5, 20}, {30, 150}, {68, 400}, {300, 4000}} {
 		for _, limit := range []float64{0.5, 1, 3.2, 20} {
 			t.Run(fmt.Sprint(c.routers, " routers, ", limit), func(t *testing.T) {
-				allowed := int(limit*window.Seconds()*overage + more)
-				sent := simulate(newTogether, c.routers, limit, c.calls)
-				owed := min(limit, c.calls) * simDay.Seconds()
-				first, even := simulate(newAtOnce, c.routers, limit, c.calls), simulate(newParts, c.routers, limit, c.calls)
-				t.Logf("worst window of %d and requests of %.0f: %d, %d; without turns %d, %d; by parts %d, %d", allowed, owed,
-					worst(sent), len(sent), worst(first), len(first), worst(even), len(even))
-				assert.Check(t, worst(sent) <= allowed)
+				allowed := int(limit*window.Seconds()*overage + allowance)
+				sent := simulate(newSharedLimits, c.routers, limit, c.calls)
+				expected := min(limit, c.calls) * simDuration.Seconds()
+				unstaggered, even := simulate(newWithoutStagger, c.routers, limit, c.calls), simulate(newEvenSplit, c.routers, limit, c.calls)
+				t.Logf("worst window of %d and requests of %.0f: %d, %d; without staggered delays %d, %d; by equal shares %d, %d", allowed, expected,
+					maxInWindow(sent), len(sent), maxInWindow(unstaggered), len(unstaggered), maxInWindow(even), len(even))
+				assert.Check(t, maxInWindow(sent) <= allowed)
 				if limit < c.calls/2 {
-					assert.Check(t, float64(len(sent)) >= 0.85*owed, "%d of %.0f", len(sent), owed)
+					assert.Check(t, float64(len(sent)) >= 0.85*expected, "%d of %.0f", len(sent), expected)
 				}
 			})
 		}
--- a/policy/serverlimit/serverlimit.go
+++ b/policy/serverlimit/serverlimit.go
@@ -1,13 +1,14 @@
-// Package serverlimit keeps routers, all together, to the requests a second that servers in need name.
+// Package serverlimit keeps the requests of all routers together within the request rates that overloaded servers
+// announce.
 //
-// Load pattern: two of three servers of a service that bears twenty calls a second say in their answers that they take
-// one and three, for some seconds or for minutes, while dozens of routers send to them. The limit is that of all routers,
-// holds for as long as answers name it, and ends with the first that does not.
+// Load pattern: two of three servers of a service that can take twenty calls per second announce in their answers that
+// they take one and three, for some seconds or for minutes, while dozens of routers send to them. The limit applies to
+// all routers together, as long as answers announce it, and ends with the first that does not.
 //
-// Every router keeps the bucket of all (policy/limit): it takes from it what it sends itself at once, and what others
-// send as soon as it hears of it. The routers hear of each other within milliseconds, in which several of them may take
-// the same request's worth; then the bucket is in debt and all wait longer. So that this stays rare before hundreds of
-// routers, each waits for a turn of its own once the bucket has something again.
+// Every router holds a copy of one token bucket per server (policy/limit): it deducts what it sends itself at once, and
+// what others send as soon as they report it. Reports take some milliseconds, in which several routers may take the
+// same tokens; then the bucket is in debt and all wait longer. To keep this rare with hundreds of routers, each waits
+// for a random staggered delay of its own once the bucket has tokens again.
 //
 // Limits is deterministic under its seed, takes the time from its caller, and is not safe for concurrent use.
 package serverlimit
@@ -21,67 +22,70 @@
 )
 
 const (
-	// least is the rate, in requests a second, at which a server is asked that takes none: the end of its limit is
-	// seen in an answer alone.
-	least = 0.2
-	// burst is the requests that may be sent at once after a pause, and burstFor the time whose requests may be besides:
-	// calls come unevenly, and what a server takes is to be used.
-	burst    = 1
-	burstFor = 250 * time.Millisecond
-	// turn is how much later than the one before it a router may take what has become free: the time in which it hears
-	// of the other. Together they take turnsShare of the pause between two requests at most.
-	turn       = 4 * time.Millisecond
-	turnsShare = 0.5
-	// endToldFor is how long the end of a limit is told to others, who may have missed it.
-	endToldFor = 10 * time.Second
+	// minRate is the rate, in requests per second, at which a server that takes none is probed: only an answer shows
+	// the end of its limit.
+	minRate = 0.2
+	// burst is the number of requests that may be sent at once after an idle time, and burstWindow the time whose
+	// requests may be sent in addition: calls arrive unevenly, and the server's whole rate is to be used.
+	burst       = 1
+	burstWindow = 250 * time.Millisecond
+	// stagger is the delay between two routers before they may take tokens that have become available: the time in
+	// which the second receives the report of the first. All staggered delays together take at most maxStaggerShare of
+	// the interval between two requests.
+	stagger         = 4 * time.Millisecond
+	maxStaggerShare = 0.5
+	// endReportedFor is how long the end of a limit is reported to other routers, which may have missed it.
+	endReportedFor = 10 * time.Second
 )
 
-// Limit is what a server said that it takes.
+// Limit is the rate limit that a server announces.
 type Limit struct {
-	// Limited is set if it takes no more than PerSecond requests a second.
+	// Limited is set if the server takes no more than PerSecond requests per second.
 	Limited   bool
 	PerSecond float64
 }
 
-// Valid reports whether a server can have said l.
+// Valid reports whether a server can have announced l.
 func (l Limit) Valid() bool {
 	return l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0)
 }
 
-// Statement is a limit at a time. An answer names one as of its arrival. It tells that there is none as of the sending of its
-// request only, since it may have been made before the server named one in another answer.
+// Statement is a limit and the time at which it was announced. An answer that announces a limit counts from its
+// arrival. One that announces none counts only from the sending of its request, since it may have been made before the
+// server announced a limit in another answer.
 type Statement struct {
 	Limit
 	At time.Time
 }
 
-// Limits is what one router knows of the limits of servers, and of what all routers sent there.
+// Limits is one router's local state of the limits of servers, and of what all routers sent there.
 type Limits struct {
 	servers map[string]*server
-	used    *limit.SharedQuotas
+	usage   *limit.SharedQuotas
 	rng     *rand.Rand
 	routers int
 }
 
 type server struct {
 	latest Statement
-	// turn is this router's share of the time that the turns of all take, in [0, 1).
-	turn float64
+	// staggerPosition is this router's position within the staggered delays of all routers, in [0, 1).
+	staggerPosition float64
 }
 
 // New returns the limits of a process that starts now. Seeds differ between routers.
 func New(seed uint64, now time.Time) *Limits {
-	return &Limits{servers: map[string]*server{}, used: limit.NewSharedQuotas(now).WithoutHeartbeats(), rng: rand.New(rand.NewPCG(seed, 0)), routers: 1}
+	return &Limits{servers: map[string]*server{}, usage: limit.NewSharedQuotas(now).WithoutHeartbeats(), rng: rand.New(rand.NewPCG(seed, 0)), routers: 1}
 }
 
-// SetRouters takes the number of routers that send requests, this one included.
+// SetRouters sets the number of routers that send requests, this one included.
 func (l *Limits) SetRouters(n int) { l.routers = max(n, 1) }
 
-// Usage is what routers tell each other of the requests that they sent to servers with limits.
-func (l *Limits) Usage() *limit.SharedQuotas { return l.used }
+// Usage returns the quotas through which routers report to each other the requests that they sent to servers with
+// limits.
+func (l *Limits) Usage() *limit.SharedQuotas { return l.usage }
 
-// Update takes what a server said, to this router or to another, and reports whether its limit has changed. What is older
-// than what is known changes nothing.
+// Update records what a server announced, to this router or to another, and reports whether its limit has changed. A
+// statement older than the latest one changes nothing.
 func (l *Limits) Update(id string, st Statement, now time.Time) bool {
 	s, known := l.servers[id]
 	if !known && !st.Limited {
@@ -100,24 +104,24 @@
 		return false
 	}
 	if st.Limited {
-		l.used.Configure(id, s.terms(), now)
+		l.usage.Configure(id, s.terms(), now)
 	}
 	if !before.Limited {
-		// The request is owed whose answer named the limit. Every router learns of it in the same few milliseconds: with a
-		// full bucket all would take from it at once.
-		l.used.StartInDebt(id, 1, now)
-		s.turn = l.rng.Float64()
+		// The request whose answer announced the limit counts as a debt. All routers learn of the limit within the same
+		// few milliseconds: with a full bucket all would take from it at once.
+		l.usage.StartInDebt(id, 1, now)
+		s.staggerPosition = l.rng.Float64()
 	}
 	return true
 }
 
-// terms are those of the bucket of all routers.
+// terms returns the terms of the bucket shared by all routers.
 func (s *server) terms() limit.Terms {
-	rate := max(s.latest.PerSecond, least)
-	return limit.Terms{Rate: rate, Burst: burst + rate*burstFor.Seconds()}
+	rate := max(s.latest.PerSecond, minRate)
+	return limit.Terms{Rate: rate, Burst: burst + rate*burstWindow.Seconds()}
 }
 
-// Count is the number of servers with a limit.
+// Count returns the number of servers with a limit.
 func (l *Limits) Count() int {
 	n := 0
 	for _, s := range l.servers {
@@ -128,7 +132,7 @@
 	return n
 }
 
-// LimitOf is the limit of a server.
+// LimitOf returns the limit of a server.
 func (l *Limits) LimitOf(id string) Limit {
 	if s, ok := l.servers[id]; ok {
 		return s.latest.Limit
@@ -136,54 +140,54 @@
 	return Limit{}
 }
 
-// Wait is how long a server is to be sent no request; zero if it may be sent one now.
+// Wait returns how long to wait before sending a request to a server; zero if one may be sent now.
 func (l *Limits) Wait(id string, now time.Time) time.Duration {
 	s, ok := l.servers[id]
 	if !ok || !s.latest.Limited {
 		return 0
 	}
 	t := s.terms()
-	all := min(time.Duration(l.routers-1)*turn, time.Duration(turnsShare/t.Rate*float64(time.Second)))
-	return max(l.used.TimeToAdmit(id, t, now)+time.Duration(s.turn*float64(all)), 0)
+	maxStagger := min(time.Duration(l.routers-1)*stagger, time.Duration(maxStaggerShare/t.Rate*float64(time.Second)))
+	return max(l.usage.TimeToAdmit(id, t, now)+time.Duration(s.staggerPosition*float64(maxStagger)), 0)
 }
 
-// Take notes a request that is sent to a server, and reports whether it may be.
+// Take reports whether a request may be sent to a server, and if so counts it.
 func (l *Limits) Take(id string, now time.Time) bool {
 	s, ok := l.servers[id]
 	if !ok || !s.latest.Limited {
 		return true
 	}
-	if l.Wait(id, now) > 0 || !l.used.Admit(id, s.terms(), now, nil).Admitted {
+	if l.Wait(id, now) > 0 || !l.usage.Admit(id, s.terms(), now, nil).Admitted {
 		return false
 	}
-	s.turn = l.rng.Float64()
+	s.staggerPosition = l.rng.Float64()
 	return true
 }
 
-// Return notes that a request that was taken was not sent.
-func (l *Limits) Return(id string, now time.Time) { l.used.Return(id, 1, now) }
+// Return refunds a request that was taken but not sent.
+func (l *Limits) Return(id string, now time.Time) { l.usage.Return(id, 1, now) }
 
-// Retain drops servers that known does not name.
+// Retain removes the servers for which known is false.
 func (l *Limits) Retain(known func(id string) bool) {
 	for id := range l.servers {
 		if !known(id) {
 			delete(l.servers, id)
 		}
 	}
-	l.used.Retain(known)
+	l.usage.Retain(known)
 }
 
-// ReportedLimit is what is told of one server.
+// ReportedLimit is what one router reports of one server.
 type ReportedLimit struct {
 	ID string
 	Statement
 }
 
-// Report returns the limits that other routers are to know, and those that ended a while ago.
+// Report returns the limits to report to other routers, including those that ended recently.
 func (l *Limits) Report(now time.Time) []ReportedLimit {
 	var out []ReportedLimit
 	for id, s := range l.servers {
-		if s.latest.Limited || now.Sub(s.latest.At) < endToldFor {
+		if s.latest.Limited || now.Sub(s.latest.At) < endReportedFor {
 			out = append(out, ReportedLimit{ID: id, Statement: s.latest})
 		}
 	}
