--- a/forward/serverlimits.go
+++ b/forward/serverlimits.go
@@ -26,9 +26,9 @@
 
 // ServerLimitUpdates is one router's report about servers with limits.
 type ServerLimitUpdates struct {
-	Limits []serverlimit.Told
-	// Used is the number of requests sent there; Informed is that of limit.Shared.Tell.
-	Used     []limit.Told
+	Limits []serverlimit.ReportedLimit
+	// Used is the number of requests sent there; Informed is that of limit.SharedQuotas.Report.
+	Used     []limit.ReportedUsage
 	Informed bool
 }
 
@@ -44,7 +44,7 @@
 // set takes a limit that a server declares, and reports whether it has changed.
 func (l *ServerLimits) set(id string, perSecond float64) bool {
 	now := time.Now()
-	return l.update(id, serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: perSecond}, At: now}, now)
+	return l.update(id, serverlimit.Statement{Limit: serverlimit.Limit{Limited: true, PerSecond: perSecond}, At: now}, now)
 }
 
 // clear records that a server declares no limit in the answer to a request sent at the given time, and reports whether
@@ -94,7 +94,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ok := l.limits.Take(id, time.Now())
-	if l.limits.Used().Untold(time.Now()) {
+	if l.limits.Usage().UpdateDue(time.Now()) {
 		l.notify()
 	}
 	return ok
@@ -104,7 +104,7 @@
 func (l *ServerLimits) putBack(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.GiveBack(id, time.Now())
+	l.limits.Return(id, time.Now())
 }
 
 // limitOf returns the limit of a server.
@@ -114,14 +114,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limits.Of(id)
+	return l.limits.LimitOf(id)
 }
 
 // forget drops servers that known does not report.
 func (l *ServerLimits) forget(known func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.Forget(known)
+	l.limits.Retain(known)
 	l.updateCount()
 }
 
@@ -132,7 +132,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	var out ServerLimitUpdates
-	for _, t := range l.limits.Tell(now) {
+	for _, t := range l.limits.Report(now) {
 		if _, pending := l.updates[t.ID]; pending || !changes {
 			out.Limits = append(out.Limits, t)
 		}
@@ -140,7 +140,7 @@
 	if changes {
 		clear(l.updates)
 	}
-	out.Used, out.Informed = l.limits.Used().Tell(changes, now)
+	out.Used, out.Informed = l.limits.Usage().Report(changes, now)
 	return out
 }
 
@@ -153,7 +153,7 @@
 		l.limits.Update(t.ID, t.Statement, now)
 	}
 	l.updateCount()
-	l.limits.Used().Hear(addr, incarnation, updates.Informed, all, updates.Used, now)
+	l.limits.Usage().Receive(addr, incarnation, updates.Informed, all, updates.Used, now)
 }
 
 // CheckMembers checks for routers that no longer report, given the number of routers and their report interval.
@@ -161,13 +161,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.SetRouters(routers)
-	l.limits.Used().SetPace(interval)
-	l.limits.Used().Refresh(time.Now())
+	l.limits.Usage().SetReportInterval(interval)
+	l.limits.Usage().CheckMembers(time.Now())
 }
 
 // MarkUnresponsive records that the router at an address does not answer.
 func (l *ServerLimits) MarkUnresponsive(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.Used().Lost(addr, time.Now())
+	l.limits.Usage().MarkUnresponsive(addr, time.Now())
 }
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -126,7 +126,7 @@
 // reserveSend counts one request against a server's declared limit, to be sent there later, and reports whether it may
 // be sent.
 func (f *Forwarder) reserveSend(j *job, id string) bool {
-	limited := f.limits.limitOf(id).Named
+	limited := f.limits.limitOf(id).Limited
 	if !f.limits.take(id) {
 		return false
 	}
