--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -1,4 +1,4 @@
-// Package fingerprint identifies requests that ask the same, whichever connection they arrive on and whichever ID
+// Package fingerprint recognizes requests with the same content, whichever connection they arrive on and whichever ID
 // their client gave them.
 package fingerprint
 
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -123,10 +123,10 @@
 // drain is the schedule of a shutdown: no stream is started from noStreamsFrom on, and the process exits at exitAt.
 type drain struct{ noStreamsFrom, exitAt time.Time }
 
-// Drain makes all further answers close their connection. Streams are accepted until streams, and calls as long as
-// their deadline is before end, when the process exits.
-func (f *Forwarder) Drain(streams, end time.Time) {
-	f.drain.Store(&drain{noStreamsFrom: streams, exitAt: end})
+// Drain makes all further answers close their connection. Streams are accepted before noStreamsFrom, and calls whose
+// deadline is before exitAt, when the process exits.
+func (f *Forwarder) Drain(noStreamsFrom, exitAt time.Time) {
+	f.drain.Store(&drain{noStreamsFrom: noStreamsFrom, exitAt: exitAt})
 }
 
 func (f *Forwarder) draining() bool { return f.drain.Load() != nil }
--- a/forward/types.go
+++ b/forward/types.go
@@ -2,7 +2,7 @@
 // if the route allows it, and answered exactly once.
 //
 // Decisions that depend on load are made in other packages: policy/waitqueue orders waiting requests and
-// policy/kvmemory chooses their engine, policy/outlier affects which server gets a plain call, and policy/retrybudget
+// policy/kvmemory chooses their engine, policy/outlier rates the servers for plain calls, and policy/retrybudget
 // bounds retries. The Codec defines the format on the wire.
 package forward
 
@@ -109,8 +109,8 @@
 
 // Engines makes the calls to model engines other than the requests themselves. It must be safe for concurrent use.
 type Engines interface {
-	// Reserve reserves a slot and memory for life; it returns ErrFull or ErrStopping if there is no free capacity.
-	Reserve(ctx context.Context, s registry.Server, tokens int, life time.Duration) (string, error)
+	// Reserve reserves a slot and memory for lifetime; it returns ErrFull or ErrStopping if there is no free capacity.
+	Reserve(ctx context.Context, s registry.Server, tokens int, lifetime time.Duration) (string, error)
 	// Unreserve returns an unused reservation.
 	Unreserve(ctx context.Context, s registry.Server, reservation string) error
 	// FreeExport frees an exported KV cache that will not be fetched.
--- a/forward/yield_test.go
+++ b/forward/yield_test.go
@@ -26,8 +26,8 @@
 }
 
 // Reserve implements forward.Engines.
-func (c *saturatingEngines) Reserve(ctx context.Context, s registry.Server, tokens int, life time.Duration) (string, error) {
-	reservation, err := c.Engines.Reserve(ctx, s, tokens, life)
+func (c *saturatingEngines) Reserve(ctx context.Context, s registry.Server, tokens int, lifetime time.Duration) (string, error) {
+	reservation, err := c.Engines.Reserve(ctx, s, tokens, lifetime)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reservedAt = append(c.reservedAt, s.ID)
