--- a/forward/engines.go
+++ b/forward/engines.go
@@ -144,7 +144,7 @@
 	if hold <= 0 || e.line.Len() == 0 {
 		return false
 	}
-	rate := e.memory.PerRouter() / hold.Seconds()
+	rate := e.memory.TokensPerRouter() / hold.Seconds()
 	return e.terms.Hopeless(e.line.Ahead(w), rate, w.Until.Sub(now))
 }
 
@@ -200,8 +200,8 @@
 		w := e.line.Next(func(w *waiting.Waiter) bool {
 			var ok bool
 			t := e.turns[w]
-			id, ok = e.memory.Pick(kvmemory.Ask{
-				Run: t.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.doubtful, Closed: e.closed,
+			id, ok = e.memory.Pick(kvmemory.Request{
+				Run: t.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.doubtful, Unavailable: e.closed,
 			}, now)
 			return ok && t.reserve(id)
 		}, passFor, now)
@@ -209,7 +209,7 @@
 			break
 		}
 		t := e.turns[w]
-		e.memory.Take(id, t.run)
+		e.memory.Place(id, t.run)
 		e.note(id)
 		t.engine <- id
 		delete(e.turns, w)
@@ -237,7 +237,7 @@
 func (e *engines) refused(id string, r *kvmemory.Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.Refuse(id, r, time.Now())
+	e.memory.Refused(id, r, time.Now())
 	e.note(id)
 }
 
@@ -256,14 +256,14 @@
 	if tokens := e.reading[id]; tokens > 0 {
 		return kvmemory.Load{Tokens: tokens}
 	}
-	return e.memory.OwnAt(id, now)
+	return e.memory.OwnLoad(id, now)
 }
 
 // crowd is the share of an engine's places that are taken.
 func (e *engines) crowd(id string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.memory.Crowd(id)
+	return e.memory.SlotLoad(id)
 }
 
 // note marks an engine whose placement changed. The caller holds mu.
@@ -290,7 +290,7 @@
 func (e *engines) failed(id string, r *kvmemory.Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.Fail(id, r, time.Now())
+	e.memory.Failed(id, r, time.Now())
 	e.note(id)
 }
 
@@ -298,14 +298,14 @@
 func (e *engines) crowded(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.memory.Crowded(id, time.Now())
+	return e.memory.Saturated(id, time.Now())
 }
 
 // worked notes that an engine ran a request.
 func (e *engines) worked(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.Worked(id)
+	e.memory.Succeeded(id)
 }
 
 // release notes that a request is over at an engine.
@@ -320,7 +320,7 @@
 func (e *engines) own() []kvmemory.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := e.memory.Own(time.Now())
+	out := e.memory.OwnLoads(time.Now())
 	for id, tokens := range e.reading {
 		out = append(out, kvmemory.Share{ID: id, Load: kvmemory.Load{Tokens: tokens}})
 	}
@@ -343,7 +343,7 @@
 	now := time.Now()
 	e.memory.SetRouters(routers)
 	for id, l := range loads {
-		e.memory.SetOthers(id, l, now)
+		e.memory.SetPeerLoad(id, l, now)
 	}
 	if e.line.Len() > 0 {
 		e.dispatch()
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -171,7 +171,7 @@
 	assert.DeepEqual(t, changed[0].Load, kvmemory.Load{})
 	assert.DeepEqual(t, changed[1].Load, kvmemory.Load{})
 	assert.Equal(t, len(w.fwd.Placed()), 0)
-	full := kvmemory.Load{Tokens: 10_000, Ahead: kvmemory.Constant(10_000)}
+	full := kvmemory.Load{Tokens: 10_000, Forecast: kvmemory.Constant(10_000)}
 	w.fwd.SetOthers(map[string]kvmemory.Load{"d1": full, "d2": full})
 	assert.Equal(t, w.post(t, "/draft/1").status, 503, "others have placed everything")
 }
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -40,7 +40,7 @@
 			w.servers[c.leaving].SetLeaving()
 			// d1 has the most memory, as soon as the service is known.
 			w.fwd.Use("llm")
-			w.fwd.SetOthers(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Ahead: kvmemory.Constant(4000)}})
+			w.fwd.SetOthers(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Forecast: kvmemory.Constant(4000)}})
 			for i := range requests {
 				assert.Equal(t, w.post(t, fmt.Sprint("/draft/", i)).status, 200)
 			}
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -13,7 +13,7 @@
 func memoryConfig(off mechanism.Set) kvmemory.Config {
 	c := kvmemory.DefaultConfig()
 	if off.Has(mechanism.Turns) {
-		c.Turn = 0
+		c.Stagger = 0
 	}
 	if off.Has(mechanism.LateSpare) {
 		c.LateSpare = 0
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -62,7 +62,7 @@
 			return nil, r.noServer(outcome.NoPlace), false
 		}
 		if s, ok := find(f.View.Servers(j.service), id); ok {
-			j.room = r.run.Room
+			j.room = r.run.FreeAtPeak
 			return &streamAttempt{r: r, lease: &lease{server: s, run: r.run}}, outcome.Outcome{}, true
 		}
 		e.failed(id, r.run)
--- a/forward/rest_test.go
+++ b/forward/rest_test.go
@@ -110,7 +110,7 @@
 	w.add(t, "d2", "llm", registry.Decode)
 	// d1 has the most memory, as soon as the service is known.
 	w.fwd.Use("llm")
-	w.fwd.SetOthers(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Ahead: kvmemory.Constant(4000)}})
+	w.fwd.SetOthers(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Forecast: kvmemory.Constant(4000)}})
 	w.servers["d1"].Behave(site.Shed)
 	w.servers["d1"].SetRest(long)
 	assert.Equal(t, w.post(t, "/resume/1").status, 200)
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -22,7 +22,7 @@
 	w.servers["d1"].Stop()
 	others := func(on1 int) map[string]kvmemory.Load {
 		return map[string]kvmemory.Load{
-			"d1": {Tokens: on1, Runs: 1, Ahead: kvmemory.Constant(on1)}, "d2": {Tokens: 5000, Runs: 1, Ahead: kvmemory.Constant(5000)},
+			"d1": {Tokens: on1, Runs: 1, Forecast: kvmemory.Constant(on1)}, "d2": {Tokens: 5000, Runs: 1, Forecast: kvmemory.Constant(5000)},
 		}
 	}
 	const requests = 10
--- a/forward/yield_test.go
+++ b/forward/yield_test.go
@@ -32,7 +32,7 @@
 	defer c.mu.Unlock()
 	c.asked = append(c.asked, s.ID)
 	if len(c.asked) <= c.most {
-		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Ahead: kvmemory.Constant(10_000)}
+		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Forecast: kvmemory.Constant(10_000)}
 		c.fwd.SetOthers(map[string]kvmemory.Load{s.ID: full})
 	}
 	return reservation, err
--- a/gateway/encode.go
+++ b/gateway/encode.go
@@ -25,11 +25,11 @@
 	if s.Runs == 0 {
 		return out
 	}
-	for i := range kvmemory.Ahead {
-		out.Mean = append(out.Mean, uint32(s.Ahead.Mean[i]))
-		out.Variance = append(out.Variance, uint64(s.Ahead.Variance[i]))
+	for i := range kvmemory.NumHorizons {
+		out.Mean = append(out.Mean, uint32(s.Forecast.Mean[i]))
+		out.Variance = append(out.Variance, uint64(s.Forecast.Variance[i]))
 	}
-	out.Most = uint32(s.Ahead.Most)
+	out.Most = uint32(s.Forecast.Max)
 	return out
 }
 
@@ -38,14 +38,14 @@
 func decodeLoad(s *peer.Share) kvmemory.Load {
 	l := kvmemory.Load{Tokens: int(s.GetTokens()), Runs: int(s.GetRuns())}
 	mean, variance := s.GetMean(), s.GetVariance()
-	if len(mean) != kvmemory.Ahead || len(variance) != kvmemory.Ahead {
-		l.Ahead = kvmemory.Constant(l.Tokens)
+	if len(mean) != kvmemory.NumHorizons || len(variance) != kvmemory.NumHorizons {
+		l.Forecast = kvmemory.Constant(l.Tokens)
 		return l
 	}
-	for i := range kvmemory.Ahead {
-		l.Ahead.Mean[i], l.Ahead.Variance[i] = float64(mean[i]), float64(variance[i])
+	for i := range kvmemory.NumHorizons {
+		l.Forecast.Mean[i], l.Forecast.Variance[i] = float64(mean[i]), float64(variance[i])
 	}
-	l.Ahead.Most = mostOf(s)
+	l.Forecast.Max = mostOf(s)
 	return l
 }
 
--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -137,8 +137,8 @@
 		var placed []kvmemory.Share
 		for i := range engines {
 			l := kvmemory.Load{Tokens: 15_000 + i, Runs: 3}
-			for k := range kvmemory.Ahead {
-				l.Ahead.Mean[k], l.Ahead.Variance[k] = float64(15_000-700*k), float64(90_000+5_000*k)
+			for k := range kvmemory.NumHorizons {
+				l.Forecast.Mean[k], l.Forecast.Variance[k] = float64(15_000-700*k), float64(90_000+5_000*k)
 			}
 			placed = append(placed, kvmemory.Share{ID: id(i), Load: l})
 		}
--- a/gateway/placed.go
+++ b/gateway/placed.go
@@ -99,7 +99,7 @@
 func (p *placed) age(told map[string]toldLoad, now time.Time, changed map[string]kvmemory.Load) {
 	for id, t := range told {
 		p.add(id, &t.counted, -1, changed)
-		t.counted.Ahead = t.load.Ahead.GoingOn(now.Sub(t.at), t.load.Runs)
+		t.counted.Forecast = t.load.Forecast.AgedStillRunning(now.Sub(t.at), t.load.Runs)
 		p.add(id, &t.counted, 1, changed)
 		told[id] = t
 	}
--- a/gateway/placed_test.go
+++ b/gateway/placed_test.go
@@ -18,7 +18,7 @@
 
 // held is what gateways tell without a forecast.
 func held(tokens int) kvmemory.Load {
-	return kvmemory.Load{Tokens: tokens, Ahead: kvmemory.Constant(tokens)}
+	return kvmemory.Load{Tokens: tokens, Forecast: kvmemory.Constant(tokens)}
 }
 
 func told(incarnation, number uint64, tokens uint32) *peer.Placement {
@@ -77,11 +77,11 @@
 	r := report(1, 1, 1000)
 	r.Shares[0].Runs = 1
 	r.Shares[0].Mean = []uint32{100, 200, 300, 400, 500, 600, 700, 800}
-	r.Shares[0].Variance = make([]uint64, kvmemory.Ahead)
+	r.Shares[0].Variance = make([]uint64, kvmemory.NumHorizons)
 	p.take(r, start)
-	assert.Equal(t, p.totals["i-1"].Ahead.Mean[0], 100.0)
+	assert.Equal(t, p.totals["i-1"].Forecast.Mean[0], 100.0)
 	aged := p.refresh(0, start.Add(500*time.Millisecond))["i-1"]
-	assert.Equal(t, aged.Ahead.Mean[0], 300.0)
+	assert.Equal(t, aged.Forecast.Mean[0], 300.0)
 	assert.Equal(t, aged.Tokens, 1000)
 	assert.DeepEqual(t, p.refresh(0, start.Add(placedLife)), map[string]kvmemory.Load{"i-1": {}})
 }
@@ -91,11 +91,11 @@
 func TestShareTellsMost(t *testing.T) {
 	var l kvmemory.Load
 	l.Tokens, l.Runs = 30_000, 2
-	l.Ahead.Most = 33_000
+	l.Forecast.Max = 33_000
 	s := encodeShare(kvmemory.Share{ID: "i-1", Load: l})
-	assert.Equal(t, decodeLoad(s).Ahead.Most, 33_000.0)
+	assert.Equal(t, decodeLoad(s).Forecast.Max, 33_000.0)
 	s.Most = 0
-	untold := decodeLoad(s).Ahead
-	assert.Assert(t, untold.Most > 30_000)
+	untold := decodeLoad(s).Forecast
+	assert.Assert(t, untold.Max > 30_000)
 	assert.Assert(t, untold.Peak(kvmemory.DefaultMargin()) < 10_000, "%g", untold.Peak(kvmemory.DefaultMargin()))
 }
--- a/policy/kvmemory/burst_test.go
+++ b/policy/kvmemory/burst_test.go
@@ -102,11 +102,11 @@
 // place runs a request if its router finds room.
 func (b *burst) place(c *caller, now time.Time) bool {
 	p := b.pools[c.router]
-	id, ok := p.Pick(kvmemory.Ask{Run: c.run, Late: c.late}, now)
+	id, ok := p.Pick(kvmemory.Request{Run: c.run, Late: c.late}, now)
 	if !ok {
 		return false
 	}
-	p.Take(id, c.run)
+	p.Place(id, c.run)
 	c.engine, c.end = id, now.Add(c.runs)
 	b.running = append(b.running, c)
 	b.tell(id, now)
@@ -137,11 +137,11 @@
 		var sum kvmemory.Load
 		for j, other := range b.pools {
 			if j != i {
-				l := other.OwnAt(engine, now)
+				l := other.OwnLoad(engine, now)
 				sum.Add(&l, 1)
 			}
 		}
-		p.SetOthers(engine, sum, now)
+		p.SetPeerLoad(engine, sum, now)
 	}
 }
 
--- a/policy/kvmemory/crowd_ages_test.go
+++ b/policy/kvmemory/crowd_ages_test.go
@@ -25,7 +25,7 @@
 	for len(a.told) <= i {
 		a.told = append(a.told, map[string]toldLoad{})
 	}
-	a.told[i][id] = toldLoad{c.pools[i].OwnAt(id, now), now}
+	a.told[i][id] = toldLoad{c.pools[i].OwnLoad(id, now), now}
 }
 
 // share is what a router is thought to hold on an engine.
--- a/policy/kvmemory/crowd_test.go
+++ b/policy/kvmemory/crowd_test.go
@@ -126,18 +126,18 @@
 		var id string
 		w := c.lines[i].Next(func(w *waiting.Waiter) bool {
 			var ok bool
-			id, ok = p.Pick(kvmemory.Ask{Run: c.waiting[w].run, Late: w.Late}, now)
+			id, ok = p.Pick(kvmemory.Request{Run: c.waiting[w].run, Late: w.Late}, now)
 			return ok
 		}, crowdPass, now)
 		if w == nil {
 			return
 		}
 		v := c.waiting[w]
-		p.Take(id, v.run)
+		p.Place(id, v.run)
 		c.arrived[id]++
 		if c.used[id]+float64(v.prompt+crowdEvent) > float64(c.memory) {
 			c.refused++
-			p.Refuse(id, v.run, now)
+			p.Refused(id, v.run, now)
 			c.lines[i].Add(w)
 			continue
 		}
@@ -165,7 +165,7 @@
 // lookAgain has runs leave engines that turned out to be crowded while their memory was being reserved.
 func (c *crowd) lookAgain(now time.Time) {
 	for _, v := range c.looks[now] {
-		if !c.leaves || !c.pools[v.router].Crowded(v.engine, now) {
+		if !c.leaves || !c.pools[v.router].Saturated(v.engine, now) {
 			continue
 		}
 		c.used[v.engine] -= float64(v.prompt + crowdEvent)
@@ -236,7 +236,7 @@
 	var sum kvmemory.Load
 	own := make([]kvmemory.Load, len(c.pools))
 	for i, p := range c.pools {
-		own[i] = p.OwnAt(id, now)
+		own[i] = p.OwnLoad(id, now)
 		if c.ages != nil {
 			own[i] = c.ages.share(i, id, now)
 		}
@@ -245,7 +245,7 @@
 	for i, p := range c.pools {
 		others := sum
 		others.Add(&own[i], -1)
-		p.SetOthers(id, others, now)
+		p.SetPeerLoad(id, others, now)
 	}
 }
 
--- a/policy/kvmemory/forecast.go
+++ b/policy/kvmemory/forecast.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Ahead is the number of moments for which memory is forecast.
-const Ahead = 8
+// NumHorizons is the number of moments for which memory is forecast.
+const NumHorizons = 8
 
 // moments are how far ahead memory is forecast: from now on, doubling, so that runs of half a
 // second and of half a minute are both seen to end.
-var moments = [Ahead]time.Duration{
+var moments = [NumHorizons]time.Duration{
 	0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second,
 	2 * time.Second, 4 * time.Second, 8 * time.Second, 16 * time.Second,
 }
@@ -18,12 +18,12 @@
 // Forecast is the memory that runs hold at the moments ahead: the sums of its means, in
 // tokens, and of its variances. Forecasts of different runs, and of different routers, add up.
 type Forecast struct {
-	Mean, Variance [Ahead]float64
-	// Most is what they hold at most, in tokens: all of them at the longest that they may generate.
+	Mean, Variance [NumHorizons]float64
+	// Max is what they hold at most, in tokens: all of them at the longest that they may generate.
 	// Mean and deviation alone exceed it where runs are few: a run that ends in the next second with a
 	// chance of one half counts half as much again as it can hold. Requests of six tenths of an engine's
 	// memory were refused by empty engines for that.
-	Most float64
+	Max float64
 }
 
 // Constant returns the forecast of runs that hold that much memory until further notice.
@@ -32,7 +32,7 @@
 	for i := range f.Mean {
 		f.Mean[i] = float64(tokens)
 	}
-	f.Most = float64(tokens)
+	f.Max = float64(tokens)
 	return f
 }
 
@@ -42,30 +42,30 @@
 		f.Mean[i] += sign * o.Mean[i]
 		f.Variance[i] += sign * o.Variance[i]
 	}
-	f.Most += sign * o.Most
+	f.Max += sign * o.Max
 }
 
-// After is what a forecast that was made that long ago says of now.
-func (f *Forecast) After(age time.Duration) Forecast {
-	out := Forecast{Most: f.Most}
+// Aged is what a forecast that was made that long ago says of now.
+func (f *Forecast) Aged(age time.Duration) Forecast {
+	out := Forecast{Max: f.Max}
 	for i, ahead := range moments {
 		out.Mean[i], out.Variance[i] = f.at(ahead + age)
 	}
 	return out
 }
 
-// GoingOn is what a forecast of that many runs, made that long ago, says of now, given that none of them has
+// AgedStillRunning is what a forecast of that many runs, made that long ago, says of now, given that none of them has
 // ended since: ends are told at once, so that silence means that they go on. Without that, in a replay of 40 routers
 // that report once a second, 131 runs of 3,268 are preempted instead of 51 (TestSilenceMeansThatRunsGoOn).
-func (f *Forecast) GoingOn(age time.Duration, runs int) Forecast {
-	out := f.After(age)
+func (f *Forecast) AgedStillRunning(age time.Duration, runs int) Forecast {
+	out := f.Aged(age)
 	held, likely := f.Mean[0], out.Mean[0]
 	if runs <= 0 || likely >= held {
 		return out
 	}
 	for i, mean := range out.Mean {
 		if likely > 0 {
-			mean = math.Round(min(mean*held/likely, f.Most))
+			mean = math.Round(min(mean*held/likely, f.Max))
 		} else {
 			mean = held
 		}
@@ -77,7 +77,7 @@
 
 // at is the forecast between two moments.
 func (f *Forecast) at(ahead time.Duration) (mean, variance float64) {
-	for i := 1; i < Ahead; i++ {
+	for i := 1; i < NumHorizons; i++ {
 		if ahead > moments[i] {
 			continue
 		}
@@ -86,7 +86,7 @@
 		variance = math.Round(f.Variance[i-1] + part*(f.Variance[i]-f.Variance[i-1]))
 		return mean, variance
 	}
-	return f.Mean[Ahead-1], f.Variance[Ahead-1]
+	return f.Mean[NumHorizons-1], f.Variance[NumHorizons-1]
 }
 
 // Margin is what is kept for what is not known of the lengths of runs.
@@ -131,7 +131,7 @@
 			highest = held
 		}
 	}
-	most := a.Most + b.Most
+	most := a.Max + b.Max
 	// Comparisons: min and max of floats heed NaN and signed zero, which took a tenth of a choice among 350 engines.
 	if growth := most - a.Mean[0] - b.Mean[0]; growth > 0 {
 		highest += m.Growth * growth
@@ -146,12 +146,12 @@
 type Load struct {
 	// Tokens is the memory that they are thought to take at their ends, Runs their number.
 	Tokens, Runs int
-	Ahead        Forecast
+	Forecast     Forecast
 }
 
 // Add adds sign times o.
 func (l *Load) Add(o *Load, sign int) {
 	l.Tokens += sign * o.Tokens
 	l.Runs += sign * o.Runs
-	l.Ahead.Add(&o.Ahead, float64(sign))
+	l.Forecast.Add(&o.Forecast, float64(sign))
 }
--- a/policy/kvmemory/kvmemory.go
+++ b/policy/kvmemory/kvmemory.go
@@ -50,13 +50,13 @@
 	// LateSpare is the share of an engine's memory that stays free when a late request is
 	// placed there: about two requests of the usual size.
 	LateSpare float64
-	// Turn is how long routers leave memory that has become free to each router before them:
+	// Stagger is how long routers leave memory that has become free to each router before them:
 	// as long as it takes to hear that another one has taken it. With 23 routers half as many
 	// runs are preempted as without turns, and 8 ms is no better.
-	Turn time.Duration
-	// TurnsMost bounds the turns of all routers together: a request that can be in time waits
+	Stagger time.Duration
+	// MaxStagger bounds the turns of all routers together: a request that can be in time waits
 	// some six times as long.
-	TurnsMost time.Duration
+	MaxStagger time.Duration
 	// Margin is by how much the memory that runs are expected to hold together has to stay below
 	// an engine's.
 	Margin Margin
@@ -64,7 +64,7 @@
 
 // DefaultConfig returns the values that were measured; see docs/DECISIONS.md.
 func DefaultConfig() Config {
-	return Config{Backoff: 150 * time.Millisecond, FailBackoff: time.Second, ZoneBonus: 0.1, LateSpare: 0.25, Margin: DefaultMargin(), Turn: 4 * time.Millisecond, TurnsMost: 100 * time.Millisecond}
+	return Config{Backoff: 150 * time.Millisecond, FailBackoff: time.Second, ZoneBonus: 0.1, LateSpare: 0.25, Margin: DefaultMargin(), Stagger: 4 * time.Millisecond, MaxStagger: 100 * time.Millisecond}
 }
 
 // Server is a decode engine.
@@ -177,22 +177,22 @@
 	for _, r := range s.runs {
 		p.pace.look(r, now)
 		s.own.Tokens += r.Need
-		r.add(&s.own.Ahead, p.pace.perSecond())
+		r.add(&s.own.Forecast, p.pace.perSecond())
 	}
 	s.sum()
 }
 
 // sum brings all up to date.
 func (s *server) sum() {
-	s.all = s.own.Ahead
-	s.all.Add(&s.others.Ahead, 1)
+	s.all = s.own.Forecast
+	s.all.Add(&s.others.Forecast, 1)
 }
 
 // stale has the own load of an engine worked out anew.
 func (s *server) stale() { s.at = time.Time{} }
 
-// Take notes that a run is placed, or about to be placed, on an engine.
-func (p *Pool) Take(id string, r *Run) {
+// Place notes that a run is placed, or about to be placed, on an engine.
+func (p *Pool) Place(id string, r *Run) {
 	if s, ok := p.servers[id]; ok {
 		s.runs = append(s.runs, r)
 		s.own.Runs++
@@ -229,14 +229,14 @@
 	}
 }
 
-// Refuse notes that an engine refused a run, which was taken before.
-func (p *Pool) Refuse(id string, r *Run, now time.Time) {
+// Refused notes that an engine refused a run, which was taken before.
+func (p *Pool) Refused(id string, r *Run, now time.Time) {
 	p.block(id, r, r.Need, now.Add(p.cfg.Backoff))
 }
 
-// Fail notes that an engine gave no answer when it was asked for room, or took no run though
+// Failed notes that an engine gave no answer when it was asked for room, or took no run though
 // it had granted memory: it gets nothing for a while, longer each time.
-func (p *Pool) Fail(id string, r *Run, now time.Time) {
+func (p *Pool) Failed(id string, r *Run, now time.Time) {
 	s, ok := p.servers[id]
 	if !ok {
 		return
@@ -248,8 +248,8 @@
 // maxDoublings bounds the pauses of an engine that goes on failing to eight times the first.
 const maxDoublings = 3
 
-// Worked notes that an engine ran a request.
-func (p *Pool) Worked(id string) {
+// Succeeded notes that an engine ran a request.
+func (p *Pool) Succeeded(id string) {
 	if s, ok := p.servers[id]; ok {
 		s.fails = 0
 	}
@@ -270,20 +270,20 @@
 	Load
 }
 
-// Own returns what this router placed, ordered by engine.
-func (p *Pool) Own(now time.Time) []Share {
+// OwnLoads returns what this router placed, ordered by engine.
+func (p *Pool) OwnLoads(now time.Time) []Share {
 	var out []Share
 	for _, s := range p.ordered {
 		if len(s.runs) > 0 {
-			out = append(out, Share{ID: s.ID, Load: p.OwnAt(s.ID, now)})
+			out = append(out, Share{ID: s.ID, Load: p.OwnLoad(s.ID, now)})
 		}
 	}
 	return out
 }
 
-// PerRouter is a router's share of what all routers placed on all engines, in tokens: what it may expect to
+// TokensPerRouter is a router's share of what all routers placed on all engines, in tokens: what it may expect to
 // find free as runs end, whoever placed them.
-func (p *Pool) PerRouter() float64 {
+func (p *Pool) TokensPerRouter() float64 {
 	sum := 0
 	for _, s := range p.servers {
 		sum += s.own.Tokens + s.others.Tokens
@@ -291,8 +291,8 @@
 	return float64(sum) / float64(p.routers)
 }
 
-// OwnAt is what this router placed on one engine.
-func (p *Pool) OwnAt(id string, now time.Time) Load {
+// OwnLoad is what this router placed on one engine.
+func (p *Pool) OwnLoad(id string, now time.Time) Load {
 	s, ok := p.servers[id]
 	if !ok {
 		return Load{}
@@ -301,8 +301,8 @@
 	return s.own
 }
 
-// Crowd is the share of an engine's places that are taken, in [0, 1].
-func (p *Pool) Crowd(id string) float64 {
+// SlotLoad is the share of an engine's places that are taken, in [0, 1].
+func (p *Pool) SlotLoad(id string) float64 {
 	s, ok := p.servers[id]
 	if !ok || s.Slots <= 0 {
 		return 1
@@ -310,9 +310,9 @@
 	return min(float64(s.own.Runs+s.others.Runs)/float64(s.Slots), 1)
 }
 
-// SetOthers takes the sum of what all other routers placed on one engine. When it has
+// SetPeerLoad takes the sum of what all other routers placed on one engine. When it has
 // become less, an earlier refusal says nothing any more.
-func (p *Pool) SetOthers(id string, l Load, now time.Time) {
+func (p *Pool) SetPeerLoad(id string, l Load, now time.Time) {
 	s, ok := p.servers[id]
 	if !ok {
 		p.hear(id, l)
--- a/policy/kvmemory/kvmemory_test.go
+++ b/policy/kvmemory/kvmemory_test.go
@@ -24,7 +24,7 @@
 
 // held is the load of runs that hold that much memory for good.
 func held(tokens int) kvmemory.Load {
-	return kvmemory.Load{Tokens: tokens, Ahead: kvmemory.Constant(tokens)}
+	return kvmemory.Load{Tokens: tokens, Forecast: kvmemory.Constant(tokens)}
 }
 
 func servers(n int) []kvmemory.Server {
@@ -41,32 +41,32 @@
 	last := map[string]*kvmemory.Run{}
 	for {
 		r := run(6000)
-		id, ok := p.Pick(kvmemory.Ask{Run: r, Zone: "z1"}, start)
+		id, ok := p.Pick(kvmemory.Request{Run: r, Zone: "z1"}, start)
 		if !ok {
 			break
 		}
-		p.Take(id, r)
+		p.Place(id, r)
 		placed[id] += 6000
 		last[id] = r
 	}
 	assert.DeepEqual(t, placed, map[string]int{"a": 48_000, "b": 48_000})
 	p.Release("b", last["b"], start)
-	id, ok := p.Pick(kvmemory.Ask{Run: run(6000), Zone: "z1"}, start)
+	id, ok := p.Pick(kvmemory.Request{Run: run(6000), Zone: "z1"}, start)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, "b")
 }
 
 func TestPickCountsOthers(t *testing.T) {
 	p := pool("g", 2)
-	p.SetOthers("a", held(45_000), start)
-	p.SetOthers("b", held(10_000), start)
-	id, ok := p.Pick(kvmemory.Ask{Run: run(6000), Zone: "z1"}, start)
+	p.SetPeerLoad("a", held(45_000), start)
+	p.SetPeerLoad("b", held(10_000), start)
+	id, ok := p.Pick(kvmemory.Request{Run: run(6000), Zone: "z1"}, start)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, "b", "although a is in the zone")
-	p.SetOthers("b", held(45_000), start)
-	_, ok = p.Pick(kvmemory.Ask{Run: run(6000), Zone: "z1"}, start)
+	p.SetPeerLoad("b", held(45_000), start)
+	_, ok = p.Pick(kvmemory.Request{Run: run(6000), Zone: "z1"}, start)
 	assert.Assert(t, !ok)
-	id, ok = p.Pick(kvmemory.Ask{Run: run(5000), Zone: "z1"}, start)
+	id, ok = p.Pick(kvmemory.Request{Run: run(5000), Zone: "z1"}, start)
 	assert.Assert(t, ok, "a smaller one fits")
 	assert.Equal(t, id, "a")
 }
@@ -74,7 +74,7 @@
 func TestZoneIsPreferredWhenUseIsAlike(t *testing.T) {
 	p := pool("g", 3)
 	for _, zone := range []string{"z1", "z2", "z3"} {
-		id, ok := p.Pick(kvmemory.Ask{Run: run(6000), Zone: zone}, start)
+		id, ok := p.Pick(kvmemory.Request{Run: run(6000), Zone: zone}, start)
 		assert.Assert(t, ok)
 		assert.Equal(t, zone, "z"+string(rune('1'+id[0]-'a')))
 	}
@@ -82,10 +82,10 @@
 
 func TestExcluded(t *testing.T) {
 	p := pool("g", 2)
-	id, ok := p.Pick(kvmemory.Ask{Run: run(6000), Exclude: []string{"a"}}, start)
+	id, ok := p.Pick(kvmemory.Request{Run: run(6000), Exclude: []string{"a"}}, start)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, "b")
-	_, ok = p.Pick(kvmemory.Ask{Run: run(6000), Exclude: []string{"a", "b"}}, start)
+	_, ok = p.Pick(kvmemory.Request{Run: run(6000), Exclude: []string{"a", "b"}}, start)
 	assert.Assert(t, !ok)
 }
 
@@ -104,18 +104,18 @@
 		{"smaller ones may be asked for", func(*kvmemory.Pool, *kvmemory.Run) {}, ms(1), 5000, true},
 		{"asked again after the pause", func(*kvmemory.Pool, *kvmemory.Run) {}, start.Add(backoff), 6000, true},
 		{"asked again once a run has ended there", func(p *kvmemory.Pool, r *kvmemory.Run) { p.Release("a", r, start) }, ms(1), 6000, true},
-		{"asked again once others placed less", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetOthers("a", held(1000), start) }, ms(1), 6000, true},
-		{"not when others placed more", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetOthers("a", held(7000), start) }, ms(1), 6000, false},
+		{"asked again once others placed less", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetPeerLoad("a", held(1000), start) }, ms(1), 6000, true},
+		{"not when others placed more", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetPeerLoad("a", held(7000), start) }, ms(1), 6000, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := pool("g", 1)
-			p.SetOthers("a", held(6000), start)
+			p.SetPeerLoad("a", held(6000), start)
 			first, second := run(6000), run(6000)
-			p.Take("a", first)
-			p.Take("a", second)
-			p.Refuse("a", second, start)
+			p.Place("a", first)
+			p.Place("a", second)
+			p.Refused("a", second, start)
 			c.then(p, first)
-			_, ok := p.Pick(kvmemory.Ask{Run: run(c.need)}, c.at)
+			_, ok := p.Pick(kvmemory.Request{Run: run(c.need)}, c.at)
 			assert.Equal(t, ok, c.ok)
 		})
 	}
@@ -129,30 +129,30 @@
 	var pauses []time.Duration
 	for range 5 {
 		r := run(6000)
-		p.Take("a", r)
-		p.Fail("a", r, now)
+		p.Place("a", r)
+		p.Failed("a", r, now)
 		began := now
 		for {
 			now = now.Add(100 * time.Millisecond)
-			if _, ok := p.Pick(kvmemory.Ask{Run: run(6000)}, now); ok {
+			if _, ok := p.Pick(kvmemory.Request{Run: run(6000)}, now); ok {
 				break
 			}
 		}
 		pauses = append(pauses, now.Sub(began))
 	}
 	assert.DeepEqual(t, pauses, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second})
-	p.Worked("a")
+	p.Succeeded("a")
 	r := run(6000)
-	p.Take("a", r)
-	p.Fail("a", r, now)
-	_, ok := p.Pick(kvmemory.Ask{Run: run(6000)}, now.Add(time.Second))
+	p.Place("a", r)
+	p.Failed("a", r, now)
+	_, ok := p.Pick(kvmemory.Request{Run: run(6000)}, now.Add(time.Second))
 	assert.Assert(t, ok, "after it worked the pause is short again")
 }
 
 func TestRoutersWithEqualViewsChooseDifferently(t *testing.T) {
 	chosen := map[string]bool{}
 	for _, seed := range []string{"g1", "g2", "g3", "g4", "g5", "g6"} {
-		id, ok := pool(seed, 12).Pick(kvmemory.Ask{Run: run(6000), Zone: "nowhere"}, start)
+		id, ok := pool(seed, 12).Pick(kvmemory.Request{Run: run(6000), Zone: "nowhere"}, start)
 		assert.Assert(t, ok)
 		chosen[id] = true
 	}
@@ -162,14 +162,14 @@
 func TestUnlistedServerKeepsItsRuns(t *testing.T) {
 	p := pool("g", 2)
 	r := run(6000)
-	p.Take("a", r)
+	p.Place("a", r)
 	p.Sync(servers(2)[1:])
-	assert.Equal(t, p.OwnAt("a", start).Tokens, 6000)
-	_, ok := p.Pick(kvmemory.Ask{Run: run(6000), Exclude: []string{"b"}}, start)
+	assert.Equal(t, p.OwnLoad("a", start).Tokens, 6000)
+	_, ok := p.Pick(kvmemory.Request{Run: run(6000), Exclude: []string{"b"}}, start)
 	assert.Assert(t, !ok, "a leaving engine gets nothing")
 	p.Release("a", r, start)
-	assert.Equal(t, p.PerRouter(), 0.0)
-	assert.Equal(t, len(p.Own(start)), 0)
+	assert.Equal(t, p.TokensPerRouter(), 0.0)
+	assert.Equal(t, len(p.OwnLoads(start)), 0)
 }
 
 // TestLateLeavesRoom: one that is late takes only what would leave room beside it.
@@ -185,8 +185,8 @@
 		{31_501, true, false},
 	} {
 		p := pool("g", 1)
-		p.SetOthers("a", held(c.others), start)
-		_, ok := p.Pick(kvmemory.Ask{Run: run(6000), Late: c.late}, start)
+		p.SetPeerLoad("a", held(c.others), start)
+		_, ok := p.Pick(kvmemory.Request{Run: run(6000), Late: c.late}, start)
 		assert.Equal(t, ok, c.ok, "%+v", c)
 	}
 }
@@ -196,16 +196,16 @@
 // told, each of 23 routers placed its first run on such an engine as if it were empty.
 func TestToldBeforeListed(t *testing.T) {
 	p := kvmemory.New(kvmemory.DefaultConfig(), "g")
-	p.SetOthers("a", held(50_000), start)
+	p.SetPeerLoad("a", held(50_000), start)
 	p.Sync(servers(1))
-	_, ok := p.Pick(kvmemory.Ask{Run: run(6000)}, start)
+	_, ok := p.Pick(kvmemory.Request{Run: run(6000)}, start)
 	assert.Assert(t, !ok, "told before it was listed")
 	p.Sync(nil)
 	p.Sync(servers(1))
-	_, ok = p.Pick(kvmemory.Ask{Run: run(6000)}, start)
+	_, ok = p.Pick(kvmemory.Request{Run: run(6000)}, start)
 	assert.Assert(t, !ok, "it was not listed for a moment")
-	p.SetOthers("a", kvmemory.Load{}, start)
-	_, ok = p.Pick(kvmemory.Ask{Run: run(6000)}, start.Add(time.Second))
+	p.SetPeerLoad("a", kvmemory.Load{}, start)
+	_, ok = p.Pick(kvmemory.Request{Run: run(6000)}, start.Add(time.Second))
 	assert.Assert(t, ok)
 }
 
@@ -214,8 +214,8 @@
 func TestPerRouter(t *testing.T) {
 	p := pool("g", 2)
 	p.SetRouters(10)
-	p.SetOthers("a", held(40_000), start)
-	p.SetOthers("b", held(54_000), start)
-	p.Take("a", run(6000))
-	assert.Equal(t, p.PerRouter(), 10_000.0)
+	p.SetPeerLoad("a", held(40_000), start)
+	p.SetPeerLoad("b", held(54_000), start)
+	p.Place("a", run(6000))
+	assert.Equal(t, p.TokensPerRouter(), 10_000.0)
 }
--- a/policy/kvmemory/many_routers_test.go
+++ b/policy/kvmemory/many_routers_test.go
@@ -33,12 +33,12 @@
 func TestHopelessByTheShareOfAll(t *testing.T) {
 	byOwn := func(p *kvmemory.Pool, now time.Time) float64 {
 		sum := 0
-		for _, s := range p.Own(now) {
+		for _, s := range p.OwnLoads(now) {
 			sum += s.Tokens
 		}
 		return float64(sum)
 	}
-	byShare := func(p *kvmemory.Pool, _ time.Time) float64 { return p.PerRouter() }
+	byShare := func(p *kvmemory.Pool, _ time.Time) float64 { return p.TokensPerRouter() }
 	own, share, worth := 0, 0, 0.0
 	for seed := range uint64(3) {
 		s := shortPrompts(30, 38)
@@ -72,10 +72,10 @@
 // on, half as many are preempted at most, and nearly as much is earned as if everything were known exactly.
 func TestSilenceMeansThatRunsGoOn(t *testing.T) {
 	unheard := func(l *kvmemory.Load, age time.Duration) kvmemory.Load {
-		return kvmemory.Load{Tokens: l.Tokens, Runs: l.Runs, Ahead: l.Ahead.After(age)}
+		return kvmemory.Load{Tokens: l.Tokens, Runs: l.Runs, Forecast: l.Forecast.Aged(age)}
 	}
 	goingOn := func(l *kvmemory.Load, age time.Duration) kvmemory.Load {
-		return kvmemory.Load{Tokens: l.Tokens, Runs: l.Runs, Ahead: l.Ahead.GoingOn(age, l.Runs)}
+		return kvmemory.Load{Tokens: l.Tokens, Runs: l.Runs, Forecast: l.Forecast.AgedStillRunning(age, l.Runs)}
 	}
 	replay := func(name string, a *ages) *crowd {
 		c := newCrowd(shortPrompts(40, 50), kvmemory.DefaultConfig())
--- a/policy/kvmemory/peak_test.go
+++ b/policy/kvmemory/peak_test.go
@@ -104,11 +104,11 @@
 				out.turnedAway++
 				return true
 			}
-			id, ok := p.Pick(kvmemory.Ask{Run: g.run}, now)
+			id, ok := p.Pick(kvmemory.Request{Run: g.run}, now)
 			if !ok {
 				return false
 			}
-			p.Take(id, g.run)
+			p.Place(id, g.run)
 			g.engine = id
 			running = append(running, g)
 			out.inTime++
--- a/policy/kvmemory/pick.go
+++ b/policy/kvmemory/pick.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ask is what a request asks of a pool.
-type Ask struct {
+// Request is what a request asks of a pool.
+type Request struct {
 	// Run is the request.
 	Run *Run
 	// Late is set when it can't be answered within its objective any more.
@@ -15,14 +15,14 @@
 	Zone string
 	// Exclude are engines that must not get the request.
 	Exclude []string
-	// Avoid reports whether an engine is asked only if no other one is thought to have room, Closed whether it must not be
+	// Avoid reports whether an engine is asked only if no other one is thought to have room, Unavailable whether it must not be
 	// asked now; nil means none.
-	Avoid, Closed func(id string) bool
+	Avoid, Unavailable func(id string) bool
 }
 
 // Pick returns the engine to ask for room. It returns false when none is thought to have
 // it.
-func (p *Pool) Pick(a Ask, now time.Time) (string, bool) {
+func (p *Pool) Pick(a Request, now time.Time) (string, bool) {
 	var best *server
 	var bestScore, bestFree float64
 	bestAvoided := false
@@ -40,19 +40,19 @@
 		better := best == nil || bestAvoided && !avoided
 		better = better || avoided == bestAvoided && (score > bestScore || score == bestScore && s.home > best.home)
 		// Last, as it costs more than all else.
-		if better && (a.Closed == nil || !a.Closed(s.ID)) {
+		if better && (a.Unavailable == nil || !a.Unavailable(s.ID)) {
 			best, bestScore, bestFree, bestAvoided = s, score, free, avoided
 		}
 	}
 	if best == nil {
 		return "", false
 	}
-	a.Run.Room = int(bestFree)
+	a.Run.FreeAtPeak = int(bestFree)
 	return best.ID, true
 }
 
 // open reports whether an engine may be asked, whatever its memory.
-func (p *Pool) open(s *server, a Ask, now time.Time) bool {
+func (p *Pool) open(s *server, a Request, now time.Time) bool {
 	if !s.listed || s.Slots > 0 && s.own.Runs+s.others.Runs >= s.Slots {
 		return false
 	}
@@ -71,11 +71,11 @@
 // reservation back in a replay of 68 routers.
 const crowdedBy = 0.05
 
-// Crowded reports whether what is known by now to be placed on an engine does not fit it: routers that chose it
+// Saturated reports whether what is known by now to be placed on an engine does not fit it: routers that chose it
 // in the same few milliseconds did not know of each other. A run that has only reserved its memory there loses
 // little by going elsewhere; one that stays is preempted, or another is, and is read again. In a replay of 68
 // routers a fifth as many runs are preempted when those that find their engine crowded leave it.
-func (p *Pool) Crowded(id string, now time.Time) bool {
+func (p *Pool) Saturated(id string, now time.Time) bool {
 	s, ok := p.servers[id]
 	if !ok {
 		return false
@@ -104,7 +104,7 @@
 // Both together take two thirds of the pause between two ends at most, so that every router has
 // its turn on engines with many short runs.
 func (p *Pool) othersTurn(s *server, late bool, now time.Time) bool {
-	all := min(time.Duration(p.routers-1)*p.cfg.Turn, p.cfg.TurnsMost, s.pause/3)
+	all := min(time.Duration(p.routers-1)*p.cfg.Stagger, p.cfg.MaxStagger, s.pause/3)
 	wait := time.Duration((1 - s.home) * float64(all))
 	if late {
 		wait += all
@@ -113,7 +113,7 @@
 }
 
 // spare is the memory that has to stay free, in tokens.
-func (p *Pool) spare(s *server, a Ask) float64 {
+func (p *Pool) spare(s *server, a Request) float64 {
 	if !a.Late {
 		return 0
 	}
--- a/policy/kvmemory/pick_bench_test.go
+++ b/policy/kvmemory/pick_bench_test.go
@@ -20,12 +20,12 @@
 	p.Sync(list)
 	l := runlength.New()
 	for _, s := range list {
-		p.Take(s.ID, &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)})
+		p.Place(s.ID, &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)})
 		others := held(50_000)
 		others.Runs = 10
-		p.SetOthers(s.ID, others, start)
+		p.SetPeerLoad(s.ID, others, start)
 	}
-	ask := kvmemory.Ask{Run: &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)}, Zone: "z1"}
+	ask := kvmemory.Request{Run: &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)}, Zone: "z1"}
 	now := start.Add(time.Second)
 	p.Pick(ask, now)
 	b.ReportAllocs()
--- a/policy/kvmemory/run.go
+++ b/policy/kvmemory/run.go
@@ -17,9 +17,9 @@
 	// generates. Without Length it holds Need from the start to its end.
 	Prompt int
 	Length *runlength.Run
-	// Room is the memory, in tokens, that was thought to stay free at its engine's fullest
+	// FreeAtPeak is the memory, in tokens, that was thought to stay free at its engine's fullest
 	// moment when it was placed.
-	Room int
+	FreeAtPeak int
 	// generated is the tokens that it has generated in all.
 	generated atomic.Int64
 	// seen is the tokens that it had generated when it was last looked at.
@@ -46,7 +46,7 @@
 		f.Add(&c, 1)
 		return
 	}
-	f.Most += float64(r.Prompt) + r.Length.Most()
+	f.Max += float64(r.Prompt) + r.Length.Most()
 	r.Length.Progress(int(r.generated.Load()))
 	done := float64(r.Length.Tokens())
 	for i, ahead := range moments {
--- a/policy/kvmemory/turns_test.go
+++ b/policy/kvmemory/turns_test.go
@@ -18,7 +18,7 @@
 func TestTurns(t *testing.T) {
 	with := kvmemory.DefaultConfig()
 	without := with
-	without.Turn = 0
+	without.Stagger = 0
 	for _, c := range []struct {
 		name        string
 		cfg         kvmemory.Config
@@ -48,9 +48,9 @@
 			now := ms(i)
 			if i%20 == 0 {
 				l.Runs = 40 - i/20%2
-				last.SetOthers("a", l, now)
+				last.SetPeerLoad("a", l, now)
 			}
-			if _, ok := last.Pick(kvmemory.Ask{Run: run(1000), Late: late}, now); ok {
+			if _, ok := last.Pick(kvmemory.Request{Run: run(1000), Late: late}, now); ok {
 				placed++
 			}
 		}
@@ -88,14 +88,14 @@
 			pools[i].SetRouters(routers)
 			full := held(50_000)
 			full.Runs = 8
-			pools[i].SetOthers("a", full, start)
+			pools[i].SetPeerLoad("a", full, start)
 			// One run has ended. A late request needs more room than its own memory.
 			room := held(50_000 - need)
 			if late {
 				room = held(50_000 - need - 12_500)
 			}
 			room.Runs = 7
-			pools[i].SetOthers("a", room, start)
+			pools[i].SetPeerLoad("a", room, start)
 		}
 		placed += race(pools, late, hears)
 	}
@@ -111,7 +111,7 @@
 			if _, done := at[i]; done || heardOf(at, now.Add(-hears)) {
 				continue
 			}
-			if _, ok := p.Pick(kvmemory.Ask{Run: run(need), Late: late}, now); ok {
+			if _, ok := p.Pick(kvmemory.Request{Run: run(need), Late: late}, now); ok {
 				at[i] = now
 			}
 		}
