--- a/policy/affinity/affinity.go
+++ b/policy/affinity/affinity.go
@@ -1,11 +1,11 @@
-// Package affinity spreads routers over servers that are alike. Routers whose views are equal
-// would all choose the same server; each prefers another one, always the same, so that no
-// chance is needed and tests repeat.
+// Package affinity spreads routers over equivalent servers by rendezvous hashing. Routers with
+// equal views would all choose the same server; a deterministic hash gives each router a preference
+// of its own, without randomness, so that tests are repeatable.
 package affinity
 
 import "hash/fnv"
 
-// Of is by how much a router prefers a server, in [0, 1).
+// Of is the preference of a router for a server, in [0, 1).
 func Of(router, server string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(router))
--- a/policy/kvmemory/forecast.go
+++ b/policy/kvmemory/forecast.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// NumHorizons is the number of moments for which memory is forecast.
+// NumHorizons is the number of horizons for which memory is forecast.
 const NumHorizons = 8
 
-// moments are how far ahead memory is forecast: from now on, doubling, so that runs of half a
-// second and of half a minute are both seen to end.
-var moments = [NumHorizons]time.Duration{
+// horizons are the times from now for which memory is forecast. They double, so that the ends of
+// runs of half a second and of half a minute both show in a forecast.
+var horizons = [NumHorizons]time.Duration{
 	0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second,
 	2 * time.Second, 4 * time.Second, 8 * time.Second, 16 * time.Second,
 }
 
-// Forecast is the memory that runs hold at the moments ahead: the sums of its means, in
-// tokens, and of its variances. Forecasts of different runs, and of different routers, add up.
+// Forecast is the memory that runs are expected to hold at each horizon, as sums of means (in
+// tokens) and of variances. Forecasts of different runs and of different routers can be added.
 type Forecast struct {
 	Mean, Variance [NumHorizons]float64
-	// Max is what they hold at most, in tokens: all of them at the longest that they may generate.
-	// Mean and deviation alone exceed it where runs are few: a run that ends in the next second with a
-	// chance of one half counts half as much again as it can hold. Requests of six tenths of an engine's
-	// memory were refused by empty engines for that.
+	// Max is the upper bound of the memory that they hold, in tokens, with every run at the longest
+	// that it may generate. The mean plus deviations exceeds it when there are few runs: a run that
+	// ends within a second with probability one half counts half as much again as it can hold.
+	// Without the bound, empty engines refused requests of six tenths of their memory.
 	Max float64
 }
 
-// Constant returns the forecast of runs that hold that much memory until further notice.
+// Constant returns the forecast of runs that hold a constant amount of memory indefinitely.
 func Constant(tokens int) Forecast {
 	var f Forecast
 	for i := range f.Mean {
@@ -36,7 +36,7 @@
 	return f
 }
 
-// Add adds sign times o.
+// Add adds o multiplied by sign.
 func (f *Forecast) Add(o *Forecast, sign float64) {
 	for i := range f.Mean {
 		f.Mean[i] += sign * o.Mean[i]
@@ -45,106 +45,108 @@
 	f.Max += sign * o.Max
 }
 
-// Aged is what a forecast that was made that long ago says of now.
+// Aged returns what a forecast made age ago predicts from now on.
 func (f *Forecast) Aged(age time.Duration) Forecast {
 	out := Forecast{Max: f.Max}
-	for i, ahead := range moments {
+	for i, ahead := range horizons {
 		out.Mean[i], out.Variance[i] = f.at(ahead + age)
 	}
 	return out
 }
 
-// AgedStillRunning is what a forecast of that many runs, made that long ago, says of now, given that none of them has
-// ended since: ends are told at once, so that silence means that they go on. Without that, in a replay of 40 routers
-// that report once a second, 131 runs of 3,268 are preempted instead of 51 (TestSilenceMeansThatRunsGoOn).
+// AgedStillRunning returns what a forecast of the given number of runs, made age ago, predicts from
+// now on, given that none of them has ended since. Ends of runs are reported at once, so runs
+// without such a report are still running. Without this condition, 131 of 3,268 runs instead of 51
+// are preempted in a replay of 40 routers that report once a second
+// (TestUnreportedRunsAreStillRunning).
 func (f *Forecast) AgedStillRunning(age time.Duration, runs int) Forecast {
 	out := f.Aged(age)
-	held, likely := f.Mean[0], out.Mean[0]
-	if runs <= 0 || likely >= held {
+	current, expected := f.Mean[0], out.Mean[0]
+	if runs <= 0 || expected >= current {
 		return out
 	}
 	for i, mean := range out.Mean {
-		if likely > 0 {
-			mean = math.Round(min(mean*held/likely, f.Max))
+		if expected > 0 {
+			mean = math.Round(min(mean*current/expected, f.Max))
 		} else {
-			mean = held
+			mean = current
 		}
 		out.Mean[i] = mean
-		out.Variance[i] = math.Round(max(mean*(held-mean), 0) / float64(runs))
+		out.Variance[i] = math.Round(max(mean*(current-mean), 0) / float64(runs))
 	}
 	return out
 }
 
-// at is the forecast between two moments.
+// at interpolates the forecast between two horizons.
 func (f *Forecast) at(ahead time.Duration) (mean, variance float64) {
 	for i := 1; i < NumHorizons; i++ {
-		if ahead > moments[i] {
+		if ahead > horizons[i] {
 			continue
 		}
-		part := float64(ahead-moments[i-1]) / float64(moments[i]-moments[i-1])
-		mean = math.Round(f.Mean[i-1] + part*(f.Mean[i]-f.Mean[i-1]))
-		variance = math.Round(f.Variance[i-1] + part*(f.Variance[i]-f.Variance[i-1]))
+		fraction := float64(ahead-horizons[i-1]) / float64(horizons[i]-horizons[i-1])
+		mean = math.Round(f.Mean[i-1] + fraction*(f.Mean[i]-f.Mean[i-1]))
+		variance = math.Round(f.Variance[i-1] + fraction*(f.Variance[i]-f.Variance[i-1]))
 		return mean, variance
 	}
 	return f.Mean[NumHorizons-1], f.Variance[NumHorizons-1]
 }
 
-// Margin is what is kept for what is not known of the lengths of runs.
+// Margin is the safety margin for the uncertainty of the lengths of runs.
 type Margin struct {
-	// Deviations is by how many standard deviations the sum may exceed its mean: some runs last longer
-	// than expected and others end sooner.
+	// Deviations is the number of standard deviations by which the sum may exceed its mean, as some
+	// runs last longer than expected and others end sooner.
 	Deviations float64
-	// Growth is the share of what all runs may still grow by that is kept besides: what was learned of
-	// lengths, and of the pace at which they grow, is wrong for all runs of a burst alike.
+	// Growth is the share of the largest possible growth of all runs that is added as well. Errors
+	// in the learned lengths and generation rates affect all runs of a burst alike.
 	Growth float64
 }
 
-// DefaultMargin returns the margin that was measured by replay. With two deviations and no growth as many are
-// answered in time where answers are as long as prompts, but three times as many runs are preempted
-// (TestPeakOfGrowingRuns, 928 and 7 against 925 and 20); where prompts are most of the memory, 0.88 of what is
-// owed is earned instead of 0.90, and 0.064 of all are turned away for good instead of 0.044
-// (TestMarginAtManyRouters).
+// DefaultMargin returns the margin chosen by replay. With two deviations and no growth as many
+// requests are answered in time where answers are as long as prompts, but three times as many runs
+// are preempted (TestPeakOfGrowingRuns, 928 and 7 against 925 and 20). Where prompts take most of
+// the memory, 0.88 of the achievable value is reached instead of 0.90, and 0.064 of all requests
+// are rejected for good instead of 0.044 (TestMarginAtManyRouters).
 func DefaultMargin() Margin { return Margin{Deviations: 1, Growth: 0.1} }
 
-// Peak is the most memory that is held at any of the moments, in tokens: the mean and the margin, or what can
-// be held at most if that is less.
+// Peak is the highest memory at any horizon, in tokens: the mean plus the margin, limited to Max.
 func (f *Forecast) Peak(m Margin) float64 {
-	var none Forecast
-	return peak(m, f, &none)
+	var empty Forecast
+	return peak(m, f, &empty)
 }
 
-// peak is the peak of a sum. A choice among hundreds of engines works it out for each: it
-// takes a root only where the highest moment is not known yet.
+// peak is the peak of the sum of two forecasts. It is computed for each of hundreds of engines per
+// choice, so it takes a square root only for horizons that can exceed the highest value so far.
 func peak(m Margin, a, b *Forecast) float64 {
 	highest := 0.0
 	for i := range a.Mean {
 		mean := a.Mean[i] + b.Mean[i]
 		variance := a.Variance[i] + b.Variance[i]
-		if below := highest - mean; below >= 0 && below*below >= m.Deviations*m.Deviations*variance {
+		if gap := highest - mean; gap >= 0 && gap*gap >= m.Deviations*m.Deviations*variance {
 			continue
 		}
-		held := mean
+		bound := mean
 		if variance > 0 {
-			held += m.Deviations * math.Sqrt(variance)
+			bound += m.Deviations * math.Sqrt(variance)
 		}
-		if held > highest {
-			highest = held
+		if bound > highest {
+			highest = bound
 		}
 	}
-	most := a.Max + b.Max
-	// Comparisons: min and max of floats heed NaN and signed zero, which took a tenth of a choice among 350 engines.
-	if growth := most - a.Mean[0] - b.Mean[0]; growth > 0 {
+	maximum := a.Max + b.Max
+	// Plain comparisons: min and max of floats handle NaN and signed zero, which took a tenth of
+	// the time of a choice among 350 engines.
+	if growth := maximum - a.Mean[0] - b.Mean[0]; growth > 0 {
 		highest += m.Growth * growth
 	}
-	if highest > most {
-		return most
+	if highest > maximum {
+		return maximum
 	}
 	return highest
 }
 
-// Load is what runs on one engine hold.
+// Load is the load of the runs on one engine.
 type Load struct {
-	// Tokens is the memory that they are thought to take at their ends, Runs their number.
+	// Tokens is the estimated memory that the runs take at their ends, Runs their number.
 	Tokens, Runs int
 	Forecast     Forecast
 }
--- a/policy/kvmemory/forecast_test.go
+++ b/policy/kvmemory/forecast_test.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
 )
 
-// told is the load of one run of 5,000 prompt tokens and about 4,000 generated ones.
-func told(t *testing.T) kvmemory.Load {
+// loadOfOneRun is the load of one run of 5,000 prompt tokens and about 4,000 generated ones.
+func loadOfOneRun(t *testing.T) kvmemory.Load {
 	t.Helper()
 	p := pool("g", 1)
 	r := &kvmemory.Run{Need: 9000, Prompt: 5000, Length: runlength.New().Begin(4000, 9360)}
@@ -22,21 +22,23 @@
 	return p.OwnLoad(id, start)
 }
 
-// TestForecast: a run grows from its prompt, and is likely to have ended in the end.
+// TestForecast: the forecast of a run grows from the size of its prompt, and at the last horizon
+// the run has ended.
 func TestForecast(t *testing.T) {
-	f := told(t).Forecast
+	f := loadOfOneRun(t).Forecast
 	assert.Equal(t, f.Mean[0], 5000.0)
-	assert.Equal(t, f.Variance[0], 0.0, "what it holds now is known")
+	assert.Equal(t, f.Variance[0], 0.0, "the memory held now is known")
 	assert.Assert(t, f.Mean[3] > 5800, "a second ahead: %g", f.Mean[3])
-	assert.Equal(t, f.Mean[kvmemory.NumHorizons-1], 0.0, "it can't last for sixteen seconds")
-	none, deviations, both := kvmemory.Margin{}, kvmemory.Margin{Deviations: 2}, kvmemory.Margin{Deviations: 2, Growth: 0.1}
-	assert.Assert(t, f.Peak(deviations) > f.Peak(none) && f.Peak(none) >= f.Mean[3])
+	assert.Equal(t, f.Mean[kvmemory.NumHorizons-1], 0.0, "the run can't last sixteen seconds")
+	noMargin, deviations, both := kvmemory.Margin{}, kvmemory.Margin{Deviations: 2}, kvmemory.Margin{Deviations: 2, Growth: 0.1}
+	assert.Assert(t, f.Peak(deviations) > f.Peak(noMargin) && f.Peak(noMargin) >= f.Mean[3])
 	assert.Assert(t, f.Peak(both) > f.Peak(deviations) && f.Peak(both) <= f.Max)
 }
 
-// TestAfter: what was told half a second ago is worth as much as what is told now, and adds up.
-func TestAfter(t *testing.T) {
-	f := told(t).Forecast
+// TestAged: a forecast made half a second ago predicts the same as a new one, and aged forecasts
+// can be added and subtracted without a remainder.
+func TestAged(t *testing.T) {
+	f := loadOfOneRun(t).Forecast
 	aged := f.Aged(500 * time.Millisecond)
 	assert.Equal(t, aged.Mean[0], f.Mean[2])
 	assert.Equal(t, aged.Variance[1], math.Round((f.Variance[2]+f.Variance[3])/2))
@@ -45,35 +47,37 @@
 	sum := f
 	sum.Add(&aged, 1)
 	sum.Add(&aged, -1)
-	assert.Equal(t, sum, f, "nothing is left of what was taken off again")
+	assert.Equal(t, sum, f, "subtracting a forecast leaves no remainder")
 }
 
-// TestLongPromptFitsAnEmptyEngine: mean and two deviations of one run whose end is as likely as not are half
-// as much again as it can hold. What fits is decided by the engine's memory, not by that sum.
+// TestLongPromptFitsAnEmptyEngine: for a single run that is as likely to end as not, the mean plus
+// two deviations is half as much again as it can hold. The run must still fit an empty engine whose
+// memory suffices.
 func TestLongPromptFitsAnEmptyEngine(t *testing.T) {
-	const capacity, hint, most = 50_000, 800, 1900
+	const capacity, hint, maxLength = 50_000, 800, 1900
 	for tenth := 1; tenth <= 9; tenth++ {
 		p := pool("g", 1)
 		prompt := tenth * capacity / 10
-		r := &kvmemory.Run{Need: prompt + hint, Prompt: prompt, Length: runlength.New().Begin(hint, most)}
+		r := &kvmemory.Run{Need: prompt + hint, Prompt: prompt, Length: runlength.New().Begin(hint, maxLength)}
 		id, ok := p.Pick(kvmemory.Request{Run: r}, start)
 		assert.Assert(t, ok, "%d tenths of an engine's memory", tenth)
 		p.Place(id, r)
-		over := &kvmemory.Run{Need: capacity - prompt, Prompt: capacity - prompt, Length: runlength.New().Begin(hint, most)}
-		_, ok = p.Pick(kvmemory.Request{Run: over}, start)
-		assert.Assert(t, !ok, "what is left beside %d tenths is known", tenth)
+		tooLarge := &kvmemory.Run{Need: capacity - prompt, Prompt: capacity - prompt, Length: runlength.New().Begin(hint, maxLength)}
+		_, ok = p.Pick(kvmemory.Request{Run: tooLarge}, start)
+		assert.Assert(t, !ok, "no memory remains beside %d tenths", tenth)
 	}
 }
 
-// TestGoingOn: a run of which no end was told still holds what it held, and may end from now on.
-func TestGoingOn(t *testing.T) {
-	f := told(t).Forecast
+// TestAgedStillRunning: a run whose end was not reported still holds its memory, and may end at any
+// time from now on.
+func TestAgedStillRunning(t *testing.T) {
+	f := loadOfOneRun(t).Forecast
 	for _, age := range []time.Duration{0, time.Second, 5 * time.Second, time.Minute} {
 		now := f.AgedStillRunning(age, 1)
 		assert.Assert(t, now.Mean[0] >= f.Mean[0], "after %s: %g", age, now.Mean[0])
 		assert.Assert(t, now.Peak(kvmemory.DefaultMargin()) <= f.Max)
 	}
 	assert.Equal(t, f.AgedStillRunning(0, 1), f)
-	late := f.AgedStillRunning(5*time.Second, 1)
-	assert.Assert(t, late.Mean[kvmemory.NumHorizons-1] < late.Mean[0], "it ends some time")
+	later := f.AgedStillRunning(5*time.Second, 1)
+	assert.Assert(t, later.Mean[kvmemory.NumHorizons-1] < later.Mean[0], "the run is expected to end")
 }
--- a/policy/kvmemory/kvmemory.go
+++ b/policy/kvmemory/kvmemory.go
@@ -1,29 +1,28 @@
-// Package kvmemory chooses the decode engine whose memory has room for a request.
+// Package kvmemory chooses a decode engine that has enough free KV cache memory for a request.
 //
-// Load pattern: bursts of about twice the mean load on engines whose memory holds some
-// ten requests, with several routers that place independently. Slots, processors and
-// links have room then; memory is what runs out. The engine alone knows what is free,
-// and says so by granting or refusing a reservation. Asking every engine for every
-// waiting request costs calls and time, so a router keeps what it knows: what it
-// placed itself, what others told of theirs, and who refused what, a moment ago.
+// Load pattern: bursts of about twice the mean load on engines whose memory holds some ten
+// requests, with several routers that place requests independently. Decode slots, processors and
+// links have free capacity then; memory is the bottleneck. Only the engine knows exactly how much
+// is free, and it reports that by granting or refusing a reservation. Asking every engine for every
+// queued request costs calls and time, so a router keeps a local estimate from its own placements,
+// the load reported by peers, and recent refusals.
 //
-// Requests that were turned away come back late, when an answer is worth a fraction to
-// their callers. Each router lets them wait behind those that can be in time, but it does
-// not see who waits at the others: where one has only returners, they took the memory for
-// which others turned requests away, which made more returners. So a late request takes an
-// engine's memory only where room is left beside it (trunk reservation): in a lull there
-// is, at the height of a burst there isn't.
+// Clients whose requests were rejected retry late, when an answer is worth only a fraction to them.
+// Each router queues retried requests behind those that can still meet their latency objective, but
+// it can't see the queues of other routers. A router that had only retried requests queued would
+// let them take memory for which other routers reject requests, which causes more retries. A late
+// request therefore takes an engine's memory only if free memory remains beside it (trunk
+// reservation), which is the case between bursts but not at the height of one.
 //
-// A run's memory grows from its prompt to perhaps twice that, and nobody knows how long it
-// will be. Not all runs of an engine are at their largest at once: when the young ones are,
-// the old ones have ended. So what has to fit is the most that all runs of an engine hold
-// together at any moment ahead, with a margin for what is not known of their lengths
-// (peak-memory scheduling, as in "Past-Future Scheduler for LLM Serving under SLA
-// Guarantees", ASPLOS 2025). In a replay of bursts 925 requests begin in time, 851 where the
-// sum of prompts and hints has to fit.
+// A run's memory grows from the size of its prompt to perhaps twice that, and its final length is
+// unknown. The runs of an engine don't all reach their largest size at once: by the time young runs
+// do, old ones have ended. So the bound applies to the peak of the memory that all runs of an
+// engine hold together at any future time, plus a margin for the uncertainty of their lengths
+// (peak-memory scheduling, as in "Past-Future Scheduler for LLM Serving under SLA Guarantees",
+// ASPLOS 2025). In a replay of bursts 925 requests begin in time, against 851 when the sum of
+// prompts and length hints has to fit.
 //
-// A Pool is deterministic and takes the time from its caller. It is not safe for
-// concurrent use.
+// A Pool is deterministic and takes the time from its caller. It is not safe for concurrent use.
 package kvmemory
 
 import (
@@ -35,34 +34,33 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/affinity"
 )
 
-// Config tunes a Pool.
+// Config holds the parameters of a Pool.
 type Config struct {
-	// Backoff is how long a refusal of an engine counts, unless memory that this
-	// router placed there is freed before. A decode step takes some 5 ms and a run a
-	// few seconds, so that a full engine of ten requests frees one each 150 to 400 ms.
+	// Backoff is how long a refusal by an engine counts, unless memory that this router placed
+	// there is freed before. A decode step takes some 5 ms and a run a few seconds, so a full
+	// engine with ten requests frees one every 150 to 400 ms.
 	Backoff time.Duration
-	// FailBackoff is how long an engine that gave no answer gets no request. A server
-	// that is gone leaves the list after some four seconds.
+	// FailBackoff is how long an engine that did not answer gets no request. A server that is gone
+	// leaves the server list after some four seconds.
 	FailBackoff time.Duration
-	// ZoneBonus is what the own zone counts, as a share of an engine's memory; a
-	// hand-off and a stream between zones cost bytes, which are priced.
+	// ZoneBonus is added to the score of engines in the router's own zone, as a share of an
+	// engine's memory. Hand-offs and streams between zones transfer bytes that are charged for.
 	ZoneBonus float64
-	// LateSpare is the share of an engine's memory that stays free when a late request is
+	// LateSpare is the share of an engine's memory that must stay free when a late request is
 	// placed there: about two requests of the usual size.
 	LateSpare float64
-	// Stagger is how long routers leave memory that has become free to each router before them:
-	// as long as it takes to hear that another one has taken it. With 23 routers half as many
-	// runs are preempted as without turns, and 8 ms is no better.
+	// Stagger is the difference between the delays after which successive routers use memory that
+	// has become free: the time a router needs to learn that another one has taken it. With 23
+	// routers it halves the number of preempted runs; 8 ms gives no further improvement.
 	Stagger time.Duration
-	// MaxStagger bounds the turns of all routers together: a request that can be in time waits
-	// some six times as long.
+	// MaxStagger bounds the total staggered delay across all routers. Requests that can meet their
+	// latency objective wait some six times as long.
 	MaxStagger time.Duration
-	// Margin is by how much the memory that runs are expected to hold together has to stay below
-	// an engine's.
+	// Margin is the safety margin between the forecast memory of all runs and an engine's memory.
 	Margin Margin
 }
 
-// DefaultConfig returns the values that were measured; see docs/DECISIONS.md.
+// DefaultConfig returns the default parameters; see docs/DECISIONS.md for the measurements.
 func DefaultConfig() Config {
 	return Config{Backoff: 150 * time.Millisecond, FailBackoff: time.Second, ZoneBonus: 0.1, LateSpare: 0.25, Margin: DefaultMargin(), Stagger: 4 * time.Millisecond, MaxStagger: 100 * time.Millisecond}
 }
@@ -70,210 +68,211 @@
 // Server is a decode engine.
 type Server struct {
 	ID, Zone string
-	// Capacity is its memory in tokens, Slots the requests that it runs at once.
+	// Capacity is its memory in tokens, Slots the number of requests that it runs concurrently.
 	Capacity, Slots int
 }
 
-// Pool is what one router knows of the decode engines of one service.
+// Pool is one router's local state of the decode engines of one service.
 type Pool struct {
 	cfg     Config
 	seed    string
 	servers map[string]*server
-	// ordered are the servers by their names: what is learned must not depend on the order
-	// of a map.
-	ordered []*server
-	pace    pace
-	// heard is what was told of engines that are not known yet, or not any more: a router
-	// learns of an engine only with the first request after a change of the list. Without it ten
-	// of 23 routers placed a run on one that had come back, each as if it were empty.
-	heard map[string]Load
+	// sorted holds the servers by ID, so that learned estimates don't depend on map iteration
+	// order.
+	sorted []*server
+	rate   rateEstimator
+	// unlisted is the load reported by peers for engines that are not, or no longer, in the server
+	// list: a router learns of an engine only with the first request after the list changes.
+	// Without it ten of 23 routers placed a run on an engine that had returned, each assuming that
+	// it was empty.
+	unlisted map[string]Load
 	// routers is the number of routers that place runs.
 	routers int
 }
 
 type server struct {
 	Server
-	// listed is false once the engine may get no new work; it stays while work of
-	// this router is on it.
+	// listed is false once the engine may get no new work. The entry remains while runs of this
+	// router are on the engine.
 	listed bool
-	// runs are those that this router placed, own what they hold as of the time at; others
-	// is what other routers reported.
-	runs        []*Run
-	own, others Load
-	at          time.Time
-	// all is the forecast of own and others.
-	all Forecast
-	// refused is the size of the smallest request refused until the time blocked.
-	refused int
-	blocked time.Time
-	// home is the affinity of this router to it.
-	home float64
-	// freed is when a run was last heard to have ended there, pause the mean time between two
-	// of them.
-	freed time.Time
-	pause time.Duration
-	// fails counts failures since a request last worked.
-	fails int
+	// runs are those that this router placed. ownLoad is their load as of ownAt, peerLoad the load
+	// reported by peers.
+	runs              []*Run
+	ownLoad, peerLoad Load
+	ownAt             time.Time
+	// total is the sum of the forecasts in ownLoad and peerLoad.
+	total Forecast
+	// refusedNeed is the size of the smallest request that is refused until blockedUntil.
+	refusedNeed  int
+	blockedUntil time.Time
+	// affinity is this router's preference for the engine.
+	affinity float64
+	// freedAt is when the latest end of a run on the engine was reported, endInterval the mean
+	// interval between two ends.
+	freedAt     time.Time
+	endInterval time.Duration
+	// failures counts consecutive failures since the last successful request.
+	failures int
 }
 
-// New returns an empty pool. Seed differs between routers.
+// New returns an empty pool. The seed has to differ between routers.
 func New(cfg Config, seed string) *Pool {
-	return &Pool{cfg: cfg, seed: seed, servers: map[string]*server{}, heard: map[string]Load{}, routers: 1}
+	return &Pool{cfg: cfg, seed: seed, servers: map[string]*server{}, unlisted: map[string]Load{}, routers: 1}
 }
 
-// Sync takes the list of engines that may get new work.
+// Sync updates the pool to the list of engines that may get new work.
 func (p *Pool) Sync(list []Server) {
 	for _, s := range p.servers {
 		s.listed = false
 	}
-	for _, l := range list {
-		s, ok := p.servers[l.ID]
+	for _, listing := range list {
+		s, ok := p.servers[listing.ID]
 		if !ok {
-			s = &server{home: affinity.Of(p.seed, l.ID), others: p.heard[l.ID], pause: maxPause}
-			p.servers[l.ID] = s
-			delete(p.heard, l.ID)
+			s = &server{affinity: affinity.Of(p.seed, listing.ID), peerLoad: p.unlisted[listing.ID], endInterval: maxEndInterval}
+			p.servers[listing.ID] = s
+			delete(p.unlisted, listing.ID)
 		}
-		s.Server, s.listed = l, true
+		s.Server, s.listed = listing, true
 	}
 	for _, s := range p.servers {
 		if !s.listed && len(s.runs) == 0 {
-			p.forget(s)
+			p.remove(s)
 		}
 	}
-	p.order()
+	p.sort()
 }
 
-// forget drops an engine, but for what others told of it.
-func (p *Pool) forget(s *server) {
+// remove deletes an engine but retains the load reported by peers.
+func (p *Pool) remove(s *server) {
 	delete(p.servers, s.ID)
-	p.hear(s.ID, s.others)
+	p.setUnlisted(s.ID, s.peerLoad)
 }
 
-func (p *Pool) hear(id string, l Load) {
+func (p *Pool) setUnlisted(id string, l Load) {
 	if l == (Load{}) {
-		delete(p.heard, id)
+		delete(p.unlisted, id)
 		return
 	}
-	p.heard[id] = l
+	p.unlisted[id] = l
 }
 
-func (p *Pool) order() {
-	p.ordered = slices.SortedFunc(maps.Values(p.servers), func(a, b *server) int { return strings.Compare(a.ID, b.ID) })
+func (p *Pool) sort() {
+	p.sorted = slices.SortedFunc(maps.Values(p.servers), func(a, b *server) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// SetRouters takes the number of routers that place runs, this one included.
+// SetRouters sets the number of routers that place runs, including this one.
 func (p *Pool) SetRouters(n int) { p.routers = max(n, 1) }
 
-// forecastLife is how long a forecast of the own runs holds: they grow by two events in it.
-const forecastLife = 100 * time.Millisecond
+// forecastTTL is how long a forecast of the router's own runs is reused. A run generates two events
+// in that time.
+const forecastTTL = 100 * time.Millisecond
 
-// refresh brings the own load of an engine up to date.
+// refresh recomputes the own load of an engine once it has expired.
 func (p *Pool) refresh(s *server, now time.Time) {
-	if !s.at.IsZero() && now.Sub(s.at) < forecastLife {
+	if !s.ownAt.IsZero() && now.Sub(s.ownAt) < forecastTTL {
 		return
 	}
-	s.at = now
-	s.own = Load{Runs: len(s.runs)}
+	s.ownAt = now
+	s.ownLoad = Load{Runs: len(s.runs)}
 	for _, r := range s.runs {
-		p.pace.look(r, now)
-		s.own.Tokens += r.Need
-		r.add(&s.own.Forecast, p.pace.perSecond())
+		p.rate.sample(r, now)
+		s.ownLoad.Tokens += r.Need
+		r.addTo(&s.ownLoad.Forecast, p.rate.tokensPerSecond())
 	}
-	s.sum()
+	s.updateTotal()
 }
 
-// sum brings all up to date.
-func (s *server) sum() {
-	s.all = s.own.Forecast
-	s.all.Add(&s.others.Forecast, 1)
+// updateTotal recomputes the total forecast.
+func (s *server) updateTotal() {
+	s.total = s.ownLoad.Forecast
+	s.total.Add(&s.peerLoad.Forecast, 1)
 }
 
-// stale has the own load of an engine worked out anew.
-func (s *server) stale() { s.at = time.Time{} }
+// invalidate forces the next refresh to recompute the own load.
+func (s *server) invalidate() { s.ownAt = time.Time{} }
 
-// Place notes that a run is placed, or about to be placed, on an engine.
+// Place records that a run is placed, or about to be placed, on an engine.
 func (p *Pool) Place(id string, r *Run) {
 	if s, ok := p.servers[id]; ok {
 		s.runs = append(s.runs, r)
-		s.own.Runs++
-		s.own.Tokens += r.Need
-		s.stale()
+		s.ownLoad.Runs++
+		s.ownLoad.Tokens += r.Need
+		s.invalidate()
 	}
 }
 
-// drop takes a run off an engine.
-func (s *server) drop(r *Run) {
+func (s *server) removeRun(r *Run) {
 	i := slices.Index(s.runs, r)
 	if i < 0 {
 		return
 	}
 	s.runs = slices.Delete(s.runs, i, i+1)
-	s.own.Runs--
-	s.own.Tokens -= r.Need
-	s.stale()
+	s.ownLoad.Runs--
+	s.ownLoad.Tokens -= r.Need
+	s.invalidate()
 }
 
-// Release notes that a run that was taken is over. Memory is free again, so that an earlier
-// refusal says nothing any more.
+// Release records the end of a run that was placed. Its memory is free again, which lifts an
+// earlier refusal.
 func (p *Pool) Release(id string, r *Run, now time.Time) {
 	s, ok := p.servers[id]
 	if !ok {
 		return
 	}
-	s.drop(r)
-	s.blocked = time.Time{}
-	s.ended(now)
+	s.removeRun(r)
+	s.blockedUntil = time.Time{}
+	s.recordRunEnd(now)
 	if !s.listed && len(s.runs) == 0 {
-		p.forget(s)
-		p.order()
+		p.remove(s)
+		p.sort()
 	}
 }
 
-// Refused notes that an engine refused a run, which was taken before.
+// Refused records that an engine refused a run that was placed before.
 func (p *Pool) Refused(id string, r *Run, now time.Time) {
 	p.block(id, r, r.Need, now.Add(p.cfg.Backoff))
 }
 
-// Failed notes that an engine gave no answer when it was asked for room, or took no run though
-// it had granted memory: it gets nothing for a while, longer each time.
+// Failed records that an engine did not answer a reservation, or did not accept a run after it had
+// granted memory. The engine gets no requests for a while, with exponential backoff.
 func (p *Pool) Failed(id string, r *Run, now time.Time) {
 	s, ok := p.servers[id]
 	if !ok {
 		return
 	}
-	p.block(id, r, 0, now.Add(p.cfg.FailBackoff<<min(s.fails, maxDoublings)))
-	s.fails++
+	p.block(id, r, 0, now.Add(p.cfg.FailBackoff<<min(s.failures, maxDoublings)))
+	s.failures++
 }
 
-// maxDoublings bounds the pauses of an engine that goes on failing to eight times the first.
+// maxDoublings bounds the backoff of an engine that fails repeatedly to eight times the first one.
 const maxDoublings = 3
 
-// Succeeded notes that an engine ran a request.
+// Succeeded records that an engine ran a request.
 func (p *Pool) Succeeded(id string) {
 	if s, ok := p.servers[id]; ok {
-		s.fails = 0
+		s.failures = 0
 	}
 }
 
-func (p *Pool) block(id string, r *Run, refused int, until time.Time) {
+func (p *Pool) block(id string, r *Run, refusedNeed int, until time.Time) {
 	s, ok := p.servers[id]
 	if !ok {
 		return
 	}
-	s.drop(r)
-	s.refused, s.blocked = refused, until
+	s.removeRun(r)
+	s.refusedNeed, s.blockedUntil = refusedNeed, until
 }
 
-// Share is what a router placed on one engine.
+// Share is the load that a router placed on one engine.
 type Share struct {
 	ID string
 	Load
 }
 
-// OwnLoads returns what this router placed, ordered by engine.
+// OwnLoads returns the load that this router placed, ordered by engine.
 func (p *Pool) OwnLoads(now time.Time) []Share {
 	var out []Share
-	for _, s := range p.ordered {
+	for _, s := range p.sorted {
 		if len(s.runs) > 0 {
 			out = append(out, Share{ID: s.ID, Load: p.OwnLoad(s.ID, now)})
 		}
@@ -281,60 +280,61 @@
 	return out
 }
 
-// TokensPerRouter is a router's share of what all routers placed on all engines, in tokens: what it may expect to
-// find free as runs end, whoever placed them.
+// TokensPerRouter is the mean number of tokens per router that all routers placed on all engines. A
+// router may expect that share of the memory that becomes free as runs end, whichever router placed
+// them.
 func (p *Pool) TokensPerRouter() float64 {
 	sum := 0
 	for _, s := range p.servers {
-		sum += s.own.Tokens + s.others.Tokens
+		sum += s.ownLoad.Tokens + s.peerLoad.Tokens
 	}
 	return float64(sum) / float64(p.routers)
 }
 
-// OwnLoad is what this router placed on one engine.
+// OwnLoad returns the load that this router placed on one engine.
 func (p *Pool) OwnLoad(id string, now time.Time) Load {
 	s, ok := p.servers[id]
 	if !ok {
 		return Load{}
 	}
 	p.refresh(s, now)
-	return s.own
+	return s.ownLoad
 }
 
-// SlotLoad is the share of an engine's places that are taken, in [0, 1].
+// SlotLoad returns the share of an engine's decode slots that are taken, in [0, 1].
 func (p *Pool) SlotLoad(id string) float64 {
 	s, ok := p.servers[id]
 	if !ok || s.Slots <= 0 {
 		return 1
 	}
-	return min(float64(s.own.Runs+s.others.Runs)/float64(s.Slots), 1)
+	return min(float64(s.ownLoad.Runs+s.peerLoad.Runs)/float64(s.Slots), 1)
 }
 
-// SetPeerLoad takes the sum of what all other routers placed on one engine. When it has
-// become less, an earlier refusal says nothing any more.
+// SetPeerLoad sets the sum of the load that all other routers placed on one engine. A decrease
+// lifts an earlier refusal.
 func (p *Pool) SetPeerLoad(id string, l Load, now time.Time) {
 	s, ok := p.servers[id]
 	if !ok {
-		p.hear(id, l)
+		p.setUnlisted(id, l)
 		return
 	}
-	if l.Tokens < s.others.Tokens && s.fails == 0 {
-		s.blocked = time.Time{}
+	if l.Tokens < s.peerLoad.Tokens && s.failures == 0 {
+		s.blockedUntil = time.Time{}
 	}
-	if l.Runs < s.others.Runs {
-		s.ended(now)
+	if l.Runs < s.peerLoad.Runs {
+		s.recordRunEnd(now)
 	}
-	s.others = l
-	s.sum()
+	s.peerLoad = l
+	s.updateTotal()
 }
 
-// Capacity and Used are the memory of all engines that may get new work, and what is
-// known to be placed there, in tokens.
+// Capacity returns the memory of all engines that may get new work and the memory that is known to
+// be placed there, in tokens.
 func (p *Pool) Capacity() (capacity, used int) {
 	for _, s := range p.servers {
 		if s.listed {
 			capacity += s.Capacity
-			used += s.own.Tokens + s.others.Tokens
+			used += s.ownLoad.Tokens + s.peerLoad.Tokens
 		}
 	}
 	return capacity, used
--- a/policy/kvmemory/kvmemory_test.go
+++ b/policy/kvmemory/kvmemory_test.go
@@ -19,11 +19,11 @@
 	return p
 }
 
-// run is a request of which only the whole memory is known.
+// run is a request of which only the total memory is known.
 func run(need int) *kvmemory.Run { return &kvmemory.Run{Need: need} }
 
-// held is the load of runs that hold that much memory for good.
-func held(tokens int) kvmemory.Load {
+// constantLoad is the load of runs that hold a constant amount of memory.
+func constantLoad(tokens int) kvmemory.Load {
 	return kvmemory.Load{Tokens: tokens, Forecast: kvmemory.Constant(tokens)}
 }
 
@@ -35,7 +35,7 @@
 	return out
 }
 
-func TestPickKeepsToMemory(t *testing.T) {
+func TestPickStaysWithinMemory(t *testing.T) {
 	p := pool("g", 2)
 	placed := map[string]int{}
 	last := map[string]*kvmemory.Run{}
@@ -56,14 +56,14 @@
 	assert.Equal(t, id, "b")
 }
 
-func TestPickCountsOthers(t *testing.T) {
+func TestPickCountsPeerLoad(t *testing.T) {
 	p := pool("g", 2)
-	p.SetPeerLoad("a", held(45_000), start)
-	p.SetPeerLoad("b", held(10_000), start)
+	p.SetPeerLoad("a", constantLoad(45_000), start)
+	p.SetPeerLoad("b", constantLoad(10_000), start)
 	id, ok := p.Pick(kvmemory.Request{Run: run(6000), Zone: "z1"}, start)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, "b", "although a is in the zone")
-	p.SetPeerLoad("b", held(45_000), start)
+	p.SetPeerLoad("b", constantLoad(45_000), start)
 	_, ok = p.Pick(kvmemory.Request{Run: run(6000), Zone: "z1"}, start)
 	assert.Assert(t, !ok)
 	id, ok = p.Pick(kvmemory.Request{Run: run(5000), Zone: "z1"}, start)
@@ -71,7 +71,7 @@
 	assert.Equal(t, id, "a")
 }
 
-func TestZoneIsPreferredWhenUseIsAlike(t *testing.T) {
+func TestOwnZoneIsPreferredAtEqualLoad(t *testing.T) {
 	p := pool("g", 3)
 	for _, zone := range []string{"z1", "z2", "z3"} {
 		id, ok := p.Pick(kvmemory.Request{Run: run(6000), Zone: zone}, start)
@@ -89,44 +89,44 @@
 	assert.Assert(t, !ok)
 }
 
-// TestRefusal replays what a burst does with several routers: an engine that others have
-// filled refuses, and is asked again once it may have room.
+// TestRefusal replays a burst at several routers: an engine that other routers have filled refuses
+// a request, and is asked again only once it may have free memory.
 func TestRefusal(t *testing.T) {
 	backoff := kvmemory.DefaultConfig().Backoff
 	for _, c := range []struct {
-		name string
-		then func(p *kvmemory.Pool, r *kvmemory.Run)
-		at   time.Time
-		need int
-		ok   bool
+		name   string
+		action func(p *kvmemory.Pool, r *kvmemory.Run)
+		at     time.Time
+		need   int
+		ok     bool
 	}{
 		{"not asked again at once", func(*kvmemory.Pool, *kvmemory.Run) {}, ms(1), 6000, false},
 		{"smaller ones may be asked for", func(*kvmemory.Pool, *kvmemory.Run) {}, ms(1), 5000, true},
-		{"asked again after the pause", func(*kvmemory.Pool, *kvmemory.Run) {}, start.Add(backoff), 6000, true},
+		{"asked again after the backoff", func(*kvmemory.Pool, *kvmemory.Run) {}, start.Add(backoff), 6000, true},
 		{"asked again once a run has ended there", func(p *kvmemory.Pool, r *kvmemory.Run) { p.Release("a", r, start) }, ms(1), 6000, true},
-		{"asked again once others placed less", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetPeerLoad("a", held(1000), start) }, ms(1), 6000, true},
-		{"not when others placed more", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetPeerLoad("a", held(7000), start) }, ms(1), 6000, false},
+		{"asked again once peers report less load", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetPeerLoad("a", constantLoad(1000), start) }, ms(1), 6000, true},
+		{"not when peers report more load", func(p *kvmemory.Pool, _ *kvmemory.Run) { p.SetPeerLoad("a", constantLoad(7000), start) }, ms(1), 6000, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := pool("g", 1)
-			p.SetPeerLoad("a", held(6000), start)
+			p.SetPeerLoad("a", constantLoad(6000), start)
 			first, second := run(6000), run(6000)
 			p.Place("a", first)
 			p.Place("a", second)
 			p.Refused("a", second, start)
-			c.then(p, first)
+			c.action(p, first)
 			_, ok := p.Pick(kvmemory.Request{Run: run(c.need)}, c.at)
 			assert.Equal(t, ok, c.ok)
 		})
 	}
 }
 
-// TestFailureBacksOff replays a server that grants memory and then takes no run, as one
-// does that changes its stage.
+// TestFailureBacksOff replays a server that grants memory and then accepts no run, as a server does
+// that changes its stage.
 func TestFailureBacksOff(t *testing.T) {
 	p := pool("g", 1)
 	now := start
-	var pauses []time.Duration
+	var backoffs []time.Duration
 	for range 5 {
 		r := run(6000)
 		p.Place("a", r)
@@ -138,15 +138,15 @@
 				break
 			}
 		}
-		pauses = append(pauses, now.Sub(began))
+		backoffs = append(backoffs, now.Sub(began))
 	}
-	assert.DeepEqual(t, pauses, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second})
+	assert.DeepEqual(t, backoffs, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second})
 	p.Succeeded("a")
 	r := run(6000)
 	p.Place("a", r)
 	p.Failed("a", r, now)
 	_, ok := p.Pick(kvmemory.Request{Run: run(6000)}, now.Add(time.Second))
-	assert.Assert(t, ok, "after it worked the pause is short again")
+	assert.Assert(t, ok, "a success resets the backoff")
 }
 
 func TestRoutersWithEqualViewsChooseDifferently(t *testing.T) {
@@ -166,18 +166,19 @@
 	p.Sync(servers(2)[1:])
 	assert.Equal(t, p.OwnLoad("a", start).Tokens, 6000)
 	_, ok := p.Pick(kvmemory.Request{Run: run(6000), Exclude: []string{"b"}}, start)
-	assert.Assert(t, !ok, "a leaving engine gets nothing")
+	assert.Assert(t, !ok, "a leaving engine gets no new work")
 	p.Release("a", r, start)
 	assert.Equal(t, p.TokensPerRouter(), 0.0)
 	assert.Equal(t, len(p.OwnLoads(start)), 0)
 }
 
-// TestLateLeavesRoom: one that is late takes only what would leave room beside it.
-func TestLateLeavesRoom(t *testing.T) {
+// TestLateRequestLeavesFreeMemory: a late request is placed only where free memory remains beside
+// it.
+func TestLateRequestLeavesFreeMemory(t *testing.T) {
 	for _, c := range []struct {
-		others int
-		late   bool
-		ok     bool
+		peerTokens int
+		late       bool
+		ok         bool
 	}{
 		{44_000, false, true},
 		{44_000, true, false},
@@ -185,37 +186,37 @@
 		{31_501, true, false},
 	} {
 		p := pool("g", 1)
-		p.SetPeerLoad("a", held(c.others), start)
+		p.SetPeerLoad("a", constantLoad(c.peerTokens), start)
 		_, ok := p.Pick(kvmemory.Request{Run: run(6000), Late: c.late}, start)
 		assert.Equal(t, ok, c.ok, "%+v", c)
 	}
 }
 
-// TestToldBeforeListed: an engine that changed its stage, and all engines for a router that has
-// just started, are told of by others before the router's own list has them. Without what was
-// told, each of 23 routers placed its first run on such an engine as if it were empty.
-func TestToldBeforeListed(t *testing.T) {
+// TestPeerLoadReportedBeforeListing: peers report the load of an engine before the router's own
+// server list has it, when the engine changed its stage or the router has just started. Without
+// that load, each of 23 routers placed its first run on such an engine as if it were empty.
+func TestPeerLoadReportedBeforeListing(t *testing.T) {
 	p := kvmemory.New(kvmemory.DefaultConfig(), "g")
-	p.SetPeerLoad("a", held(50_000), start)
+	p.SetPeerLoad("a", constantLoad(50_000), start)
 	p.Sync(servers(1))
 	_, ok := p.Pick(kvmemory.Request{Run: run(6000)}, start)
-	assert.Assert(t, !ok, "told before it was listed")
+	assert.Assert(t, !ok, "reported before it was listed")
 	p.Sync(nil)
 	p.Sync(servers(1))
 	_, ok = p.Pick(kvmemory.Request{Run: run(6000)}, start)
-	assert.Assert(t, !ok, "it was not listed for a moment")
+	assert.Assert(t, !ok, "temporarily unlisted")
 	p.SetPeerLoad("a", kvmemory.Load{}, start)
 	_, ok = p.Pick(kvmemory.Request{Run: run(6000)}, start.Add(time.Second))
 	assert.Assert(t, ok)
 }
 
-// TestPerRouter: memory that runs free is anybody's. A router that happens to have placed little, as each of
-// many does now and then, may expect as much of it as the others.
-func TestPerRouter(t *testing.T) {
+// TestTokensPerRouter: memory that becomes free is available to all routers. A router that has
+// placed little, as each of many does at times, may expect as much of it as the others.
+func TestTokensPerRouter(t *testing.T) {
 	p := pool("g", 2)
 	p.SetRouters(10)
-	p.SetPeerLoad("a", held(40_000), start)
-	p.SetPeerLoad("b", held(54_000), start)
+	p.SetPeerLoad("a", constantLoad(40_000), start)
+	p.SetPeerLoad("b", constantLoad(54_000), start)
 	p.Place("a", run(6000))
 	assert.Equal(t, p.TokensPerRouter(), 10_000.0)
 }
--- a/policy/kvmemory/peak_test.go
+++ b/policy/kvmemory/peak_test.go
@@ -13,48 +13,52 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
 )
 
-// The load that is replayed: prompts of some 5,000 tokens whose answers are as long again, so
-// that a run's memory doubles in the four seconds that it lasts; bursts of four times the
-// mean; engines that hold some ten of them.
+// The replayed load: prompts of some 5,000 tokens with answers of the same length, so that a run's
+// memory doubles in the four seconds that it lasts; bursts of four times the mean; engines with
+// memory for some ten runs.
 const (
-	peakEngines = 6
-	peakMemory  = 107_000
-	peakSlots   = 16
-	peakPace    = 1300.0
-	peakMost    = 9_360
-	peakMean    = 9.0
-	peakBurst   = 36.0
-	peakSpread  = 0.5
-	peakWait    = 600 * time.Millisecond
-	peakDay     = 60 * time.Second
+	peakEngines         = 6
+	peakMemory          = 107_000
+	peakSlots           = 16
+	peakTokensPerSecond = 1300.0
+	peakMaxTokens       = 9_360
+	peakMeanRate        = 9.0
+	peakBurstRate       = 36.0
+	peakSigma           = 0.5
+	peakMaxWait         = 600 * time.Millisecond
+	peakDuration        = 60 * time.Second
 )
 
-// growing is one request of the replay.
-type growing struct {
+// growingRun is one request of the replay.
+type growingRun struct {
 	run           *kvmemory.Run
 	length        *runlength.Run
 	prompt, total int
 	arrived       time.Time
-	done          float64
+	generated     float64
 	engine        string
 }
 
-// sizing says what placement knows of a request's memory.
-type sizing func(l *runlength.Learner, g *growing, hint int) *kvmemory.Run
+// sizeFunc returns the run with the memory estimate that placement uses.
+type sizeFunc func(l *runlength.Learner, g *growingRun, hint int) *kvmemory.Run
 
-func byForecast(l *runlength.Learner, g *growing, hint int) *kvmemory.Run {
-	g.length = l.Begin(hint, peakMost)
+func byForecast(l *runlength.Learner, g *growingRun, hint int) *kvmemory.Run {
+	g.length = l.Begin(hint, peakMaxTokens)
 	return &kvmemory.Run{Need: g.prompt + hint, Prompt: g.prompt, Length: g.length}
 }
 
-func byHint(_ *runlength.Learner, g *growing, hint int) *kvmemory.Run {
-	return run(g.prompt + max(hint, peakMost*boolInt(hint == 0)))
+func byHint(_ *runlength.Learner, g *growingRun, hint int) *kvmemory.Run {
+	return run(g.prompt + max(hint, peakMaxTokens*boolInt(hint == 0)))
 }
 
-func byMost(_ *runlength.Learner, g *growing, _ int) *kvmemory.Run { return run(g.prompt + peakMost) }
+func byMaxLength(_ *runlength.Learner, g *growingRun, _ int) *kvmemory.Run {
+	return run(g.prompt + peakMaxTokens)
+}
 
-// byOracle knows the lengths, but adds up what runs hold at their ends.
-func byOracle(_ *runlength.Learner, g *growing, _ int) *kvmemory.Run { return run(g.prompt + g.total) }
+// byOracle uses the true lengths, but adds up the sizes of runs at their ends.
+func byOracle(_ *runlength.Learner, g *growingRun, _ int) *kvmemory.Run {
+	return run(g.prompt + g.total)
+}
 
 func boolInt(b bool) int {
 	if b {
@@ -63,19 +67,21 @@
 	return 0
 }
 
-// replayed is how a replay ended, in requests.
-type replayed struct{ inTime, preempted, turnedAway int }
+// replayResult counts the requests of a replay by result.
+type replayResult struct{ inTime, preempted, rejected int }
 
-// hinted is what callers say of a length.
-type hinted func(rng *rand.Rand, length float64) float64
+// hintFunc returns the caller's hint for a length.
+type hintFunc func(rng *rand.Rand, length float64) float64
 
-func rightly(rng *rand.Rand, length float64) float64 {
-	return length * math.Exp(peakSpread*rng.NormFloat64())
+func accurateHint(rng *rand.Rand, length float64) float64 {
+	return length * math.Exp(peakSigma*rng.NormFloat64())
+}
+func hintFourTimesTooLow(rng *rand.Rand, length float64) float64 {
+	return accurateHint(rng, length) / 4
 }
-func fourTimesLow(rng *rand.Rand, length float64) float64 { return rightly(rng, length) / 4 }
-func missing(*rand.Rand, float64) float64                 { return 0 }
+func noHint(*rand.Rand, float64) float64 { return 0 }
 
-func replayPeak(size sizing, hints hinted) replayed {
+func replayPeak(size sizeFunc, hints hintFunc) replayResult {
 	rng := rand.New(rand.NewPCG(11, 12))
 	p := kvmemory.New(kvmemory.DefaultConfig(), "g")
 	list := servers(peakEngines)
@@ -84,24 +90,24 @@
 	}
 	p.Sync(list)
 	l := runlength.New()
-	var waiting, running []*growing
-	var out replayed
-	for now := start; now.Before(start.Add(peakDay)); now = now.Add(tick) {
-		rate := peakMean
+	var queued, running []*growingRun
+	var out replayResult
+	for now := start; now.Before(start.Add(peakDuration)); now = now.Add(tick) {
+		rate := peakMeanRate
 		if now.Sub(start)%(10*time.Second) >= 6*time.Second {
-			rate = peakBurst
+			rate = peakBurstRate
 		}
 		if rng.Float64() < rate*tick.Seconds() {
-			g := &growing{prompt: 2500 + rng.IntN(5400), arrived: now}
-			length := min(4500*math.Exp(peakSpread*rng.NormFloat64()), peakMost)
+			g := &growingRun{prompt: 2500 + rng.IntN(5400), arrived: now}
+			length := min(4500*math.Exp(peakSigma*rng.NormFloat64()), peakMaxTokens)
 			g.total = int(length)
-			g.run = size(l, g, min(int(hints(rng, length)), peakMost))
-			waiting = append(waiting, g)
+			g.run = size(l, g, min(int(hints(rng, length)), peakMaxTokens))
+			queued = append(queued, g)
 		}
-		running = slices.DeleteFunc(running, func(g *growing) bool { return g.grow(p, now) })
-		waiting = slices.DeleteFunc(waiting, func(g *growing) bool {
-			if now.Sub(g.arrived) > peakWait {
-				out.turnedAway++
+		running = slices.DeleteFunc(running, func(g *growingRun) bool { return g.advance(p, now) })
+		queued = slices.DeleteFunc(queued, func(g *growingRun) bool {
+			if now.Sub(g.arrived) > peakMaxWait {
+				out.rejected++
 				return true
 			}
 			id, ok := p.Pick(kvmemory.Request{Run: g.run}, now)
@@ -119,11 +125,11 @@
 	return out
 }
 
-// grow plays one tick of a run and reports whether it has ended.
-func (g *growing) grow(p *kvmemory.Pool, now time.Time) bool {
-	g.done += peakPace * tick.Seconds()
-	if g.done < float64(g.total) {
-		g.run.Generated(int(g.done))
+// advance simulates one tick of a run and reports whether it has ended.
+func (g *growingRun) advance(p *kvmemory.Pool, now time.Time) bool {
+	g.generated += peakTokensPerSecond * tick.Seconds()
+	if g.generated < float64(g.total) {
+		g.run.Generated(int(g.generated))
 		return false
 	}
 	g.run.Generated(g.total)
@@ -132,15 +138,15 @@
 	return true
 }
 
-// preempt ends the newest runs of engines whose memory has run out.
-func preempt(p *kvmemory.Pool, running []*growing, out *replayed, now time.Time) []*growing {
+// preempt ends the newest runs of engines that have run out of memory.
+func preempt(p *kvmemory.Pool, running []*growingRun, out *replayResult, now time.Time) []*growingRun {
 	used := map[string]float64{}
-	return slices.DeleteFunc(running, func(g *growing) bool {
-		used[g.engine] += float64(g.prompt) + g.done
+	return slices.DeleteFunc(running, func(g *growingRun) bool {
+		used[g.engine] += float64(g.prompt) + g.generated
 		if used[g.engine] <= peakMemory {
 			return false
 		}
-		used[g.engine] -= float64(g.prompt) + g.done
+		used[g.engine] -= float64(g.prompt) + g.generated
 		p.Release(g.engine, g.run, now)
 		out.preempted++
 		out.inTime--
@@ -148,28 +154,28 @@
 	})
 }
 
-// TestPeakOfGrowingRuns: more requests are answered in time, and fewer runs are preempted,
-// when the peak of all runs has to fit than when the sum of their hints has to; and nearly as
-// many as if the lengths were known and added up. Hints may be wrong or missing.
+// TestPeakOfGrowingRuns: when the forecast peak of all runs has to fit, more requests are answered
+// in time and fewer runs are preempted than when the sum of their hints has to fit, and nearly as
+// many are answered in time as with the sum of the true lengths. Hints may be wrong or missing.
 func TestPeakOfGrowingRuns(t *testing.T) {
-	oracle := replayPeak(byOracle, rightly)
+	oracle := replayPeak(byOracle, accurateHint)
 	for _, c := range []struct {
 		name  string
-		hints hinted
-		// gain is the least ratio of requests in time to those with hints alone.
-		gain float64
+		hints hintFunc
+		// minGain is the minimum ratio of requests in time to those with hints only.
+		minGain float64
 	}{
-		{"hints right at the median", rightly, 1.02},
-		{"hints four times too low", fourTimesLow, 1.05},
-		{"no hints", missing, 1.3},
+		{"hints right at the median", accurateHint, 1.02},
+		{"hints four times too low", hintFourTimesTooLow, 1.05},
+		{"no hints", noHint, 1.3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, hint, most := replayPeak(byForecast, c.hints), replayPeak(byHint, c.hints), replayPeak(byMost, c.hints)
-			t.Logf("forecast %+v, hint %+v, most %+v, oracle %+v", got, hint, most, oracle)
-			assert.Assert(t, float64(got.inTime) >= c.gain*float64(hint.inTime))
-			assert.Assert(t, got.inTime > most.inTime)
+			got, hint, maxLength := replayPeak(byForecast, c.hints), replayPeak(byHint, c.hints), replayPeak(byMaxLength, c.hints)
+			t.Logf("forecast %+v, hint %+v, maximum %+v, oracle %+v", got, hint, maxLength, oracle)
+			assert.Assert(t, float64(got.inTime) >= c.minGain*float64(hint.inTime))
+			assert.Assert(t, got.inTime > maxLength.inTime)
 			assert.Assert(t, float64(got.inTime) >= 0.97*float64(oracle.inTime))
-			assert.Assert(t, 40*got.preempted <= got.inTime, "one in forty at most")
+			assert.Assert(t, 40*got.preempted <= got.inTime, "at most one in forty preempted")
 		})
 	}
 }
--- a/policy/kvmemory/pick.go
+++ b/policy/kvmemory/pick.go
@@ -5,116 +5,119 @@
 	"time"
 )
 
-// Request is what a request asks of a pool.
+// Request describes a request to be placed.
 type Request struct {
-	// Run is the request.
+	// Run is the run of the request.
 	Run *Run
-	// Late is set when it can't be answered within its objective any more.
+	// Late is set when the request can no longer meet its latency objective.
 	Late bool
-	// Zone is that of the router.
+	// Zone is the router's zone.
 	Zone string
 	// Exclude are engines that must not get the request.
 	Exclude []string
-	// Avoid reports whether an engine is asked only if no other one is thought to have room, Unavailable whether it must not be
-	// asked now; nil means none.
+	// Avoid reports whether an engine is chosen only if no other one is estimated to have enough
+	// free memory, Unavailable whether it must not be asked now. Nil means none.
 	Avoid, Unavailable func(id string) bool
 }
 
-// Pick returns the engine to ask for room. It returns false when none is thought to have
-// it.
-func (p *Pool) Pick(a Request, now time.Time) (string, bool) {
+// Pick returns the engine to ask for a reservation, or false if none is estimated to have enough
+// free memory.
+func (p *Pool) Pick(r Request, now time.Time) (string, bool) {
 	var best *server
 	var bestScore, bestFree float64
 	bestAvoided := false
-	var asked Forecast
-	a.Run.add(&asked, p.pace.perSecond())
-	for _, s := range p.ordered {
-		if !p.open(s, a, now) || slices.Contains(a.Exclude, s.ID) {
+	var requested Forecast
+	r.Run.addTo(&requested, p.rate.tokensPerSecond())
+	for _, s := range p.sorted {
+		if !p.eligible(s, r, now) || slices.Contains(r.Exclude, s.ID) {
 			continue
 		}
-		free := p.free(s, &asked, now)
-		if free < p.spare(s, a) || p.othersTurn(s, a.Late, now) {
+		free := p.freeAtPeak(s, &requested, now)
+		if free < p.spare(s, r) || p.deferred(s, r.Late, now) {
 			continue
 		}
-		score, avoided := p.score(s, free, a.Zone), a.Avoid != nil && a.Avoid(s.ID)
+		score, avoided := p.score(s, free, r.Zone), r.Avoid != nil && r.Avoid(s.ID)
 		better := best == nil || bestAvoided && !avoided
-		better = better || avoided == bestAvoided && (score > bestScore || score == bestScore && s.home > best.home)
-		// Last, as it costs more than all else.
-		if better && (a.Unavailable == nil || !a.Unavailable(s.ID)) {
+		better = better || avoided == bestAvoided && (score > bestScore || score == bestScore && s.affinity > best.affinity)
+		// Checked last, as it is the most expensive condition.
+		if better && (r.Unavailable == nil || !r.Unavailable(s.ID)) {
 			best, bestScore, bestFree, bestAvoided = s, score, free, avoided
 		}
 	}
 	if best == nil {
 		return "", false
 	}
-	a.Run.FreeAtPeak = int(bestFree)
+	r.Run.FreeAtPeak = int(bestFree)
 	return best.ID, true
 }
 
-// open reports whether an engine may be asked, whatever its memory.
-func (p *Pool) open(s *server, a Request, now time.Time) bool {
-	if !s.listed || s.Slots > 0 && s.own.Runs+s.others.Runs >= s.Slots {
+// eligible reports whether an engine may be asked, apart from its free memory.
+func (p *Pool) eligible(s *server, r Request, now time.Time) bool {
+	if !s.listed || s.Slots > 0 && s.ownLoad.Runs+s.peerLoad.Runs >= s.Slots {
 		return false
 	}
-	return a.Run.Need < s.refused || !now.Before(s.blocked)
+	return r.Run.Need < s.refusedNeed || !now.Before(s.blockedUntil)
 }
 
-// free is the memory of an engine that stays free at its fullest moment, in tokens, with the
-// one that asks.
-func (p *Pool) free(s *server, asked *Forecast, now time.Time) float64 {
+// freeAtPeak is the memory of an engine, in tokens, that remains free at the forecast peak with the
+// requested run placed there.
+func (p *Pool) freeAtPeak(s *server, requested *Forecast, now time.Time) float64 {
 	p.refresh(s, now)
-	return float64(s.Capacity) - peak(p.cfg.Margin, &s.all, asked)
+	return float64(s.Capacity) - peak(p.cfg.Margin, &s.total, requested)
 }
 
-// crowdedBy is the share of an engine's memory by which what is placed there has to exceed it to count as
-// crowded: a run that grows a little past its share is no reason to leave. With it 75 of 5,605 requests gave a
-// reservation back in a replay of 68 routers.
-const crowdedBy = 0.05
+// saturationTolerance is the share of an engine's memory by which the placed load has to exceed it
+// before the engine counts as saturated, since a run that grows a little past its estimate is no
+// reason to leave. With it 75 of 5,605 requests released a reservation in a replay of 68 routers.
+const saturationTolerance = 0.05
 
-// Saturated reports whether what is known by now to be placed on an engine does not fit it: routers that chose it
-// in the same few milliseconds did not know of each other. A run that has only reserved its memory there loses
-// little by going elsewhere; one that stays is preempted, or another is, and is read again. In a replay of 68
-// routers a fifth as many runs are preempted when those that find their engine crowded leave it.
+// Saturated reports whether the load now known to be placed on an engine exceeds its memory,
+// because routers chose it within the same few milliseconds without knowing of each other. A run
+// that has only reserved memory there loses little by moving to another engine; if it stays, it or
+// another run is preempted and its prompt prefilled again. In a replay of 68 routers, leaving
+// saturated engines reduces the number of preempted runs to a fifth.
 func (p *Pool) Saturated(id string, now time.Time) bool {
 	s, ok := p.servers[id]
 	if !ok {
 		return false
 	}
-	var none Forecast
-	return p.free(s, &none, now) < -crowdedBy*float64(s.Capacity)
+	var empty Forecast
+	return p.freeAtPeak(s, &empty, now) < -saturationTolerance*float64(s.Capacity)
 }
 
 const (
-	// maxPause bounds the pause between two ends that counts, and holds until some were heard.
-	maxPause = time.Second
-	// pauseShare is what the newest pause counts in the mean.
-	pauseShare = 0.2
+	// maxEndInterval bounds a single interval between two ends of runs, and is the initial value of
+	// the mean.
+	maxEndInterval = time.Second
+	// endIntervalWeight is the weight of the newest interval in the moving average.
+	endIntervalWeight = 0.2
 )
 
-// ended notes that a run has ended on an engine.
-func (s *server) ended(now time.Time) {
-	pause := min(now.Sub(s.freed), maxPause)
-	s.pause += time.Duration(pauseShare * float64(pause-s.pause))
-	s.freed = now
+// recordRunEnd records that a run has ended on an engine.
+func (s *server) recordRunEnd(now time.Time) {
+	interval := min(now.Sub(s.freedAt), maxEndInterval)
+	s.endInterval += time.Duration(endIntervalWeight * float64(interval-s.endInterval))
+	s.freedAt = now
 }
 
-// othersTurn reports whether memory that has become free is left to other routers for now.
-// All routers hear of it at once, and before each could hear of the others' placements, as
-// many as have requests waiting would place one. Late requests come after the turns of all.
-// Both together take two thirds of the pause between two ends at most, so that every router has
-// its turn on engines with many short runs.
-func (p *Pool) othersTurn(s *server, late bool, now time.Time) bool {
-	all := min(time.Duration(p.routers-1)*p.cfg.Stagger, p.cfg.MaxStagger, s.pause/3)
-	wait := time.Duration((1 - s.home) * float64(all))
+// deferred reports whether this router still leaves memory that has become free to other routers.
+// All routers learn of free memory at the same time, and every router with queued requests would
+// place one before the others' placements are reported. Late requests are delayed until after the
+// staggered delays of all routers. The two delays together take at most two thirds of the mean
+// interval between two ends, so that every router can also place runs on engines with many short
+// runs.
+func (p *Pool) deferred(s *server, late bool, now time.Time) bool {
+	longest := min(time.Duration(p.routers-1)*p.cfg.Stagger, p.cfg.MaxStagger, s.endInterval/3)
+	delay := time.Duration((1 - s.affinity) * float64(longest))
 	if late {
-		wait += all
+		delay += longest
 	}
-	return now.Sub(s.freed) < wait
+	return now.Sub(s.freedAt) < delay
 }
 
-// spare is the memory that has to stay free, in tokens.
-func (p *Pool) spare(s *server, a Request) float64 {
-	if !a.Late {
+// spare is the memory that has to remain free, in tokens.
+func (p *Pool) spare(s *server, r Request) float64 {
+	if !r.Late {
 		return 0
 	}
 	return p.cfg.LateSpare * float64(s.Capacity)
--- a/policy/kvmemory/pick_bench_test.go
+++ b/policy/kvmemory/pick_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
 )
 
-// BenchmarkPick is a choice among 350 engines, of each of which one run of this router and ten
-// of others are known.
+// BenchmarkPick measures a choice among 350 engines, each with one run of this router and ten of
+// others.
 func BenchmarkPick(b *testing.B) {
 	p := kvmemory.New(kvmemory.DefaultConfig(), "g")
 	list := make([]kvmemory.Server, 350)
@@ -21,17 +21,17 @@
 	l := runlength.New()
 	for _, s := range list {
 		p.Place(s.ID, &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)})
-		others := held(50_000)
+		others := constantLoad(50_000)
 		others.Runs = 10
 		p.SetPeerLoad(s.ID, others, start)
 	}
-	ask := kvmemory.Request{Run: &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)}, Zone: "z1"}
+	request := kvmemory.Request{Run: &kvmemory.Run{Need: 6000, Prompt: 5000, Length: l.Begin(1000, 9000)}, Zone: "z1"}
 	now := start.Add(time.Second)
-	p.Pick(ask, now)
+	p.Pick(request, now)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := p.Pick(ask, now); !ok {
-			b.Fatal("none has room")
+		if _, ok := p.Pick(request, now); !ok {
+			b.Fatal("no engine has enough free memory")
 		}
 	}
 }
--- a/policy/kvmemory/run.go
+++ b/policy/kvmemory/run.go
@@ -8,30 +8,30 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
 )
 
-// Run is one request that needs memory of an engine. All but Generated belongs to the lock
-// of its Pool.
+// Run is one request that needs memory of an engine. All fields but generated are guarded by the
+// lock of its Pool.
 type Run struct {
-	// Need is the memory that it is thought to take at its end, in tokens.
+	// Need is the estimated memory at the end of the run, in tokens.
 	Need int
-	// Prompt is the length of its prompt, in tokens, and Length what is known of how much it
-	// generates. Without Length it holds Need from the start to its end.
+	// Prompt is the length of the prompt in tokens, Length the estimate of how much the run
+	// generates. Without Length the run holds Need from its start to its end.
 	Prompt int
 	Length *runlength.Run
-	// FreeAtPeak is the memory, in tokens, that was thought to stay free at its engine's fullest
-	// moment when it was placed.
+	// FreeAtPeak is the memory of the chosen engine, in tokens, that was forecast to remain free at
+	// the peak when the run was placed.
 	FreeAtPeak int
-	// generated is the tokens that it has generated in all.
+	// generated is the total number of tokens generated.
 	generated atomic.Int64
-	// seen is the tokens that it had generated when it was last looked at.
-	seen   int64
-	seenAt time.Time
+	// sampled is the number of tokens generated at the latest sample, which was taken at sampledAt.
+	sampled   int64
+	sampledAt time.Time
 }
 
-// Generated notes that the run has generated that many tokens in all. It may be called by
-// any goroutine.
+// Generated records the total number of tokens that the run has generated. It may be called by any
+// goroutine.
 func (r *Run) Generated(tokens int) { r.generated.Store(int64(tokens)) }
 
-// Finish notes that the run has come to its own end.
+// Finish records that the run ended by itself, without being cut off.
 func (r *Run) Finish() {
 	if r.Length != nil {
 		r.Length.Progress(int(r.generated.Load()))
@@ -39,8 +39,8 @@
 	}
 }
 
-// add adds the memory that the run will hold, at a pace in tokens per second.
-func (r *Run) add(f *Forecast, pace float64) {
+// addTo adds the memory that the run will hold at a given generation rate.
+func (r *Run) addTo(f *Forecast, tokensPerSecond float64) {
 	if r.Length == nil {
 		c := Constant(r.Need)
 		f.Add(&c, 1)
@@ -49,51 +49,51 @@
 	f.Max += float64(r.Prompt) + r.Length.Most()
 	r.Length.Progress(int(r.generated.Load()))
 	done := float64(r.Length.Tokens())
-	for i, ahead := range moments {
-		tokens := done + pace*ahead.Seconds()
-		lasts := r.Length.Lasts(tokens)
-		holds := float64(r.Prompt) + tokens
-		f.Mean[i] += math.Round(lasts * holds)
-		f.Variance[i] += math.Round(lasts * (1 - lasts) * holds * holds)
+	for i, ahead := range horizons {
+		tokens := done + tokensPerSecond*ahead.Seconds()
+		survival := r.Length.Lasts(tokens)
+		size := float64(r.Prompt) + tokens
+		f.Mean[i] += math.Round(survival * size)
+		f.Variance[i] += math.Round(survival * (1 - survival) * size * size)
 	}
 }
 
-// pace learns how fast runs generate tokens.
-type pace struct {
-	// tokens and seconds are sums over runs, older ones counting less.
+// rateEstimator estimates how fast runs generate tokens.
+type rateEstimator struct {
+	// tokens and seconds are exponentially decayed sums over runs.
 	tokens, seconds float64
 }
 
 const (
-	// paceForget is what is left of earlier looks at a run with each new one: some two
-	// hundred count, a second or two of a full service.
-	paceForget = 0.995
-	// priorPace holds until a run was seen to generate: the fastest that large models
-	// generate for one caller, so that memory is not thought to be freer than it is.
-	priorPace = 1000.0
-	// minLook is the shortest time between two looks at a run that tells its pace: several
-	// events come in it.
-	minLook = 200 * time.Millisecond
+	// rateDecay is the factor by which the sums decay with each sample. Some two hundred samples
+	// count, which a fully loaded service takes in a second or two.
+	rateDecay = 0.995
+	// priorRate applies until a run has been observed to generate: the highest rate at which large
+	// models generate for one caller, so that free memory is not overestimated.
+	priorRate = 1000.0
+	// minSampleInterval is the shortest interval between two samples of a run. Several events
+	// arrive in it.
+	minSampleInterval = 200 * time.Millisecond
 )
 
-// look notes how far a run has come.
-func (p *pace) look(r *Run, now time.Time) {
+// sample records the progress of a run.
+func (e *rateEstimator) sample(r *Run, now time.Time) {
 	tokens := r.generated.Load()
-	took := now.Sub(r.seenAt)
-	if !r.seenAt.IsZero() && took < minLook {
+	elapsed := now.Sub(r.sampledAt)
+	if !r.sampledAt.IsZero() && elapsed < minSampleInterval {
 		return
 	}
-	if r.seen > 0 && tokens > r.seen {
-		p.tokens = paceForget*p.tokens + float64(tokens-r.seen)
-		p.seconds = paceForget*p.seconds + took.Seconds()
+	if r.sampled > 0 && tokens > r.sampled {
+		e.tokens = rateDecay*e.tokens + float64(tokens-r.sampled)
+		e.seconds = rateDecay*e.seconds + elapsed.Seconds()
 	}
-	r.seen, r.seenAt = tokens, now
+	r.sampled, r.sampledAt = tokens, now
 }
 
-// perSecond is the pace of one run, in tokens per second.
-func (p *pace) perSecond() float64 {
-	if p.seconds <= 0 {
-		return priorPace
+// tokensPerSecond is the estimated rate of one run.
+func (e *rateEstimator) tokensPerSecond() float64 {
+	if e.seconds <= 0 {
+		return priorRate
 	}
-	return p.tokens / p.seconds
+	return e.tokens / e.seconds
 }
