--- a/policy/kvmemory/forecast_test.go
+++ b/policy/kvmemory/forecast_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // loadOfOneRun is the load of one run of 5,000 prompt tokens and about 4,000 generated ones.
 func loadOfOneRun(t *testing.T) kvmemory.Load {
 	t.Helper()
 	p := pool("g", 1)
-	r := &kvmemory.Run{Need: 9000, Prompt: 5000, Length: runlength.New().Begin(4000, 9360)}
+	r := &kvmemory.Run{Need: 9000, Prompt: 5000, Length: outputlength.New().Begin(4000, 9360)}
 	id, ok := p.Pick(kvmemory.Request{Run: r}, start)
 	assert.Assert(t, ok)
 	p.Place(id, r)
@@ -58,11 +58,11 @@
 	for tenth := 1; tenth <= 9; tenth++ {
 		p := pool("g", 1)
 		prompt := tenth * capacity / 10
-		r := &kvmemory.Run{Need: prompt + hint, Prompt: prompt, Length: runlength.New().Begin(hint, maxLength)}
+		r := &kvmemory.Run{Need: prompt + hint, Prompt: prompt, Length: outputlength.New().Begin(hint, maxLength)}
 		id, ok := p.Pick(kvmemory.Request{Run: r}, start)
 		assert.Assert(t, ok, "%d tenths of an engine's memory", tenth)
 		p.Place(id, r)
-		tooLarge := &kvmemory.Run{Need: capacity - prompt, Prompt: capacity - prompt, Length: runlength.New().Begin(hint, maxLength)}
+		tooLarge := &kvmemory.Run{Need: capacity - prompt, Prompt: capacity - prompt, Length: outputlength.New().Begin(hint, maxLength)}
 		_, ok = p.Pick(kvmemory.Request{Run: tooLarge}, start)
 		assert.Assert(t, !ok, "no memory remains beside %d tenths", tenth)
 	}
--- a/policy/kvmemory/peak_test.go
+++ b/policy/kvmemory/peak_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // The replayed load: prompts of some 5,000 tokens with answers of the same length, so that a run's
@@ -32,7 +32,7 @@
 // growingRun is one request of the replay.
 type growingRun struct {
 	run           *kvmemory.Run
-	length        *runlength.Run
+	length        *outputlength.Run
 	prompt, total int
 	arrived       time.Time
 	generated     float64
@@ -40,23 +40,23 @@
 }
 
 // sizeFunc returns the run with the memory estimate that placement uses.
-type sizeFunc func(l *runlength.Learner, g *growingRun, hint int) *kvmemory.Run
+type sizeFunc func(l *outputlength.Learner, g *growingRun, hint int) *kvmemory.Run
 
-func byForecast(l *runlength.Learner, g *growingRun, hint int) *kvmemory.Run {
+func byForecast(l *outputlength.Learner, g *growingRun, hint int) *kvmemory.Run {
 	g.length = l.Begin(hint, peakMaxTokens)
 	return &kvmemory.Run{Need: g.prompt + hint, Prompt: g.prompt, Length: g.length}
 }
 
-func byHint(_ *runlength.Learner, g *growingRun, hint int) *kvmemory.Run {
+func byHint(_ *outputlength.Learner, g *growingRun, hint int) *kvmemory.Run {
 	return run(g.prompt + max(hint, peakMaxTokens*boolInt(hint == 0)))
 }
 
-func byMaxLength(_ *runlength.Learner, g *growingRun, _ int) *kvmemory.Run {
+func byMaxLength(_ *outputlength.Learner, g *growingRun, _ int) *kvmemory.Run {
 	return run(g.prompt + peakMaxTokens)
 }
 
 // byOracle uses the true lengths, but adds up the sizes of runs at their ends.
-func byOracle(_ *runlength.Learner, g *growingRun, _ int) *kvmemory.Run {
+func byOracle(_ *outputlength.Learner, g *growingRun, _ int) *kvmemory.Run {
 	return run(g.prompt + g.total)
 }
 
@@ -89,7 +89,7 @@
 		list[i].Capacity, list[i].Slots = peakMemory, peakSlots
 	}
 	p.Sync(list)
-	l := runlength.New()
+	l := outputlength.New()
 	var queued, running []*growingRun
 	var out replayResult
 	for now := start; now.Before(start.Add(peakDuration)); now = now.Add(tick) {
--- a/policy/kvmemory/run.go
+++ b/policy/kvmemory/run.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
 )
 
 // Run is one request that needs memory of an engine. All fields but generated are guarded by the
@@ -16,7 +16,7 @@
 	// Prompt is the length of the prompt in tokens, Length the estimate of how much the run
 	// generates. Without Length the run holds Need from its start to its end.
 	Prompt int
-	Length *runlength.Run
+	Length *outputlength.Run
 	// FreeAtPeak is the memory of the chosen engine, in tokens, that was forecast to remain free at
 	// the peak when the run was placed.
 	FreeAtPeak int
--- a/policy/kvmemory/simulation_load_test.go
+++ b/policy/kvmemory/simulation_load_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
 // Parameters of the replayed requests, as on the users' large deployment: 759 generated tokens in
@@ -94,7 +94,7 @@
 	prompt, total, hint int
 	router              int
 	firstArrival        time.Time
-	waiter              *waiting.Waiter
+	waiter              *waitqueue.Waiter
 	run                 *kvmemory.Run
 	engine              string
 	// firstEvent is when the first event is due, generated the number of tokens generated.
--- a/policy/kvmemory/simulation_test.go
+++ b/policy/kvmemory/simulation_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/hibiscusspur/hibiscusspur/policy/kvmemory"
-	"github.com/hibiscusspur/hibiscusspur/policy/runlength"
-	"github.com/hibiscusspur/hibiscusspur/policy/waiting"
+	"github.com/hibiscusspur/hibiscusspur/policy/outputlength"
+	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
 // simulation replays a load at many routers and many engines. Each router has its own queue and
@@ -20,9 +20,9 @@
 	deployment
 	rng     *rand.Rand
 	pools   []*kvmemory.Pool
-	queues  []*waiting.Line
-	lengths []map[string]*runlength.Learner
-	terms   waiting.Terms
+	queues  []*waitqueue.Line
+	lengths []map[string]*outputlength.Learner
+	terms   waitqueue.Terms
 	// expectedFree is the memory that a router expects to become free for it during a run, in
 	// tokens. Nil disables immediate rejection; rejectedAtOnce counts the requests rejected that
 	// way.
@@ -35,7 +35,7 @@
 	reports    *periodicReports
 	rechecks   map[time.Time][]*simRequest
 	all        []*simRequest
-	queued     map[*waiting.Waiter]*simRequest
+	queued     map[*waitqueue.Waiter]*simRequest
 	running    []*simRequest
 	arrivals   map[time.Time][]*simRequest
 	dueReports map[time.Time][]string
@@ -49,8 +49,8 @@
 
 func newSimulation(d deployment, cfg kvmemory.Config) *simulation {
 	s := &simulation{
-		deployment: d, rng: rand.New(rand.NewPCG(d.seed, 7)), terms: waiting.DefaultTerms(),
-		queued: map[*waiting.Waiter]*simRequest{}, arrivals: map[time.Time][]*simRequest{}, dueReports: map[time.Time][]string{},
+		deployment: d, rng: rand.New(rand.NewPCG(d.seed, 7)), terms: waitqueue.DefaultTerms(),
+		queued: map[*waitqueue.Waiter]*simRequest{}, arrivals: map[time.Time][]*simRequest{}, dueReports: map[time.Time][]string{},
 		used: map[string]float64{}, placements: map[string]int{}, rechecks: map[time.Time][]*simRequest{},
 	}
 	list := make([]kvmemory.Server, d.engines)
@@ -62,8 +62,8 @@
 		p := kvmemory.New(cfg, fmt.Sprintf("edge-%d", i))
 		p.Sync(list)
 		p.SetRouters(d.routers)
-		s.pools, s.queues = append(s.pools, p), append(s.queues, &waiting.Line{})
-		s.lengths = append(s.lengths, map[string]*runlength.Learner{})
+		s.pools, s.queues = append(s.pools, p), append(s.queues, &waitqueue.Line{})
+		s.lengths = append(s.lengths, map[string]*outputlength.Learner{})
 	}
 	s.all = d.requests(s.rng)
 	for _, r := range s.all {
@@ -94,13 +94,13 @@
 // enqueue adds a request to the queue of its router.
 func (s *simulation) enqueue(r *simRequest, now time.Time) {
 	late, remaining := now != r.firstArrival, simClientTimeout-now.Sub(r.firstArrival)
-	r.waiter = &waiting.Waiter{
+	r.waiter = &waitqueue.Waiter{
 		Need: r.prompt + r.hint, Arrived: now, Late: late,
 		Until: s.terms.Until(now, simObjective, remaining, r.prompt, late),
 	}
 	learners := s.lengths[r.router]
 	if learners[r.kind.name] == nil {
-		learners[r.kind.name] = runlength.New()
+		learners[r.kind.name] = outputlength.New()
 	}
 	r.run = &kvmemory.Run{Need: r.waiter.Need, Prompt: r.prompt, Length: learners[r.kind.name].Begin(r.hint, simMaxTokens)}
 	if s.hopeless(r, now) {
@@ -111,7 +111,7 @@
 	s.queues[r.router].Add(r.waiter)
 }
 
-// hopeless reports whether a request is rejected without waiting.
+// hopeless reports whether a request is rejected without waitqueue.
 func (s *simulation) hopeless(r *simRequest, now time.Time) bool {
 	queue := s.queues[r.router]
 	if s.expectedFree == nil || queue.Len() == 0 {
@@ -126,7 +126,7 @@
 	p := s.pools[i]
 	for {
 		var id string
-		w := s.queues[i].Next(func(w *waiting.Waiter) bool {
+		w := s.queues[i].Next(func(w *waitqueue.Waiter) bool {
 			var ok bool
 			id, ok = p.Pick(kvmemory.Request{Run: s.queued[w].run, Late: w.Late}, now)
 			return ok
