--- a/policy/kvmemory/kvmemory.go
+++ b/policy/kvmemory/kvmemory.go
@@ -53,8 +53,8 @@
 	// has become free: the time a router needs to learn that another one has taken it. With 23
 	// routers it halves the number of preempted runs; 8 ms gives no further improvement.
 	Stagger time.Duration
-	// MaxStagger bounds the total staggered delay across all routers. Requests that can meet their
-	// latency objective wait some six times as long.
+	// MaxStagger bounds the total staggered delay across all routers. Requests that can still meet
+	// their latency objective are queued for up to some six times as long.
 	MaxStagger time.Duration
 	// Margin is the safety margin between the forecast memory of all runs and an engine's memory.
 	Margin Margin
@@ -72,7 +72,7 @@
 	Capacity, Slots int
 }
 
-// Pool is one router's local state of the decode engines of one service.
+// Pool is one router's local estimate of the load of the decode engines of one service.
 type Pool struct {
 	cfg     Config
 	seed    string
--- a/policy/kvmemory/pick.go
+++ b/policy/kvmemory/pick.go
@@ -71,11 +71,11 @@
 // reason to leave. With it 75 of 5,605 requests released a reservation in a replay of 68 routers.
 const saturationTolerance = 0.05
 
-// Saturated reports whether the load now known to be placed on an engine exceeds its memory,
-// because routers chose it within the same few milliseconds without knowing of each other. A run
-// that has only reserved memory there loses little by moving to another engine; if it stays, it or
-// another run is preempted and its prompt prefilled again. In a replay of 68 routers, leaving
-// saturated engines reduces the number of preempted runs to a fifth.
+// Saturated reports whether the load now known to be placed on an engine exceeds its memory, as
+// happens when routers choose it within the same few milliseconds, before they receive each other's
+// placements. A run that has only reserved memory there loses little by moving to another engine;
+// if it stays, it or another run is preempted and its prompt prefilled again. In a replay of 68
+// routers, leaving saturated engines reduces the number of preempted runs to a fifth.
 func (p *Pool) Saturated(id string, now time.Time) bool {
 	s, ok := p.servers[id]
 	if !ok {
