--- a/forward/cooldowns_test.go
+++ b/forward/cooldowns_test.go
@@ -111,7 +111,7 @@
 	w.add(t, "d2", "llm", registry.Decode)
 	// d1 has the most free memory as soon as the state of the service exists.
 	w.fwd.ServiceLoad("llm")
-	w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Ahead: kvmemory.Constant(4000)}})
+	w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Forecast: kvmemory.Constant(4000)}})
 	w.servers["d1"].Behave(site.Shed)
 	w.servers["d1"].SetRest(longCooldown)
 	assert.Equal(t, w.post(t, "/resume/1").status, 200)
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -143,7 +143,7 @@
 	if hold <= 0 || e.queue.Len() == 0 {
 		return false
 	}
-	rate := e.memory.PerRouter() / hold.Seconds()
+	rate := e.memory.TokensPerRouter() / hold.Seconds()
 	return e.terms.Hopeless(e.queue.Ahead(w), rate, w.Until.Sub(now))
 }
 
@@ -198,8 +198,8 @@
 		w := e.queue.Next(func(w *waitqueue.Waiter) bool {
 			var ok bool
 			entry := e.entries[w]
-			id, ok = e.memory.Pick(kvmemory.Ask{
-				Run: entry.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.suspected, Closed: e.unavailable,
+			id, ok = e.memory.Pick(kvmemory.Request{
+				Run: entry.run, Late: w.Late, Zone: e.zone, Exclude: w.Exclude, Avoid: e.suspected, Unavailable: e.unavailable,
 			}, now)
 			return ok && entry.reserve(id)
 		}, overtakeLimit, now)
@@ -207,7 +207,7 @@
 			break
 		}
 		entry := e.entries[w]
-		e.memory.Take(id, entry.run)
+		e.memory.Place(id, entry.run)
 		e.markChanged(id)
 		entry.engine <- id
 		delete(e.entries, w)
@@ -235,7 +235,7 @@
 func (e *engines) refused(id string, r *kvmemory.Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.Refuse(id, r, time.Now())
+	e.memory.Refused(id, r, time.Now())
 	e.markChanged(id)
 }
 
@@ -254,14 +254,14 @@
 	if tokens := e.prefilling[id]; tokens > 0 {
 		return kvmemory.Load{Tokens: tokens}
 	}
-	return e.memory.OwnAt(id, now)
+	return e.memory.OwnLoad(id, now)
 }
 
 // slotLoad returns the share of an engine's decode slots in use.
 func (e *engines) slotLoad(id string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.memory.Crowd(id)
+	return e.memory.SlotLoad(id)
 }
 
 // markChanged marks an engine whose placement has changed. The caller holds mu.
@@ -288,7 +288,7 @@
 func (e *engines) failed(id string, r *kvmemory.Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.Fail(id, r, time.Now())
+	e.memory.Failed(id, r, time.Now())
 	e.markChanged(id)
 }
 
@@ -296,14 +296,14 @@
 func (e *engines) saturated(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.memory.Crowded(id, time.Now())
+	return e.memory.Saturated(id, time.Now())
 }
 
 // succeeded records that an engine ran a request.
 func (e *engines) succeeded(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.Worked(id)
+	e.memory.Succeeded(id)
 }
 
 // release records that a request no longer uses an engine.
@@ -318,7 +318,7 @@
 func (e *engines) ownLoads() []kvmemory.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := e.memory.Own(time.Now())
+	out := e.memory.OwnLoads(time.Now())
 	for id, tokens := range e.prefilling {
 		out = append(out, kvmemory.Share{ID: id, Load: kvmemory.Load{Tokens: tokens}})
 	}
@@ -341,7 +341,7 @@
 	now := time.Now()
 	e.memory.SetRouters(routers)
 	for id, l := range loads {
-		e.memory.SetOthers(id, l, now)
+		e.memory.SetPeerLoad(id, l, now)
 	}
 	if e.queue.Len() > 0 {
 		e.dispatch()
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -62,7 +62,7 @@
 			return nil, r.noServerLeft(outcome.NoPlace), false
 		}
 		if s, ok := findServer(f.View.Servers(j.service), id); ok {
-			j.freeMemory = r.run.Room
+			j.freeMemory = r.run.FreeAtPeak
 			return &streamAttempt{r: r, lease: &lease{server: s, run: r.run}}, outcome.Outcome{}, true
 		}
 		e.failed(id, r.run)
--- a/forward/yield_test.go
+++ b/forward/yield_test.go
@@ -32,7 +32,7 @@
 	defer c.mu.Unlock()
 	c.reservedAt = append(c.reservedAt, s.ID)
 	if len(c.reservedAt) <= c.maxTimes {
-		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Ahead: kvmemory.Constant(10_000)}
+		full := kvmemory.Load{Tokens: 10_000, Runs: 2, Forecast: kvmemory.Constant(10_000)}
 		c.fwd.SetPeerLoads(map[string]kvmemory.Load{s.ID: full})
 	}
 	return reservation, err
