--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -9,13 +9,13 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
-// memoryConfig is how decode engines are chosen without the mechanisms that are off.
+// memoryConfig returns the configuration for choosing decode engines without the disabled mechanisms.
 func memoryConfig(off mechanism.Set) kvmemory.Config {
 	c := kvmemory.DefaultConfig()
-	if off.Has(mechanism.Turns) {
-		c.Turn = 0
+	if off.Has(mechanism.Stagger) {
+		c.Stagger = 0
 	}
-	if off.Has(mechanism.LateSpare) {
+	if off.Has(mechanism.LateHeadroom) {
 		c.LateSpare = 0
 	}
 	if off.Has(mechanism.ZoneBonus) {
@@ -24,22 +24,22 @@
 	return c
 }
 
-// readingConfig is the same for who reads prompts.
-func readingConfig(off mechanism.Set) prefillpool.Config {
+// prefillConfig returns the configuration for choosing prefill engines without the disabled mechanisms.
+func prefillConfig(off mechanism.Set) prefillpool.Config {
 	c := prefillpool.DefaultConfig()
-	if off.Has(mechanism.SelfRead) {
+	if off.Has(mechanism.LocalPrefill) {
 		c.Self = 0
 	}
 	return c
 }
 
-// waitingTerms is the same for requests that wait.
-func waitingTerms(off mechanism.Set) waitqueue.Terms {
+// queueTerms returns the terms of the wait queue without the disabled mechanisms.
+func queueTerms(off mechanism.Set) waitqueue.Terms {
 	t := waitqueue.DefaultTerms()
-	if off.Has(mechanism.LateWait) {
+	if off.Has(mechanism.RetryQueueing) {
 		t.LateWait = 0
 	}
-	if off.Has(mechanism.Hopeless) {
+	if off.Has(mechanism.EarlyRejection) {
 		t.Doubt = math.Inf(1)
 	}
 	return t
--- a/gateway/encode.go
+++ b/gateway/encode.go
@@ -25,11 +25,11 @@
 	if s.Runs == 0 {
 		return out
 	}
-	for i := range kvmemory.Ahead {
-		out.Mean = append(out.Mean, uint32(s.Ahead.Mean[i]))
-		out.Variance = append(out.Variance, uint64(s.Ahead.Variance[i]))
+	for i := range kvmemory.NumHorizons {
+		out.Mean = append(out.Mean, uint32(s.Forecast.Mean[i]))
+		out.Variance = append(out.Variance, uint64(s.Forecast.Variance[i]))
 	}
-	out.Most = uint32(s.Ahead.Most)
+	out.Most = uint32(s.Forecast.Max)
 	return out
 }
 
@@ -38,14 +38,14 @@
 func decodeLoad(s *peer.Share) kvmemory.Load {
 	l := kvmemory.Load{Tokens: int(s.GetTokens()), Runs: int(s.GetRuns())}
 	mean, variance := s.GetMean(), s.GetVariance()
-	if len(mean) != kvmemory.Ahead || len(variance) != kvmemory.Ahead {
-		l.Ahead = kvmemory.Constant(l.Tokens)
+	if len(mean) != kvmemory.NumHorizons || len(variance) != kvmemory.NumHorizons {
+		l.Forecast = kvmemory.Constant(l.Tokens)
 		return l
 	}
-	for i := range kvmemory.Ahead {
-		l.Ahead.Mean[i], l.Ahead.Variance[i] = float64(mean[i]), float64(variance[i])
+	for i := range kvmemory.NumHorizons {
+		l.Forecast.Mean[i], l.Forecast.Variance[i] = float64(mean[i]), float64(variance[i])
 	}
-	l.Ahead.Most = maxTokens(s)
+	l.Forecast.Max = maxTokens(s)
 	return l
 }
 
@@ -72,53 +72,53 @@
 }
 
 // encodeUsages returns nil if there is nothing to report.
-func encodeUsages(usages []limit.Told, informed bool) *peer.Usages {
+func encodeUsages(usages []limit.ReportedUsage, informed bool) *peer.Usages {
 	if len(usages) == 0 {
 		return nil
 	}
 	out := &peer.Usages{Informed: informed}
 	for _, usage := range usages {
 		out.Customers = append(out.Customers, &peer.Usage{
-			Customer: usage.Customer, Charged: usage.Charged, Returned: usage.Returned, Demand: usage.Demand, Left: usage.Left,
+			Customer: usage.Customer, Charged: usage.Charged, Returned: usage.Returned, Demand: usage.Demand, Left: usage.Remaining,
 		})
 	}
 	return out
 }
 
-func decodeUsages(u *peer.Usages) []limit.Told {
-	usages := make([]limit.Told, 0, len(u.GetCustomers()))
+func decodeUsages(u *peer.Usages) []limit.ReportedUsage {
+	usages := make([]limit.ReportedUsage, 0, len(u.GetCustomers()))
 	for _, usage := range u.GetCustomers() {
-		usages = append(usages, limit.Told{
-			Customer: usage.GetCustomer(), Charged: usage.GetCharged(), Returned: usage.GetReturned(), Demand: usage.GetDemand(), Left: usage.GetLeft(),
+		usages = append(usages, limit.ReportedUsage{
+			Customer: usage.GetCustomer(), Charged: usage.GetCharged(), Returned: usage.GetReturned(), Demand: usage.GetDemand(), Remaining: usage.GetLeft(),
 		})
 	}
 	return usages
 }
 
 // encodeServerLimits returns nil if there is nothing to report.
-func encodeServerLimits(updates forward.ServerLimitNews, now time.Time) *peer.ServerLimits {
+func encodeServerLimits(updates forward.ServerLimitUpdates, now time.Time) *peer.ServerLimits {
 	if len(updates.Limits)+len(updates.Used) == 0 {
 		return nil
 	}
 	out := &peer.ServerLimits{Sent: encodeUsages(updates.Used, updates.Informed)}
 	for _, reported := range updates.Limits {
 		out.Limits = append(out.Limits, &peer.ServerLimit{
-			Server: reported.ID, Limited: reported.Named, PerSecond: reported.PerSecond, AgeMs: uint32(max(now.Sub(reported.At).Milliseconds(), 0)),
+			Server: reported.ID, Limited: reported.Limited, PerSecond: reported.PerSecond, AgeMs: uint32(max(now.Sub(reported.At).Milliseconds(), 0)),
 		})
 	}
 	return out
 }
 
 // decodeServerLimits drops limits that no server can have stated, which a faulty process may report.
-func decodeServerLimits(limits *peer.ServerLimits, now time.Time) forward.ServerLimitNews {
-	out := forward.ServerLimitNews{Used: decodeUsages(limits.GetSent()), Informed: limits.GetSent().GetInformed()}
+func decodeServerLimits(limits *peer.ServerLimits, now time.Time) forward.ServerLimitUpdates {
+	out := forward.ServerLimitUpdates{Used: decodeUsages(limits.GetSent()), Informed: limits.GetSent().GetInformed()}
 	for _, reported := range limits.GetLimits() {
-		l := serverlimit.Limit{Named: reported.GetLimited(), PerSecond: reported.GetPerSecond()}
+		l := serverlimit.Limit{Limited: reported.GetLimited(), PerSecond: reported.GetPerSecond()}
 		if !l.Valid() {
 			continue
 		}
 		at := now.Add(-time.Duration(reported.GetAgeMs()) * time.Millisecond)
-		out.Limits = append(out.Limits, serverlimit.Told{ID: reported.GetServer(), Statement: serverlimit.Statement{Limit: l, At: at}})
+		out.Limits = append(out.Limits, serverlimit.ReportedLimit{ID: reported.GetServer(), Statement: serverlimit.Statement{Limit: l, At: at}})
 	}
 	return out
 }
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -28,7 +28,7 @@
 // drops their connections. State kept under their IDs is no longer used; the sweep drops it.
 func (s *Service) incarnationsReplaced(replaced []registry.Server) {
 	for _, r := range replaced {
-		requests := s.fwd.End(r.ID)
+		requests := s.fwd.EndIncarnation(r.ID)
 		s.pool.Drop(r.Addr)
 		s.metrics.Counter(metrics.StartsEnded).Inc(1)
 		event.ServerRestarted.Log(s.log).Str("server", r.Instance()).Int64("born", r.Born).Int("requests", requests).Msg("")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -204,7 +204,7 @@
 
 func (s *Service) listen() error {
 	var err error
-	s.callers, err = s.serve("callers", s.settings.Callers, s.fwd, s.fwd.Head)
+	s.callers, err = s.serve("callers", s.settings.Callers, s.fwd, s.fwd.CheckHead)
 	if err != nil {
 		return err
 	}
@@ -253,7 +253,7 @@
 		live := s.peers.Count()
 		s.view.others.Store(int64(live - 1))
 		s.view.routers.Store(int64(max(live, len(s.settings.Seeds))))
-		s.fwd.SetOthers(s.peerLoads.refresh(s.peers.Pace(), time.Now()))
+		s.fwd.SetPeerLoads(s.peerLoads.refresh(s.peers.Pace(), time.Now()))
 		addrs, ids := s.view.knownServers()
 		s.pool.Sweep(func(addr string) bool { return addrs[addr] })
 		s.guard.Expire()
@@ -278,7 +278,7 @@
 	drainCtx, cancel := context.WithDeadline(ctx, end.Add(-closeMargin))
 	defer cancel()
 	sleep(drainCtx, s.settings.Notice)
-	for s.fwd.Streams() > 0 && drainCtx.Err() == nil {
+	for s.fwd.ActiveStreams() > 0 && drainCtx.Err() == nil {
 		sleep(drainCtx, drainCheckInterval)
 	}
 	err := s.callers.Shutdown(ctx)
--- a/gateway/leavers.go
+++ b/gateway/leavers.go
@@ -55,8 +55,8 @@
 	return slices.Sorted(maps.Keys(l.knownSince))
 }
 
-// Leaves implements forward.View.
-func (v *view) Leaves(s registry.Server) bool { return v.recordLeaving(s.ID, true) }
+// MarkLeaving implements forward.View.
+func (v *view) MarkLeaving(s registry.Server) bool { return v.recordLeaving(s.ID, true) }
 
 // receiveLeaving takes the leaving servers that another gateway reports.
 func (v *view) receiveLeaving(ids []string) {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -46,15 +46,15 @@
 	if version, age, known := s.proofs.latest(); known && age < maxReportedProofAge {
 		r.ProvedVersion, r.ProvedAgeMs = version, uint32(age.Milliseconds())+1
 	}
-	r.Shares = encodeShares(s.fwd.Placed())
+	r.Shares = encodeShares(s.fwd.Placements())
 	r.Usages = s.quotas.report(false)
 	r.LeavingServers = s.view.leaving.all()
-	r.ServerLimits = encodeServerLimits(s.fwd.ServerLimits().Tell(false), time.Now())
+	r.ServerLimits = encodeServerLimits(s.fwd.ServerLimits().Report(false), time.Now())
 	r.Suspects = s.guard.Report(max(minSuspectReportTime, suspectReportExchanges*s.peers.Pace()))
 	now := time.Now()
-	for service, use := range s.fwd.Uses() {
+	for service, use := range s.fwd.ServiceLoads() {
 		r.Readings = append(r.Readings, &peer.Reading{
-			Service: service, TokensPerS: use.ReadRate, EngineTokensPerS: use.EngineRate, WantedTokens: use.Held,
+			Service: service, TokensPerS: use.PromptRate, EngineTokensPerS: use.EnginePrefillRate, WantedTokens: use.MemoryDemand,
 		})
 	}
 	for id, sw := range s.view.switches() {
@@ -84,8 +84,8 @@
 	s.view.receiveLeaving(r.GetLeavingServers())
 	s.guard.Take(r.GetSuspects(), from)
 	s.quotas.receive(r.GetAddr(), r.GetIncarnation(), true, r.GetUsages())
-	s.fwd.ServerLimits().Hear(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
-	s.fwd.SetOthers(s.peerLoads.receiveReport(r, now))
+	s.fwd.ServerLimits().Receive(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
+	s.fwd.SetPeerLoads(s.peerLoads.receiveReport(r, now))
 }
 
 // receiveServers applies a server list, or changes to it, from another gateway.
@@ -100,12 +100,12 @@
 	s.view.receiveLeaving(p.GetLeavingServers())
 	s.guard.Take(p.GetSuspects(), "gateway "+p.GetAddr())
 	s.quotas.receive(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
-	s.fwd.ServerLimits().Hear(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
+	s.fwd.ServerLimits().Receive(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
 	for _, failed := range p.GetFailures() {
-		s.fwd.Failing(p.GetAddr(), s.view.incarnationID(failed.GetServer(), failed.GetStart()))
+		s.fwd.ReceiveFailure(p.GetAddr(), s.view.incarnationID(failed.GetServer(), failed.GetStart()))
 	}
 	if changed := s.peerLoads.receivePlacement(p, time.Now()); len(changed) > 0 {
-		s.fwd.SetOthers(changed)
+		s.fwd.SetPeerLoads(changed)
 	}
 }
 
@@ -126,8 +126,8 @@
 		}
 		sleep(ctx, datagramBatchInterval)
 		update := &peer.Placement{
-			Shares: encodeShares(s.fwd.TakeChanged()), Usages: s.quotas.report(true), Failures: encodeFailures(s.fwd.TakeFailures()),
-			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Tell(true), time.Now()), LeavingServers: s.view.leaving.takeUpdates(),
+			Shares: encodeShares(s.fwd.TakeChangedPlacements()), Usages: s.quotas.report(true), Failures: encodeFailures(s.fwd.TakeFailures()),
+			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Report(true), time.Now()), LeavingServers: s.view.leaving.takeUpdates(),
 		}
 		if proto.Size(update) > 0 {
 			s.peers.Tell(update)
@@ -138,7 +138,7 @@
 // Lost implements peer.Beliefs.
 func (s *Service) Lost(addr string, err error) {
 	s.quotas.markUnresponsive(addr)
-	s.fwd.ServerLimits().Lost(addr)
+	s.fwd.ServerLimits().MarkUnresponsive(addr)
 	event.PeerLost.Log(s.log).Str("peer", addr).Err(err).Msg("")
 }
 
--- a/gateway/placed.go
+++ b/gateway/placed.go
@@ -97,7 +97,7 @@
 func (p *peerLoads) extrapolate(loads map[string]reportedLoad, now time.Time, changed map[string]kvmemory.Load) {
 	for id, l := range loads {
 		p.add(id, &l.counted, -1, changed)
-		l.counted.Ahead = l.load.Ahead.GoingOn(now.Sub(l.at), l.load.Runs)
+		l.counted.Forecast = l.load.Forecast.AgedStillRunning(now.Sub(l.at), l.load.Runs)
 		p.add(id, &l.counted, 1, changed)
 		loads[id] = l
 	}
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -22,7 +22,7 @@
 	changed chan struct{}
 
 	mu     sync.Mutex
-	shared *limit.Shared
+	shared *limit.SharedQuotas
 	// lastLogged is when it was last logged that a customer's quota is used up, unresponsive the last logged number
 	// of gateways that do not report.
 	lastLogged   map[string]time.Time
@@ -33,7 +33,7 @@
 const usedUpLogInterval = 10 * time.Second
 
 func newQuotas(l *log.Logger, now time.Time) *quotas {
-	return &quotas{log: l, changed: make(chan struct{}, 1), shared: limit.NewShared(now), lastLogged: map[string]time.Time{}}
+	return &quotas{log: l, changed: make(chan struct{}, 1), shared: limit.NewSharedQuotas(now), lastLogged: map[string]time.Time{}}
 }
 
 // quotaTerms returns the terms of a customer's quota for a request of some cost.
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	q.shared.Keep(func(customer string) bool { return names[customer] })
+	q.shared.Retain(func(customer string) bool { return names[customer] })
 	maps.DeleteFunc(q.lastLogged, func(customer string, _ time.Time) bool { return !names[customer] })
 }
 
@@ -78,8 +78,8 @@
 	}
 	q.lastLogged[customer] = now
 	s := q.shared.States(now)[customer]
-	event.QuotaUsed.Log(q.log).Str("customer", customer).Float64("left", s.Left).Float64("rate", s.Rate).
-		Float64("burst", s.Burst).Float64("apart", s.Apart).Msg("")
+	event.QuotaUsed.Log(q.log).Str("customer", customer).Float64("left", s.Remaining).Float64("rate", s.Rate).
+		Float64("burst", s.Burst).Float64("apart", s.ReservedShare).Msg("")
 }
 
 // Return implements forward.Quota.
@@ -92,7 +92,7 @@
 
 // announceIfDue has an update sent to the other gateways if one is due. The caller holds mu.
 func (q *quotas) announceIfDue() {
-	if q.shared.Untold(time.Now()) {
+	if q.shared.UpdateDue(time.Now()) {
 		notify(q.changed)
 	}
 }
@@ -101,7 +101,7 @@
 // nil if there is nothing to report.
 func (q *quotas) report(changesOnly bool) *peer.Usages {
 	q.mu.Lock()
-	usages, informed := q.shared.Tell(changesOnly, time.Now())
+	usages, informed := q.shared.Report(changesOnly, time.Now())
 	q.mu.Unlock()
 	return encodeUsages(usages, informed)
 }
@@ -112,25 +112,25 @@
 	usages := decodeUsages(u)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.Hear(addr, incarnation, u.GetInformed(), all, usages, time.Now())
+	q.shared.Receive(addr, incarnation, u.GetInformed(), all, usages, time.Now())
 }
 
 // refreshQuotas checks for gateways that have become unresponsive, until ctx ends.
 func (s *Service) refreshQuotas(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, limit.RefreshEvery)
+		sleep(ctx, limit.MemberCheckInterval)
 		s.quotas.refresh(s.peers.Pace())
-		s.fwd.ServerLimits().Refresh(s.view.Routers(), s.peers.Pace())
+		s.fwd.ServerLimits().CheckMembers(s.view.Routers(), s.peers.Pace())
 	}
 }
 
 func (q *quotas) refresh(interval time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.SetPace(interval)
-	q.shared.Refresh(time.Now())
+	q.shared.SetReportInterval(interval)
+	q.shared.CheckMembers(time.Now())
 	q.announceIfDue()
-	if unresponsive := q.shared.Silent(); unresponsive != q.unresponsive {
+	if unresponsive := q.shared.UnresponsiveMembers(); unresponsive != q.unresponsive {
 		q.unresponsive = unresponsive
 		event.QuotaShared.Log(q.log).Int("silent", unresponsive).Msg("")
 	}
@@ -140,7 +140,7 @@
 func (q *quotas) unresponsiveGateways() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return int64(q.shared.Silent())
+	return int64(q.shared.UnresponsiveMembers())
 }
 
 // states returns the local state of the customers' quotas.
@@ -154,5 +154,5 @@
 func (q *quotas) markUnresponsive(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shared.Lost(addr, time.Now())
+	q.shared.MarkUnresponsive(addr, time.Now())
 }
--- a/gateway/serverlimits_test.go
+++ b/gateway/serverlimits_test.go
@@ -16,16 +16,16 @@
 // TestServerLimitsRoundTrip: the server limits that one gateway reports are those that another receives.
 func TestServerLimitsRoundTrip(t *testing.T) {
 	now := start.Add(time.Minute)
-	updates := forward.ServerLimitNews{
-		Limits: []serverlimit.Told{
-			{ID: "a@1", Statement: serverlimit.Statement{Limit: serverlimit.Limit{Named: true, PerSecond: 3.2}, At: now.Add(-time.Second)}},
+	updates := forward.ServerLimitUpdates{
+		Limits: []serverlimit.ReportedLimit{
+			{ID: "a@1", Statement: serverlimit.Statement{Limit: serverlimit.Limit{Limited: true, PerSecond: 3.2}, At: now.Add(-time.Second)}},
 			{ID: "b", Statement: serverlimit.Statement{At: now.Add(-2 * time.Second)}},
 		},
-		Used:     []limit.Told{{Customer: "a@1", Charged: 7, Returned: 1, Demand: 2, Left: -0.5}},
+		Used:     []limit.ReportedUsage{{Customer: "a@1", Charged: 7, Returned: 1, Demand: 2, Remaining: -0.5}},
 		Informed: true,
 	}
 	assert.DeepEqual(t, decodeServerLimits(encodeServerLimits(updates, now), now), updates)
-	assert.Assert(t, encodeServerLimits(forward.ServerLimitNews{Informed: true}, now) == nil, "nothing to report")
+	assert.Assert(t, encodeServerLimits(forward.ServerLimitUpdates{Informed: true}, now) == nil, "nothing to report")
 }
 
 // TestInvalidServerLimitsAreIgnored: invalid limits from a faulty gateway are ignored.
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -73,7 +73,7 @@
 	for ctx.Err() == nil {
 		servers, moving := s.view.allServers(service.Name)
 		m, ok := p.Next(servers, moving, load, now)
-		if !ok || s.fwd.Resting(m.Server.ID) {
+		if !ok || s.fwd.CoolingDown(m.Server.ID) {
 			break
 		}
 		fence, err := s.orderStage(ctx, m)
@@ -84,11 +84,11 @@
 			sleep(ctx, planInterval)
 			break
 		}
-		p.Moved(m, now)
+		p.RecordMove(m, now)
 		moved = true
 		s.view.recordSwitch(m.Server.ID, m.To, 0, time.Now())
 		event.StageOrdered.Log(s.log).Str("server", m.Server.ID).Str("to", m.To.String()).Int64("fence", fence).
-			Float64("read", load.ReadRate/load.EngineRate).Float64("held", load.Held/load.EngineTokens).Msg("")
+			Float64("read", load.PromptRate/load.EnginePrefillRate).Float64("held", load.MemoryDemand/load.EngineMemory).Msg("")
 	}
 	if moved {
 		s.peers.Announce()
@@ -97,12 +97,12 @@
 
 // serviceLoad returns the load of all gateways on a service's engines.
 func (s *Service) serviceLoad(service route.Service) stages.Load {
-	load := s.fwd.Use(service.Name)
+	load := s.fwd.ServiceLoad(service.Name)
 	arriving, demand, rates := s.peerLoads.prefillUse(service.Name)
-	load.ReadRate += arriving
-	load.Held = max(load.Held+demand, float64(s.fwd.Held(service.Name)))
-	load.EngineRate = median(append(rates, load.EngineRate))
-	load.EngineTokens = float64(service.Engine.KVTokens)
+	load.PromptRate += arriving
+	load.MemoryDemand = max(load.MemoryDemand+demand, float64(s.fwd.MemoryInUse(service.Name)))
+	load.EnginePrefillRate = median(append(rates, load.EnginePrefillRate))
+	load.EngineMemory = float64(service.Engine.KVTokens)
 	return load
 }
 
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -62,8 +62,10 @@
 // Proved implements forward.View.
 func (v *view) Proved(ctx context.Context) bool { return v.proofs.trusted(ctx) }
 
-// ProvedLately implements forward.View.
-func (v *view) ProvedLately(ctx context.Context) bool { return v.proofs.provedForUnknownKey(ctx) }
+// ProvedForUnknownKey implements forward.View.
+func (v *view) ProvedForUnknownKey(ctx context.Context) bool {
+	return v.proofs.provedForUnknownKey(ctx)
+}
 
 // Routers implements forward.View.
 func (v *view) Routers() int { return int(v.routers.Load()) }
@@ -148,16 +150,16 @@
 // some 1.2 s.
 const downTTL = 5 * time.Second
 
-// Down implements forward.View.
-func (v *view) Down(s registry.Server) {
+// MarkDown implements forward.View.
+func (v *view) MarkDown(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down[s.ID] = time.Now().Add(downTTL)
 	clear(v.usable)
 }
 
-// Replaced implements forward.View.
-func (v *view) Replaced(s registry.Server) {
+// MarkReplaced implements forward.View.
+func (v *view) MarkReplaced(s registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.registry.MarkLeaving(s.ID) {
--- a/policy/admission/decode.go
+++ b/policy/admission/decode.go
@@ -12,249 +12,251 @@
 
 // Defaults of DecodeConfig.
 const (
-	DefaultGrace   = 500 * time.Millisecond
-	DefaultHold    = 500 * time.Millisecond
-	DefaultMaxWait = 10 * time.Second
-	DefaultQueue   = 2000
+	DefaultGrace        = 500 * time.Millisecond
+	DefaultMaxStartWait = 500 * time.Millisecond
+	DefaultMaxWait      = 10 * time.Second
+	DefaultMaxQueued    = 2000
 )
 
 const (
-	// pollInterval is how often waiting requests are looked at with no event,
-	// since expected ends come nearer with time alone.
+	// pollInterval is how often queued requests are checked when nothing happens, since the
+	// predicted number of completions grows as time passes.
 	pollInterval = 20 * time.Millisecond
-	// lookahead is how many waiting customers are weighed at once.
-	lookahead = 8
+	// maxCandidates is how many customers are considered for each grant, by their first queued
+	// request.
+	maxCandidates = 8
 )
 
-// DecodeConfig describes a decode server. Places must be positive.
+// DecodeConfig configures a Decode. Slots must be positive.
 type DecodeConfig struct {
-	// Places is how many requests the engine decodes at once.
-	Places int
-	// StepBase and StepPerRun give the time of one decode step.
+	// Slots is how many requests the engine decodes at once.
+	Slots int
+	// StepBase and StepPerRun give the nominal time of one decode step: the fixed part and the
+	// part for each run in the batch.
 	StepBase, StepPerRun time.Duration
 	// LinkBytesPerSecond is the rate of the inbound KV link; 0 means unlimited.
 	LinkBytesPerSecond float64
-	// Ahead is how many places may be promised on runs expected to end; 0 means none.
-	Ahead int
-	// Grace is how long an unused reservation is kept after its prefill was
-	// expected to be done, in addition to the length of that prefill: a lapse
-	// while the prefill goes on would waste it.
+	// MaxOvercommit bounds the slots that may be reserved on the strength of predicted
+	// completions; 0 disables overcommitment.
+	MaxOvercommit int
+	// Grace is how long an unused reservation is kept after its slot was needed, in addition to
+	// its expected prefill time: a lapse during the prefill would waste that work.
 	Grace time.Duration
-	// Hold is how long a run that found no place free may wait for one. It is
-	// less than the time for which a KV cache is kept for export.
-	Hold time.Duration
-	// MaxWait bounds the wait of a request without a target.
+	// MaxStartWait is how long a run that finds no free slot when it starts may wait for one. It
+	// is shorter than the time for which an exported KV cache is retained.
+	MaxStartWait time.Duration
+	// MaxWait bounds the queueing time of a request without a target.
 	MaxWait time.Duration
-	// Queue bounds the number of waiting requests.
-	Queue int
-	// FIFO serves in order of arrival, whatever the customer and urgency.
+	// MaxQueued bounds the number of queued requests.
+	MaxQueued int
+	// FIFO serves requests in order of arrival, regardless of customer and urgency.
 	FIFO bool
 }
 
-// DefaultDecodeConfig returns the settings for a server with the given places.
-func DefaultDecodeConfig(places int) DecodeConfig {
+// DefaultDecodeConfig returns the default configuration of a server with the given number of slots.
+func DefaultDecodeConfig(slots int) DecodeConfig {
 	return DecodeConfig{
-		Places:  places,
-		Ahead:   places / 4,
-		Grace:   DefaultGrace,
-		Hold:    DefaultHold,
-		MaxWait: DefaultMaxWait,
-		Queue:   DefaultQueue,
+		Slots:         slots,
+		MaxOvercommit: slots / 4,
+		Grace:         DefaultGrace,
+		MaxStartWait:  DefaultMaxStartWait,
+		MaxWait:       DefaultMaxWait,
+		MaxQueued:     DefaultMaxQueued,
 	}
 }
 
-// state of a place.
-type state uint8
+// slotState is the state of a slot that is in use.
+type slotState uint8
 
 const (
-	promised state = iota // reserved, its prefill is on the way
-	held                  // asked to start when no place was free
+	reserved slotState = iota // granted; its prefill is still in progress
+	delayed                   // start requested, but no slot was free
 	running
 )
 
-// place is one reservation or run.
-type place struct {
-	req     Request
-	lengths *lengths // of its class
-	state   state
-	// early places were promised on runs expected to end.
-	early bool
-	// need is when the place is needed.
-	need time.Time
-	// expires ends a promise or a hold.
-	expires time.Time
-	// tokens were given out at the time seen; further ones are estimated.
-	tokens int
-	seen   time.Time
-	began  time.Time
+// slot is a slot in use by one reservation or run.
+type slot struct {
+	request DecodeRequest
+	lengths *lengthDistribution // of the request's class
+	state   slotState
+	// overcommitted is true when the slot was reserved before one was free.
+	overcommitted bool
+	// neededAt is when the run is expected to start: its KV cache has then arrived.
+	neededAt time.Time
+	// expiresAt is when an unused reservation or a delayed start lapses.
+	expiresAt time.Time
+	// tokens is the number generated by reportedAt; those generated since are estimated.
+	tokens     int
+	reportedAt time.Time
+	startedAt  time.Time
 }
 
-// Counts tells how the promises of a Decode turned out.
+// Counts counts how the reservations of a Decode ended.
 type Counts struct {
-	// Early counts places promised before they were free, Late those of all
-	// promises that found no place free when they started.
-	Early, Late uint64
-	// Lapsed counts promises that were never used.
+	// Overcommitted counts the slots reserved before they were free. Late counts the
+	// reservations, overcommitted or not, that found no free slot when they were to start.
+	Overcommitted, Late uint64
+	// Lapsed counts the reservations that expired unused.
 	Lapsed uint64
 }
 
-// Decode is the state machine of one decode server.
+// Decode is the state machine of the slots of one decode server.
 type Decode struct {
-	cfg     DecodeConfig
-	queue   *fairshare.Queue[Key]
-	waiting map[Key]Request
-	places  map[Key]*place
-	ordered []*place // by time of the grant
-	busy    int      // number in state running
-	link    *kvlink.Link[Key]
-	steps   steps
-	classes map[classKey]*lengths
-	others  lengths
-	caution float64
-	// placeTime is the mean time for which a run holds its place.
-	placeTime time.Duration
-	owed      owed
-	returns   returns
-	counts    Counts
+	cfg             DecodeConfig
+	queue           *fairshare.Queue[Key]
+	queued          map[Key]DecodeRequest
+	slots           map[Key]*slot
+	byGrant         []*slot // in order of their grants
+	running         int     // number of slots in state running
+	link            *kvlink.Link[Key]
+	stepModel       stepModel
+	lengthsByClass  map[classKey]*lengthDistribution
+	overflowLengths lengthDistribution
+	safetyFactor    float64
+	// meanSlotTime is the moving average of the time for which a run occupies its slot.
+	meanSlotTime time.Duration
+	debts        shareDebts
+	retries      retrySchedule
+	counts       Counts
 }
 
-// NewDecode returns a server with all places free.
+// NewDecode returns a Decode with all slots free.
 func NewDecode(cfg DecodeConfig) *Decode {
 	return &Decode{
-		cfg:     cfg,
-		queue:   fairshare.New[Key](fairshare.DefaultConfig(cfg.Places)),
-		waiting: make(map[Key]Request),
-		places:  make(map[Key]*place),
-		link:    kvlink.New[Key](cfg.LinkBytesPerSecond),
-		steps:   steps{base: cfg.StepBase, perRun: cfg.StepPerRun, scale: 1},
-		classes: make(map[classKey]*lengths),
-		caution: minCaution,
-		owed:    newOwed(cfg.Places),
+		cfg:            cfg,
+		queue:          fairshare.New[Key](fairshare.DefaultConfig(cfg.Slots)),
+		queued:         make(map[Key]DecodeRequest),
+		slots:          make(map[Key]*slot),
+		link:           kvlink.New[Key](cfg.LinkBytesPerSecond),
+		stepModel:      stepModel{base: cfg.StepBase, perRun: cfg.StepPerRun, scale: 1},
+		lengthsByClass: make(map[classKey]*lengthDistribution),
+		safetyFactor:   minSafetyFactor,
+		debts:          newShareDebts(cfg.Slots),
 	}
 }
 
-// Reserve asks for a place. The decision is Refused or Waiting; the grant comes
-// from Advance, at once when a place is free. Repeating a call changes nothing.
-func (d *Decode) Reserve(now time.Time, r Request) Decision {
-	r = d.normal(r)
-	if p := d.places[r.Key]; p != nil {
-		return d.granted(now, p, d.link.Quote(now, p.need, 0))
+// Reserve requests a slot. The decision is Rejected or Queued; Advance returns the grant, at
+// once when a slot is free. The call is idempotent.
+func (d *Decode) Reserve(now time.Time, r DecodeRequest) Decision {
+	r = d.normalize(r)
+	if s := d.slots[r.Key]; s != nil {
+		return d.granted(now, s, d.link.Quote(now, s.neededAt, 0))
 	}
-	if _, ok := d.waiting[r.Key]; ok {
-		return Decision{Key: r.Key, Verdict: Waiting}
+	if _, ok := d.queued[r.Key]; ok {
+		return Decision{Key: r.Key, Verdict: Queued}
 	}
 	est := d.estimate(now, r)
-	if reason := d.refusal(est); reason != "" {
-		return d.refuse(now, r, reason, est.wait-est.slack)
+	if reason := d.rejectionReason(est); reason != "" {
+		return d.reject(now, r, reason, est.wait-est.slack)
 	}
-	d.waiting[r.Key] = r
+	d.queued[r.Key] = r
 	d.queue.Push(now, fairshare.Item[Key]{
 		Key: r.Key, Customer: r.Customer, Weight: r.Share, Urgency: r.Urgency,
 		Cost: d.cost(r), Deadline: now.Add(est.slack),
 	})
-	return Decision{Key: r.Key, Verdict: Waiting}
+	return Decision{Key: r.Key, Verdict: Queued}
 }
 
-// Start begins the run of a reservation whose KV cache is ready. Without a
-// reservation it is refused, since its place may be another's by now.
+// Start begins the run of a reservation whose KV cache is ready. Without a reservation, or with
+// a lapsed one, it is rejected, since the slot may have been granted to another request.
 func (d *Decode) Start(now time.Time, key Key) Decision {
-	p := d.places[key]
-	if p != nil && p.state != running && !p.expires.After(now) {
+	s := d.slots[key]
+	if s != nil && s.state != running && !s.expiresAt.After(now) {
 		d.counts.Lapsed++
-		d.release(p)
-		p = nil
+		d.release(s)
+		s = nil
 	}
-	if p == nil {
-		return d.refuse(now, Request{Key: key}, outcome.ReservationLapsed, 0)
+	if s == nil {
+		return d.reject(now, DecodeRequest{Key: key}, outcome.ReservationLapsed, 0)
 	}
-	if p.state == running {
+	if s.state == running {
 		return Decision{Key: key, Verdict: Started}
 	}
-	if d.busy < d.cfg.Places {
-		return d.start(now, p)
+	if d.running < d.cfg.Slots {
+		return d.start(now, s)
 	}
-	if p.state == promised {
-		p.state = held
-		p.expires = now.Add(d.cfg.Hold)
+	if s.state == reserved {
+		s.state = delayed
+		s.expiresAt = now.Add(d.cfg.MaxStartWait)
 		d.counts.Late++
-		d.caution = min(d.caution+cautionUp, maxCaution)
+		d.safetyFactor = min(d.safetyFactor+safetyFactorUp, maxSafetyFactor)
 	}
-	return Decision{Key: key, Verdict: Held}
+	return Decision{Key: key, Verdict: Delayed}
 }
 
-func (d *Decode) start(now time.Time, p *place) Decision {
-	if p.state == promised && p.early {
-		d.caution = max(d.caution-cautionDown, minCaution)
+func (d *Decode) start(now time.Time, s *slot) Decision {
+	if s.state == reserved && s.overcommitted {
+		d.safetyFactor = max(d.safetyFactor-safetyFactorDown, minSafetyFactor)
 	}
-	p.state = running
-	p.seen, p.began = now, now
-	d.busy++
-	g := d.link.Begin(now, p.req.Key, p.req.KVBytes)
-	return Decision{Key: p.req.Key, Verdict: Started, Wait: g.Start.Sub(now), LinkTime: g.Duration}
+	s.state = running
+	s.reportedAt, s.startedAt = now, now
+	d.running++
+	g := d.link.Begin(now, s.request.Key, s.request.KVBytes)
+	return Decision{Key: s.request.Key, Verdict: Started, Wait: g.Start.Sub(now), LinkTime: g.Duration}
 }
 
-// Imported notes that the first token of a run has come, so long after its start:
-// its KV cache has arrived, and one step was done.
-func (d *Decode) Imported(key Key, took time.Duration) {
-	if p := d.places[key]; p != nil && d.link.Release(key) {
-		d.link.Observe(p.req.KVBytes, took-d.steps.of(d.busy))
+// FirstToken records that a run generated its first token, and how long after its start. By then
+// its KV cache has arrived and one decode step was done.
+func (d *Decode) FirstToken(key Key, took time.Duration) {
+	if s := d.slots[key]; s != nil && d.link.Release(key) {
+		d.link.Observe(s.request.KVBytes, took-d.stepModel.stepTime(d.running))
 	}
 }
 
-// Progress notes how many tokens a run has given out.
+// Progress records how many tokens a run has generated.
 func (d *Decode) Progress(now time.Time, key Key, tokens int) {
-	if p := d.places[key]; p != nil && p.state == running {
-		p.tokens, p.seen = tokens, now
+	if s := d.slots[key]; s != nil && s.state == running {
+		s.tokens, s.reportedAt = tokens, now
 	}
 }
 
-// Observe feeds back the measured time of a decode step with the present batch.
-func (d *Decode) Observe(step time.Duration) {
-	d.steps.observe(max(d.busy, 1), step)
+// ObserveStep records the measured time of a decode step with the current batch.
+func (d *Decode) ObserveStep(step time.Duration) {
+	d.stepModel.observe(max(d.running, 1), step)
 }
 
-// Ended gives back the place of a run that was completed with so many tokens.
-func (d *Decode) Ended(now time.Time, key Key, tokens int) {
-	p := d.places[key]
-	if p == nil {
+// Completed releases the slot of a run that completed, and records its output length.
+func (d *Decode) Completed(now time.Time, key Key, tokens int) {
+	s := d.slots[key]
+	if s == nil {
 		return
 	}
-	if p.state == running {
-		p.lengths.observe(tokens)
-		d.measure(now.Sub(p.began))
+	if s.state == running {
+		s.lengths.observe(tokens)
+		d.observeSlotTime(now.Sub(s.startedAt))
 	}
-	d.release(p)
+	d.release(s)
 }
 
-// Cancelled gives up whatever is held under key: a wait, a reservation or a run.
-// It reports whether there was any.
-func (d *Decode) Cancelled(key Key) bool {
-	if p := d.places[key]; p != nil {
-		d.release(p)
+// Cancel removes the queued request, the reservation or the run with the given key. It reports
+// whether there was one.
+func (d *Decode) Cancel(key Key) bool {
+	if s := d.slots[key]; s != nil {
+		d.release(s)
 		return true
 	}
-	if _, ok := d.waiting[key]; !ok {
+	if _, ok := d.queued[key]; !ok {
 		return false
 	}
-	delete(d.waiting, key)
+	delete(d.queued, key)
 	d.queue.Remove(key)
 	return true
 }
 
-func (d *Decode) release(p *place) {
-	if p.state == running {
-		d.busy--
+func (d *Decode) release(s *slot) {
+	if s.state == running {
+		d.running--
 	}
-	key := p.req.Key
-	delete(d.places, key)
-	i := slices.Index(d.ordered, p)
-	d.ordered = slices.Delete(d.ordered, i, i+1)
+	key := s.request.Key
+	delete(d.slots, key)
+	i := slices.Index(d.byGrant, s)
+	d.byGrant = slices.Delete(d.byGrant, i, i+1)
 	d.link.Release(key)
-	d.queue.Release(p.req.Customer)
+	d.queue.Release(s.request.Customer)
 }
 
-// normal fills in defaults, and hides customers from a queue that is to be FIFO.
-func (d *Decode) normal(r Request) Request {
+// normalize fills in defaults and, for FIFO order, erases what the queue would order by.
+func (d *Decode) normalize(r DecodeRequest) DecodeRequest {
 	if r.MaxTokens <= 0 {
 		r.MaxTokens = DefaultMaxTokens
 	}
@@ -264,47 +266,48 @@
 	return r
 }
 
-// class returns the lengths of the class of r, kept from now on.
-func (d *Decode) class(r Request) *lengths {
+// lengthsOf returns the length distribution of the class of r. It adds a new class while there
+// are fewer than maxClasses.
+func (d *Decode) lengthsOf(r DecodeRequest) *lengthDistribution {
 	k := classKey{r.Customer, r.Class}
-	l := d.classes[k]
-	if l == nil && len(d.classes) >= maxClasses {
-		return &d.others
+	l := d.lengthsByClass[k]
+	if l == nil && len(d.lengthsByClass) >= maxClasses {
+		return &d.overflowLengths
 	}
 	if l == nil {
-		l = new(lengths)
-		d.classes[k] = l
+		l = new(lengthDistribution)
+		d.lengthsByClass[k] = l
 	}
 	return l
 }
 
-func (d *Decode) measure(took time.Duration) {
+func (d *Decode) observeSlotTime(took time.Duration) {
 	const gain = 16
-	if d.placeTime == 0 {
-		d.placeTime = took
+	if d.meanSlotTime == 0 {
+		d.meanSlotTime = took
 		return
 	}
-	d.placeTime += (took - d.placeTime) / gain
+	d.meanSlotTime += (took - d.meanSlotTime) / gain
 }
 
-// Load is the server's own view of its promises.
+// Load is the current load of a decode server, reservations included.
 type Load struct {
-	Places, Used, Queued int
-	// LinkBacklog is the time of the link that is granted from now on.
+	Slots, UsedSlots, Queued int
+	// LinkBacklog is the transfer time that is granted on the inbound link and still to come.
 	LinkBacklog time.Duration
-	// Step is the time of a decode step with the present batch.
+	// Step is the time of a decode step with the current batch.
 	Step time.Duration
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (d *Decode) Load(now time.Time) Load {
 	return Load{
-		Places: d.cfg.Places, Used: len(d.ordered), Queued: len(d.waiting),
-		LinkBacklog: d.link.Backlog(now), Step: d.steps.of(max(d.busy, 1)),
+		Slots: d.cfg.Slots, UsedSlots: len(d.byGrant), Queued: len(d.queued),
+		LinkBacklog: d.link.Backlog(now), Step: d.stepModel.stepTime(max(d.running, 1)),
 	}
 }
 
-// Counts returns how the promises have turned out so far.
+// Counts returns the counters of the reservations so far.
 func (d *Decode) Counts() Counts {
 	return d.counts
 }
