--- a/forward/engines.go
+++ b/forward/engines.go
@@ -16,7 +16,7 @@
 // engines joins the policies that place and queue requests for one service's decode
 // engines to goroutines and timers. It is safe for concurrent use.
 type engines struct {
-	terms waitqueue.Terms
+	terms waitqueue.Policy
 	off   mechanism.Set
 	// zone is that of this process.
 	zone string
@@ -30,7 +30,7 @@
 	doubtful func(id string) bool
 	// closed reports whether an engine is to be sent nothing now, by what it said.
 	closed func(id string) bool
-	line   waitqueue.Line
+	line   waitqueue.Queue
 	// turns are where waiting requests learn which engine to ask.
 	turns map[*waitqueue.Waiter]turn
 	// lengths is what was learned of the lengths of runs, by route.
@@ -119,7 +119,7 @@
 		e.lengths[routeName] = l
 	}
 	length := l.Begin(m.LengthHint, m.MaxTokens)
-	return &kvmemory.Run{Need: need, Prompt: m.PromptTokens, Length: length}, length.Expect()
+	return &kvmemory.Run{Need: need, Prompt: m.PromptTokens, Length: length}, length.Median()
 }
 
 // forget drops what was learned of routes that keep does not want. Runs in progress still know
@@ -145,7 +145,7 @@
 		return false
 	}
 	rate := e.memory.PerRouter() / hold.Seconds()
-	return e.terms.Hopeless(e.line.Ahead(w), rate, w.Until.Sub(now))
+	return e.terms.ShouldReject(e.line.Ahead(w), rate, w.GiveUpAt.Sub(now))
 }
 
 // await waits until the request's turn at an engine comes. The engine's memory is then
@@ -163,7 +163,7 @@
 	}
 	e.mu.Unlock()
 
-	over := time.NewTimer(time.Until(w.Until))
+	over := time.NewTimer(time.Until(w.GiveUpAt))
 	defer over.Stop()
 	select {
 	case id := <-engine:
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -86,7 +86,7 @@
 	// limits is how many calls each server of a plain service gets.
 	limits *overload.Limiter
 	// returners tells who has come back, by route.
-	returners map[string]*waitqueue.Returners
+	returners map[string]*waitqueue.RetryDetector
 	// readers are the engines that read prompts, engines those that generate.
 	readers *prefillpool.Pool
 	engines *engines
@@ -169,7 +169,7 @@
 	s, ok := f.services[name]
 	if !ok {
 		s = &service{
-			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waitqueue.Returners{},
+			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), returners: map[string]*waitqueue.RetryDetector{},
 			readers: prefillpool.New(readingConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.doubts.doubtful, f.closed, f.tellPlaced),
 		}
 		f.services[name] = s
@@ -270,7 +270,7 @@
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.budget.Request(f.Retry, j.arrived)
+	s.budget.AddRequest(f.Retry, j.arrived)
 	j.late = s.returned(j)
 	if j.late {
 		f.Metrics.Counter(metrics.Returners).Inc(1)
@@ -286,10 +286,10 @@
 func (s *service) returned(j *job) bool {
 	r, ok := s.returners[j.route.Name]
 	if !ok {
-		r = &waitqueue.Returners{}
+		r = &waitqueue.RetryDetector{}
 		s.returners[j.route.Name] = r
 	}
-	return r.Returned(j.meta.Patience)
+	return r.Observe(j.meta.Patience)
 }
 
 // mayRepeat takes one repeat from the budget of the job's service.
@@ -297,7 +297,7 @@
 	s := f.service(j.service)
 	routers := f.View.Routers()
 	f.mu.Lock()
-	ok := s.budget.Repeat(f.Retry, routers, time.Now())
+	ok := s.budget.TryRetry(f.Retry, routers, time.Now())
 	f.mu.Unlock()
 	if !ok {
 		f.Metrics.RetryDenied("budget")
@@ -325,7 +325,7 @@
 			continue
 		}
 		s.engines.forget(table.Has)
-		maps.DeleteFunc(s.returners, func(name string, _ *waitqueue.Returners) bool { return !table.Has(name) })
+		maps.DeleteFunc(s.returners, func(name string, _ *waitqueue.RetryDetector) bool { return !table.Has(name) })
 	}
 }
 
@@ -353,7 +353,7 @@
 	defer f.mu.Unlock()
 	return stages.Load{
 		MemoryShort: short,
-		PromptRate:  s.arriving.At(now), EnginePrefillRate: s.readers.PerSecond(), MemoryDemand: s.hold.Demand(s.wanting.At(now), s.weighted.At(now)),
+		PromptRate:  s.arriving.At(now), EnginePrefillRate: s.readers.TokensPerSecond(), MemoryDemand: s.hold.Demand(s.wanting.At(now), s.weighted.At(now)),
 	}
 }
 
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -28,19 +28,19 @@
 func readingConfig(off mechanism.Set) prefillpool.Config {
 	c := prefillpool.DefaultConfig()
 	if off.Has(mechanism.LocalPrefill) {
-		c.Self = 0
+		c.DecodePrefillFactor = 0
 	}
 	return c
 }
 
 // waitingTerms is the same for requests that wait.
-func waitingTerms(off mechanism.Set) waitqueue.Terms {
-	t := waitqueue.DefaultTerms()
+func waitingTerms(off mechanism.Set) waitqueue.Policy {
+	t := waitqueue.DefaultPolicy()
 	if off.Has(mechanism.RetryQueueing) {
 		t.LateWait = 0
 	}
 	if off.Has(mechanism.EarlyRejection) {
-		t.Doubt = math.Inf(1)
+		t.RejectFactor = math.Inf(1)
 	}
 	return t
 }
--- a/forward/prefill.go
+++ b/forward/prefill.go
@@ -64,9 +64,9 @@
 func (f *Forwarder) choosePrefill(j *job, l *lease, tried []string) (prefillpool.Choice, bool) {
 	servers := f.View.Servers(j.service)
 	s := f.service(j.service)
-	ask := prefillpool.Ask{
-		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, Crowd: s.engines.crowd(l.server.ID), Exclude: tried,
-		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.doubts.doubtful, Closed: f.closed,
+	ask := prefillpool.Request{
+		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, SlotLoad: s.engines.crowd(l.server.ID), Exclude: tried,
+		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.doubts.doubtful, Unavailable: f.closed,
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +76,7 @@
 // read sends the prompt to one prefill engine.
 func (f *Forwarder) read(ctx context.Context, j *job, c prefillpool.Choice) (Export, error) {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, c.Limit)
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	ctx, end := f.attempts.begin(ctx, c.Server.ID)
 	defer end()
@@ -96,7 +96,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.readers.Begin(c.Server.ID, j.meta.PromptTokens)
-	s.engines.noteReading(c.Server.ID, s.readers.OwnAt(c.Server.ID))
+	s.engines.noteReading(c.Server.ID, s.readers.OwnLoad(c.Server.ID))
 }
 
 func (f *Forwarder) readingEnds(j *job, c prefillpool.Choice, ok bool, took time.Duration) {
@@ -104,7 +104,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.readers.End(c, j.meta.PromptTokens, ok, took, time.Now())
-	s.engines.noteReading(c.Server.ID, s.readers.OwnAt(c.Server.ID))
+	s.engines.noteReading(c.Server.ID, s.readers.OwnLoad(c.Server.ID))
 }
 
 func (f *Forwarder) askExport(ctx context.Context, j *job, s registry.Server) (Export, error) {
@@ -161,5 +161,5 @@
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.readers.Shun(c.ID, time.Now())
+	s.readers.BackOff(c.ID, time.Now())
 }
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -74,7 +74,7 @@
 
 // allClosed reports whether engines generate, and none of them takes the request, by what they say, as long as it can wait.
 func (r *stream) allClosed() (why outcome.Reason, closed bool) {
-	left := time.Until(r.waiter.Until)
+	left := time.Until(r.waiter.GiveUpAt)
 	for _, s := range r.f.View.Servers(r.j.service) {
 		if s.Stage != registry.Decode || slices.Contains(r.tried, s.ID) {
 			continue
@@ -95,10 +95,10 @@
 }
 
 // newWaiter is the request's turn in the line.
-func (j *job) newWaiter(terms waitqueue.Terms) *waitqueue.Waiter {
+func (j *job) newWaiter(terms waitqueue.Policy) *waitqueue.Waiter {
 	return &waitqueue.Waiter{
 		Need: j.need(), Arrived: j.arrived, Late: j.late, Priority: j.priority(),
-		Until: terms.Until(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.late),
+		GiveUpAt: terms.GiveUpAt(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.late),
 	}
 }
 
@@ -141,7 +141,7 @@
 // yields reports whether a request leaves the engine that has just granted its memory, since others were placed
 // there in the meantime. Nothing of it was sent yet.
 func (r *stream) yields(l *lease, now time.Time) bool {
-	if r.yielded >= mostYields || r.waiter.Until.Sub(now) < yieldLeast || !r.f.service(r.j.service).engines.crowded(l.server.ID) {
+	if r.yielded >= mostYields || r.waiter.GiveUpAt.Sub(now) < yieldLeast || !r.f.service(r.j.service).engines.crowded(l.server.ID) {
 		return false
 	}
 	r.yielded++
@@ -267,7 +267,7 @@
 			continue
 		}
 		for id, l := range loads {
-			s.readers.SetOthers(id, l.Tokens)
+			s.readers.SetPeerLoad(id, l.Tokens)
 		}
 	}
 }
@@ -292,9 +292,9 @@
 	}
 	terms, left := f.service(j.service).engines.terms, j.left(time.Now())
 	if rest := f.allRest(j.service); rest > 0 {
-		return terms.ComeBackIn(rest, left, rand.Float64())
+		return terms.RetryAfterWait(rest, left, rand.Float64())
 	}
-	return terms.ComeBack(left, rand.Float64())
+	return terms.RetryAfter(left, rand.Float64())
 }
 
 // allRest is how long no server of a service that answers requests wants any from this process.
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -63,7 +63,7 @@
 	final, again := r.ended(ctx, o)
 	if again {
 		terms := r.f.service(r.j.service).engines.terms
-		r.waiter.Until = terms.Again(r.waiter.Until, time.Now(), r.j.deadline)
+		r.waiter.GiveUpAt = terms.GiveUpAfterFailure(r.waiter.GiveUpAt, time.Now(), r.j.deadline)
 	}
 	return final, again
 }
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -65,7 +65,7 @@
 func newFetcher(s *Service, state State, grace time.Duration) *fetcher {
 	return &fetcher{
 		s: s, state: state, offered: make(chan struct{}, 1), refused: -1,
-		planner: catchup.New(catchup.Config{Grace: grace, Rest: fetchRest, Life: memberLife}),
+		planner: catchup.New(catchup.Config{Grace: grace, Cooldown: fetchRest, OfferTTL: memberLife}),
 	}
 }
 
--- a/policy/catchup/catchup.go
+++ b/policy/catchup/catchup.go
@@ -26,10 +26,10 @@
 type Config struct {
 	// Grace is how long a process that reaches the store is behind before it fetches.
 	Grace time.Duration
-	// Rest is how long a source that failed is left alone.
-	Rest time.Duration
-	// Life is how long an offer counts.
-	Life time.Duration
+	// Cooldown is how long a source that failed is left alone.
+	Cooldown time.Duration
+	// OfferTTL is how long an offer counts.
+	OfferTTL time.Duration
 }
 
 // Planner is what one process knows of the versions of others.
@@ -61,7 +61,7 @@
 // Failed notes that a fetch from a source failed.
 func (p *Planner) Failed(id string, now time.Time) {
 	if s, ok := p.sources[id]; ok {
-		s.rests = now.Add(p.config.Rest)
+		s.rests = now.Add(p.config.Cooldown)
 		p.sources[id] = s
 	}
 }
@@ -70,11 +70,11 @@
 // store. If there is none yet, it returns "" and when to ask again, at the latest; draw returns a number
 // below n.
 func (p *Planner) Next(own int64, storeLost bool, now time.Time, draw func(n int) int) (id string, wait time.Duration) {
-	maps.DeleteFunc(p.sources, func(_ string, s source) bool { return now.Sub(s.at) >= p.config.Life })
+	maps.DeleteFunc(p.sources, func(_ string, s source) bool { return now.Sub(s.at) >= p.config.OfferTTL })
 	newest := p.newest()
 	if newest <= own {
 		p.own, p.behind = own, time.Time{}
-		return "", p.config.Life
+		return "", p.config.OfferTTL
 	}
 	// A process that gets on by itself is not late.
 	if p.behind.IsZero() || own != p.own {
@@ -102,7 +102,7 @@
 // free are the sources of a version that are not left alone, in order, and the time until the next one is
 // free if there are none.
 func (p *Planner) free(version int64, now time.Time) (ids []string, wait time.Duration) {
-	wait = p.config.Rest
+	wait = p.config.Cooldown
 	for id, s := range p.sources {
 		switch {
 		case s.version < version:
--- a/policy/catchup/catchup_test.go
+++ b/policy/catchup/catchup_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-var config = Config{Grace: 500 * time.Millisecond, Rest: time.Second, Life: 5 * time.Second}
+var config = Config{Grace: 500 * time.Millisecond, Cooldown: time.Second, OfferTTL: 5 * time.Second}
 
 // tick is the interval at which a replay asks each process.
 const tick = 10 * time.Millisecond
--- a/policy/kvmemory/crowd_test.go
+++ b/policy/kvmemory/crowd_test.go
@@ -19,9 +19,9 @@
 	site
 	rng     *rand.Rand
 	pools   []*kvmemory.Pool
-	lines   []*waitqueue.Line
+	lines   []*waitqueue.Queue
 	lengths []map[string]*outputlength.Learner
-	terms   waitqueue.Terms
+	terms   waitqueue.Policy
 	// frees is the memory that a router expects to become free for it while a run lasts, in tokens; nobody is
 	// turned away at once without it. atOnce counts those who were.
 	frees  func(p *kvmemory.Pool, now time.Time) float64
@@ -47,7 +47,7 @@
 
 func newCrowd(s site, cfg kvmemory.Config) *crowd {
 	c := &crowd{
-		site: s, rng: rand.New(rand.NewPCG(s.seed, 7)), terms: waitqueue.DefaultTerms(),
+		site: s, rng: rand.New(rand.NewPCG(s.seed, 7)), terms: waitqueue.DefaultPolicy(),
 		waiting: map[*waitqueue.Waiter]*visit{}, comes: map[time.Time][]*visit{}, tells: map[time.Time][]string{},
 		used: map[string]float64{}, arrived: map[string]int{}, looks: map[time.Time][]*visit{},
 	}
@@ -60,7 +60,7 @@
 		p := kvmemory.New(cfg, fmt.Sprintf("edge-%d", i))
 		p.Sync(list)
 		p.SetRouters(s.routers)
-		c.pools, c.lines = append(c.pools, p), append(c.lines, &waitqueue.Line{})
+		c.pools, c.lines = append(c.pools, p), append(c.lines, &waitqueue.Queue{})
 		c.lengths = append(c.lengths, map[string]*outputlength.Learner{})
 	}
 	c.all = s.visits(c.rng)
@@ -94,7 +94,7 @@
 	late, left := now != v.first, crowdPatience-now.Sub(v.first)
 	v.waiter = &waitqueue.Waiter{
 		Need: v.prompt + v.hint, Arrived: now, Late: late,
-		Until: c.terms.Until(now, crowdObjective, left, v.prompt, late),
+		GiveUpAt: c.terms.GiveUpAt(now, crowdObjective, left, v.prompt, late),
 	}
 	l := c.lengths[v.router]
 	if l[v.kind.name] == nil {
@@ -103,7 +103,7 @@
 	v.run = &kvmemory.Run{Need: v.waiter.Need, Prompt: v.prompt, Length: l[v.kind.name].Begin(v.hint, crowdMost)}
 	if c.hopeless(v, now) {
 		c.atOnce++
-		v.waiter.Until = now
+		v.waiter.GiveUpAt = now
 	}
 	c.waiting[v.waiter] = v
 	c.lines[v.router].Add(v.waiter)
@@ -116,7 +116,7 @@
 		return false
 	}
 	rate := c.frees(c.pools[v.router], now) / crowdHolds.Seconds()
-	return c.terms.Hopeless(line.Ahead(v.waiter), rate, v.waiter.Until.Sub(now))
+	return c.terms.ShouldReject(line.Ahead(v.waiter), rate, v.waiter.GiveUpAt.Sub(now))
 }
 
 // dispatch places what waits at one router.
@@ -253,7 +253,7 @@
 func (c *crowd) giveUp(now time.Time) {
 	var over []*visit
 	for w, v := range c.waiting {
-		if !now.Before(w.Until) {
+		if !now.Before(w.GiveUpAt) {
 			over = append(over, v)
 		}
 	}
@@ -266,7 +266,7 @@
 			v.end = visitRefused
 			continue
 		}
-		back := c.terms.ComeBack(crowdPatience-now.Sub(v.first), c.rng.Float64())
+		back := c.terms.RetryAfter(crowdPatience-now.Sub(v.first), c.rng.Float64())
 		v.router = c.rng.IntN(c.routers)
 		at := start.Add(now.Add(back).Sub(start).Round(crowdTick))
 		c.comes[at] = append(c.comes[at], v)
--- a/policy/kvmemory/run.go
+++ b/policy/kvmemory/run.go
@@ -46,12 +46,12 @@
 		f.Add(&c, 1)
 		return
 	}
-	f.Most += float64(r.Prompt) + r.Length.Most()
+	f.Most += float64(r.Prompt) + r.Length.MaxTokens()
 	r.Length.Progress(int(r.generated.Load()))
 	done := float64(r.Length.Tokens())
 	for i, ahead := range moments {
 		tokens := done + pace*ahead.Seconds()
-		lasts := r.Length.Lasts(tokens)
+		lasts := r.Length.Survival(tokens)
 		holds := float64(r.Prompt) + tokens
 		f.Mean[i] += math.Round(lasts * holds)
 		f.Variance[i] += math.Round(lasts * (1 - lasts) * holds * holds)
--- a/policy/outputlength/outputlength.go
+++ b/policy/outputlength/outputlength.go
@@ -159,12 +159,12 @@
 // Tokens is what the run has generated, in tokens.
 func (r *Run) Tokens() int { return int(r.tokens) }
 
-// Most is the most that the run generates, in tokens.
-func (r *Run) Most() float64 { return r.most }
+// MaxTokens is the most that the run generates, in tokens.
+func (r *Run) MaxTokens() float64 { return r.most }
 
-// Lasts is the probability that the run generates more tokens than that in all, given how
+// Survival is the probability that the run generates more tokens than that in all, given how
 // far it has come.
-func (r *Run) Lasts(tokens float64) float64 {
+func (r *Run) Survival(tokens float64) float64 {
 	if tokens <= r.tokens {
 		return 1
 	}
@@ -175,12 +175,12 @@
 	return math.Exp(r.c.upTo(r.position(r.tokens)) - r.c.upTo(r.position(tokens)))
 }
 
-// Expect is the length, in tokens, that the run is as likely to exceed as not.
-func (r *Run) Expect() int {
+// Median is the length, in tokens, that the run is as likely to exceed as not.
+func (r *Run) Median() int {
 	low, high := r.tokens, r.most
 	for high-low > max(r.most/64, 1) {
 		mid := (low + high) / 2
-		if r.Lasts(mid) > 0.5 {
+		if r.Survival(mid) > 0.5 {
 			low = mid
 		} else {
 			high = mid
--- a/policy/outputlength/outputlength_test.go
+++ b/policy/outputlength/outputlength_test.go
@@ -44,7 +44,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := outputlength.New()
 			feed(l, rand.New(rand.NewPCG(1, 2)), c.runs, c.times, 0.3)
-			got := l.Begin(c.hint, most).Expect()
+			got := l.Begin(c.hint, most).Median()
 			assert.Assert(t, got >= c.low && got <= c.high, "%d", got)
 		})
 	}
@@ -56,9 +56,9 @@
 	l := outputlength.New()
 	rng := rand.New(rand.NewPCG(3, 4))
 	feed(l, rng, 300, 1, 0.3)
-	before := l.Begin(1000, most).Expect()
+	before := l.Begin(1000, most).Median()
 	feed(l, rng, 200, 3, 0.3)
-	after := l.Begin(1000, most).Expect()
+	after := l.Begin(1000, most).Median()
 	assert.Assert(t, before < 1300 && after > 2300, "%d, %d", before, after)
 }
 
@@ -75,7 +75,7 @@
 		}
 		r.Progress(4000)
 	}
-	got := l.Begin(1000, most).Expect()
+	got := l.Begin(1000, most).Median()
 	assert.Assert(t, got > 3000, "%d", got)
 }
 
@@ -85,16 +85,16 @@
 	feed(l, rand.New(rand.NewPCG(5, 6)), 50, 1, 0.5)
 	r := l.Begin(1000, most)
 	r.Progress(700)
-	assert.Equal(t, r.Lasts(700), 1.0)
+	assert.Equal(t, r.Survival(700), 1.0)
 	last := 1.0
 	for tokens := 700.0; tokens < most; tokens += 50 {
-		got := r.Lasts(tokens)
+		got := r.Survival(tokens)
 		assert.Assert(t, got <= last && got >= 0, "%g at %g", got, tokens)
 		last = got
 	}
-	assert.Equal(t, r.Lasts(most), 0.0)
+	assert.Equal(t, r.Survival(most), 0.0)
 	young := l.Begin(1000, most)
-	assert.Assert(t, r.Lasts(1500) > young.Lasts(1500), "one that has come far is likelier to go on")
+	assert.Assert(t, r.Survival(1500) > young.Survival(1500), "one that has come far is likelier to go on")
 }
 
 // TestLastsIsRight: of many runs, as many outlast a length as was said when they were half way
@@ -113,7 +113,7 @@
 			continue
 		}
 		r.Progress(int(0.7 * float64(hint)))
-		said += r.Lasts(1.4 * float64(hint))
+		said += r.Survival(1.4 * float64(hint))
 		if length > 1.4*float64(hint) {
 			saw++
 		}
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -42,10 +42,10 @@
 	Failing time.Duration
 	// Shun is how long an engine whose exports can't be fetched reads no prompts.
 	Shun time.Duration
-	// Self is by how much longer a decode engine takes for a prompt, Disturbed by how much
-	// more that counts when its places are all taken. With a Self of zero it reads none while
+	// DecodePrefillFactor is by how much longer a decode engine takes for a prompt, Disturbed by how much
+	// more that counts when its places are all taken. With a DecodePrefillFactor of zero it reads none while
 	// a prefill engine may.
-	Self, Disturbed float64
+	DecodePrefillFactor, Disturbed float64
 	// LimitTimes is how many times the expected time a reading may take, LimitMin the least
 	// limit: an idle engine needs some 200 ms for a long prompt.
 	LimitTimes float64
@@ -56,7 +56,7 @@
 func DefaultConfig() Config {
 	return Config{
 		PerToken: 20 * time.Microsecond, Zone: 27 * time.Millisecond, Spread: 20 * time.Millisecond, Failing: 2 * time.Second, Shun: 2 * time.Second,
-		Self: 2, Disturbed: 4, LimitTimes: 3, LimitMin: 600 * time.Millisecond,
+		DecodePrefillFactor: 2, Disturbed: 4, LimitTimes: 3, LimitMin: 600 * time.Millisecond,
 	}
 }
 
@@ -90,32 +90,32 @@
 	return &Pool{cfg: cfg, seed: seed, outliers: outlier.New(), readers: map[string]*reader{}}
 }
 
-// Ask is a prompt to be read.
-type Ask struct {
+// Request is a prompt to be read.
+type Request struct {
 	// Tokens is its length.
 	Tokens int
 	// Zone is that of the decode engine.
 	Zone string
-	// Crowd is the share of the decode engine's places that are taken, in [0, 1].
-	Crowd float64
+	// SlotLoad is the share of the decode engine's places that are taken, in [0, 1].
+	SlotLoad float64
 	// Memory is that of an engine, in tokens; zero if it is not known.
 	Memory int
 	// Exclude are engines that must not get it.
 	Exclude []string
-	// Avoid reports whether an engine gets it only if no other one may, Closed whether it must not get it now; nil means none.
-	Avoid, Closed func(id string) bool
+	// Avoid reports whether an engine gets it only if no other one may, Unavailable whether it must not get it now; nil means none.
+	Avoid, Unavailable func(id string) bool
 }
 
 // Choice is the engine that is to read a prompt.
 type Choice struct {
 	Server registry.Server
-	// Expected is when it will have read it, Limit when it is to be given up.
-	Expected, Limit time.Duration
+	// Expected is when it will have read it, Timeout when it is to be given up.
+	Expected, Timeout time.Duration
 }
 
 // Pick returns the engine that will have read the prompt first. It returns false when the
 // decode engine is to read it.
-func (p *Pool) Pick(servers []registry.Server, a Ask, now time.Time) (Choice, bool) {
+func (p *Pool) Pick(servers []registry.Server, a Request, now time.Time) (Choice, bool) {
 	var best Choice
 	var least time.Duration
 	bestAvoided := false
@@ -131,30 +131,30 @@
 		cost := expected + p.aside(s, a.Zone, now) + time.Duration(float64(p.cfg.Spread)*(1-r.home))
 		avoided := a.Avoid != nil && a.Avoid(s.ID)
 		better := best.Server.ID == "" || bestAvoided && !avoided || avoided == bestAvoided && cost < least
-		if better && (a.Closed == nil || !a.Closed(s.ID)) {
+		if better && (a.Unavailable == nil || !a.Unavailable(s.ID)) {
 			best, least, bestAvoided = Choice{Server: s, Expected: expected}, cost, avoided
 		}
 	}
 	if best.Server.ID == "" || least > p.self(a) {
 		return Choice{}, false
 	}
-	best.Limit = max(time.Duration(p.cfg.LimitTimes*float64(best.Expected)), p.cfg.LimitMin)
+	best.Timeout = max(time.Duration(p.cfg.LimitTimes*float64(best.Expected)), p.cfg.LimitMin)
 	return best, true
 }
 
 // full reports whether an engine has no memory for one more prompt: it keeps each from when it comes until what was read
 // of it is fetched, and refuses what doesn't fit, at the cost of a repeat.
-func (r *reader) full(a Ask) bool {
+func (r *reader) full(a Request) bool {
 	line := r.own + r.others
 	return a.Memory > 0 && line > 0 && line+a.Tokens > a.Memory
 }
 
 // self is what reading by the decode engine costs.
-func (p *Pool) self(a Ask) time.Duration {
-	if p.cfg.Self == 0 {
+func (p *Pool) self(a Request) time.Duration {
+	if p.cfg.DecodePrefillFactor == 0 {
 		return math.MaxInt64
 	}
-	factor := p.cfg.Self * (1 + p.cfg.Disturbed*a.Crowd)
+	factor := p.cfg.DecodePrefillFactor * (1 + p.cfg.Disturbed*a.SlotLoad)
 	return time.Duration(factor * float64(a.Tokens) * float64(p.perToken()))
 }
 
@@ -217,11 +217,11 @@
 	r.seen = now
 }
 
-// Shun notes that what an engine read can't be fetched.
-func (p *Pool) Shun(id string, now time.Time) { p.reader(id).shunned = now.Add(p.cfg.Shun) }
+// BackOff notes that what an engine read can't be fetched.
+func (p *Pool) BackOff(id string, now time.Time) { p.reader(id).shunned = now.Add(p.cfg.Shun) }
 
-// SetOthers takes the tokens that all other routers sent to an engine.
-func (p *Pool) SetOthers(id string, tokens int) {
+// SetPeerLoad takes the tokens that all other routers sent to an engine.
+func (p *Pool) SetPeerLoad(id string, tokens int) {
 	r, ok := p.readers[id]
 	if !ok && tokens > 0 {
 		r = p.reader(id)
@@ -231,16 +231,16 @@
 	}
 }
 
-// OwnAt is the tokens that this router sent to an engine and that were not read yet.
-func (p *Pool) OwnAt(id string) int {
+// OwnLoad is the tokens that this router sent to an engine and that were not read yet.
+func (p *Pool) OwnLoad(id string) int {
 	if r, ok := p.readers[id]; ok {
 		return r.own
 	}
 	return 0
 }
 
-// PerSecond is the tokens that one engine reads in a second; zero while it is not known.
-func (p *Pool) PerSecond() float64 { return p.rate.TokensPerSecond() }
+// TokensPerSecond is the tokens that one engine reads in a second; zero while it is not known.
+func (p *Pool) TokensPerSecond() float64 { return p.rate.TokensPerSecond() }
 
 // Forget drops engines that keep does not want.
 func (p *Pool) Forget(keep func(id string) bool) {
--- a/policy/prefillpool/prefillpool_test.go
+++ b/policy/prefillpool/prefillpool_test.go
@@ -27,25 +27,25 @@
 	for _, c := range []struct {
 		name string
 		set  func(p *prefillpool.Pool)
-		ask  prefillpool.Ask
+		ask  prefillpool.Request
 		want string
 	}{
-		{"the own zone", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z2", Crowd: 1}, "b"},
-		{"the shorter line", func(p *prefillpool.Pool) { p.Begin("a", 5000) }, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "b"},
-		{"lines of other routers count", func(p *prefillpool.Pool) { p.SetOthers("b", 9000) }, prefillpool.Ask{Tokens: 5000, Zone: "z2", Crowd: 1}, "a"},
-		{"excluded", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Exclude: []string{"a"}}, "b"},
-		{"exports can't be fetched", func(p *prefillpool.Pool) { p.Shun("a", start) }, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "b"},
-		{"long lines: an empty decode engine reads it", lines(12_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 0}, ""},
-		{"long lines: a full decode engine doesn't", lines(12_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, "a"},
-		{"very long lines: a full one does", lines(60_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, ""},
-		{"no memory left at one", func(p *prefillpool.Pool) { p.SetOthers("a", 24_000) }, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 28_000}, "b"},
-		{"no memory left", lines(24_000), prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 28_000}, ""},
-		{"larger than the memory, and alone", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1, Memory: 4000}, "a"},
-		{"none is left", func(*prefillpool.Pool) {}, prefillpool.Ask{Tokens: 5000, Zone: "z1", Exclude: []string{"a", "b"}}, ""},
+		{"the own zone", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z2", SlotLoad: 1}, "b"},
+		{"the shorter line", func(p *prefillpool.Pool) { p.Begin("a", 5000) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "b"},
+		{"lines of other routers count", func(p *prefillpool.Pool) { p.SetPeerLoad("b", 9000) }, prefillpool.Request{Tokens: 5000, Zone: "z2", SlotLoad: 1}, "a"},
+		{"excluded", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Exclude: []string{"a"}}, "b"},
+		{"exports can't be fetched", func(p *prefillpool.Pool) { p.BackOff("a", start) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "b"},
+		{"long lines: an empty decode engine reads it", lines(12_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 0}, ""},
+		{"long lines: a full decode engine doesn't", lines(12_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "a"},
+		{"very long lines: a full one does", lines(60_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, ""},
+		{"no memory left at one", func(p *prefillpool.Pool) { p.SetPeerLoad("a", 24_000) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 28_000}, "b"},
+		{"no memory left", lines(24_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 28_000}, ""},
+		{"larger than the memory, and alone", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 4000}, "a"},
+		{"none is left", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", Exclude: []string{"a", "b"}}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
-			p.Pick(servers, prefillpool.Ask{Tokens: 1, Crowd: 1}, start)
+			p.Pick(servers, prefillpool.Request{Tokens: 1, SlotLoad: 1}, start)
 			c.set(p)
 			got, ok := p.Pick(servers, c.ask, ms(1))
 			assert.Equal(t, ok, c.want != "")
@@ -57,8 +57,8 @@
 // lines puts that many tokens before both engines.
 func lines(tokens int) func(p *prefillpool.Pool) {
 	return func(p *prefillpool.Pool) {
-		p.SetOthers("a", tokens)
-		p.SetOthers("b", tokens)
+		p.SetPeerLoad("a", tokens)
+		p.SetPeerLoad("b", tokens)
 	}
 }
 
@@ -66,18 +66,18 @@
 // engine were mute.
 func TestLimitGrowsWithTheLine(t *testing.T) {
 	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
-	idle, _ := p.Pick(servers, prefillpool.Ask{Tokens: 5000, Crowd: 1}, start)
-	assert.Equal(t, idle.Limit, 600*time.Millisecond)
+	idle, _ := p.Pick(servers, prefillpool.Request{Tokens: 5000, SlotLoad: 1}, start)
+	assert.Equal(t, idle.Timeout, 600*time.Millisecond)
 	lines(40_000)(p)
-	busy, ok := p.Pick(servers, prefillpool.Ask{Tokens: 5000, Crowd: 1}, start)
+	busy, ok := p.Pick(servers, prefillpool.Request{Tokens: 5000, SlotLoad: 1}, start)
 	assert.Assert(t, ok)
-	assert.Assert(t, busy.Limit >= 3*busy.Expected && busy.Expected >= 900*time.Millisecond, "%v, %v", busy.Limit, busy.Expected)
+	assert.Assert(t, busy.Timeout >= 3*busy.Expected && busy.Expected >= 900*time.Millisecond, "%v, %v", busy.Timeout, busy.Expected)
 }
 
 // TestSlowEngine: one that turned slow gets fewer prompts, and is tried again in time.
 func TestSlowEngine(t *testing.T) {
 	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
-	ask := prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}
+	ask := prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}
 	for i := range 3 {
 		c, _ := p.Pick(servers[:1], ask, ms(i))
 		p.Begin("a", 5000)
@@ -138,10 +138,10 @@
 					others := 0
 					for j, o := range pools {
 						if j != i {
-							others += o.OwnAt(s.ID)
+							others += o.OwnLoad(s.ID)
 						}
 					}
-					p.SetOthers(s.ID, others)
+					p.SetPeerLoad(s.ID, others)
 				}
 			}
 		}
@@ -149,7 +149,7 @@
 			continue
 		}
 		router, tokens := rng.IntN(routers), 2500+rng.IntN(5400)
-		c, ok := pools[router].Pick(list, prefillpool.Ask{Tokens: tokens, Crowd: 1}, now)
+		c, ok := pools[router].Pick(list, prefillpool.Request{Tokens: tokens, SlotLoad: 1}, now)
 		if !ok {
 			count++
 			continue
@@ -172,8 +172,8 @@
 // TestToldBeforeSeen: lines that others told of count from the first look at an engine on.
 func TestToldBeforeSeen(t *testing.T) {
 	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
-	p.SetOthers("a", 30_000)
-	got, ok := p.Pick(servers, prefillpool.Ask{Tokens: 5000, Zone: "z1", Crowd: 1}, start)
+	p.SetPeerLoad("a", 30_000)
+	got, ok := p.Pick(servers, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, start)
 	assert.Assert(t, ok)
 	assert.Equal(t, got.Server.ID, "b")
 }
@@ -181,12 +181,12 @@
 // TestNeverSelf: with the mechanism off, no line is too long.
 func TestNeverSelf(t *testing.T) {
 	cfg := prefillpool.DefaultConfig()
-	cfg.Self = 0
+	cfg.DecodePrefillFactor = 0
 	p := prefillpool.New(cfg, "edge-1")
 	lines(1_000_000)(p)
-	_, ok := p.Pick(servers, prefillpool.Ask{Tokens: 5000}, start)
+	_, ok := p.Pick(servers, prefillpool.Request{Tokens: 5000}, start)
 	assert.Assert(t, ok)
-	_, ok = p.Pick(servers, prefillpool.Ask{Tokens: 5000, Exclude: []string{"a", "b"}}, start)
+	_, ok = p.Pick(servers, prefillpool.Request{Tokens: 5000, Exclude: []string{"a", "b"}}, start)
 	assert.Assert(t, !ok, "none is left")
 }
 
@@ -202,7 +202,7 @@
 	sent := map[string]int{}
 	for i := range routers {
 		p := prefillpool.New(prefillpool.DefaultConfig(), fmt.Sprint("edge-hall-a-", i))
-		c, ok := p.Pick(list, prefillpool.Ask{Tokens: prompt, Zone: "z1", Crowd: 1, Memory: memory}, start)
+		c, ok := p.Pick(list, prefillpool.Request{Tokens: prompt, Zone: "z1", SlotLoad: 1, Memory: memory}, start)
 		assert.Assert(t, ok)
 		sent[c.Server.ID] += prompt
 	}
--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -38,8 +38,8 @@
 	newest int64
 }
 
-// Request counts a request for the service.
-func (b *Budget) Request(l Limits, now time.Time) {
+// AddRequest counts a request for the service.
+func (b *Budget) AddRequest(l Limits, now time.Time) {
 	b.advance(l, now)
 	if b.began.IsZero() {
 		b.began = now
@@ -47,9 +47,9 @@
 	b.requests[b.newest%buckets]++
 }
 
-// Repeat counts a repeat if it is within the bounds, of which a router has the part
+// TryRetry counts a repeat if it is within the bounds, of which a router has the part
 // 1/routers, and reports whether it is.
-func (b *Budget) Repeat(l Limits, routers int, now time.Time) bool {
+func (b *Budget) TryRetry(l Limits, routers int, now time.Time) bool {
 	b.advance(l, now)
 	allowed := safety * (l.Ratio*sum(b.requests) + b.grown(l, now)*l.Slack/float64(max(routers, 1)))
 	if sum(b.repeats)+1 > allowed {
--- a/policy/retrybudget/retrybudget_test.go
+++ b/policy/retrybudget/retrybudget_test.go
@@ -20,8 +20,8 @@
 	step := time.Second / time.Duration(perSecond)
 	for i, now := 0, from; now.Before(from.Add(d)); i, now = i+1, now.Add(step) {
 		b := budgets[i%len(budgets)]
-		b.Request(limits, now)
-		if b.Repeat(limits, len(budgets), now) {
+		b.AddRequest(limits, now)
+		if b.TryRetry(limits, len(budgets), now) {
 			repeats = append(repeats, now)
 		}
 	}
@@ -74,11 +74,11 @@
 
 func TestIdleBudgetAllowsLittle(t *testing.T) {
 	b := &retrybudget.Budget{}
-	assert.Assert(t, !b.Repeat(limits, 4, start), "nothing was requested yet")
-	b.Request(limits, start)
+	assert.Assert(t, !b.TryRetry(limits, 4, start), "nothing was requested yet")
+	b.AddRequest(limits, start)
 	later := start.Add(20 * time.Second)
 	n := 0
-	for b.Repeat(limits, 4, later) {
+	for b.TryRetry(limits, 4, later) {
 		n++
 	}
 	assert.Equal(t, n, int(0.8*limits.Slack/4))
--- a/policy/waitqueue/returners.go
+++ b/policy/waitqueue/returners.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Returners tells which clients have come back after a refusal, and so can't be answered
+// RetryDetector tells which clients have come back after a refusal, and so can't be answered
 // within their objective any more. Clients say how long they will wait; those of one route
 // start with about the same time, and one that was turned away for a third of it has that much
-// less. A Returners is not safe for concurrent use; the zero one has seen nobody.
-type Returners struct {
+// less. A RetryDetector is not safe for concurrent use; the zero one has seen nobody.
+type RetryDetector struct {
 	longest time.Duration
 }
 
@@ -18,9 +18,9 @@
 	longestFades = 0.999
 )
 
-// Returned notes a client that waits for that long, and reports whether it has come back.
+// Observe notes a client that waits for that long, and reports whether it has come back.
 // Zero means that it did not say, and that nothing is known.
-func (r *Returners) Returned(patience time.Duration) bool {
+func (r *RetryDetector) Observe(patience time.Duration) bool {
 	if patience <= 0 {
 		return false
 	}
--- a/policy/waitqueue/waitqueue.go
+++ b/policy/waitqueue/waitqueue.go
@@ -21,8 +21,8 @@
 type Waiter struct {
 	// Need is the memory that it needs, in tokens.
 	Need int
-	// Arrived is when it came; Until is when it gives up.
-	Arrived, Until time.Time
+	// Arrived is when it came; GiveUpAt is when it gives up.
+	Arrived, GiveUpAt time.Time
 	// Late is set when it can't be answered within its objective any more.
 	Late bool
 	// Exclude are engines that must not get the request.
@@ -31,13 +31,13 @@
 	Priority int
 }
 
-// Line is the waiting requests.
-type Line struct {
+// Queue is the waiting requests.
+type Queue struct {
 	waiters []*Waiter
 }
 
 // Add puts a request into the line.
-func (l *Line) Add(w *Waiter) {
+func (l *Queue) Add(w *Waiter) {
 	i, _ := slices.BinarySearchFunc(l.waiters, w, compare)
 	l.waiters = slices.Insert(l.waiters, i, w)
 }
@@ -58,7 +58,7 @@
 }
 
 // Remove takes a request out of the line and reports whether it was there.
-func (l *Line) Remove(w *Waiter) bool {
+func (l *Queue) Remove(w *Waiter) bool {
 	i := slices.Index(l.waiters, w)
 	if i < 0 {
 		return false
@@ -70,7 +70,7 @@
 // Next takes out the first request that fits, or returns nil. A large request is not
 // passed by for ever: those behind it may go before it only while it has waited for
 // less than hold.
-func (l *Line) Next(fits func(*Waiter) bool, hold time.Duration, now time.Time) *Waiter {
+func (l *Queue) Next(fits func(*Waiter) bool, hold time.Duration, now time.Time) *Waiter {
 	for i, w := range l.waiters {
 		if fits(w) {
 			l.waiters = slices.Delete(l.waiters, i, i+1)
@@ -84,7 +84,7 @@
 }
 
 // Ahead is the memory, in tokens, that requests need which go before w.
-func (l *Line) Ahead(w *Waiter) int {
+func (l *Queue) Ahead(w *Waiter) int {
 	sum := 0
 	for _, other := range l.waiters {
 		if compare(other, w) <= 0 {
@@ -95,4 +95,4 @@
 }
 
 // Len is the number of waiting requests.
-func (l *Line) Len() int { return len(l.waiters) }
+func (l *Queue) Len() int { return len(l.waiters) }
--- a/policy/waitqueue/waitqueue_test.go
+++ b/policy/waitqueue/waitqueue_test.go
@@ -26,7 +26,7 @@
 	first := &waitqueue.Waiter{Arrived: ms(10), Priority: 1}
 	second := &waitqueue.Waiter{Arrived: ms(20), Priority: 1}
 	returned := &waitqueue.Waiter{Arrived: ms(0), Priority: 0, Late: true}
-	var l waitqueue.Line
+	var l waitqueue.Queue
 	for _, w := range []*waitqueue.Waiter{returned, second, urgent, first} {
 		l.Add(w)
 	}
@@ -37,7 +37,7 @@
 }
 
 func TestLargeRequestIsPassedForAWhileOnly(t *testing.T) {
-	var l waitqueue.Line
+	var l waitqueue.Queue
 	large := &waitqueue.Waiter{Need: 10_000, Arrived: ms(0)}
 	small := &waitqueue.Waiter{Need: 3000, Arrived: ms(10)}
 	l.Add(large)
@@ -48,7 +48,7 @@
 }
 
 func TestRemove(t *testing.T) {
-	var l waitqueue.Line
+	var l waitqueue.Queue
 	w := &waitqueue.Waiter{Need: 7}
 	l.Add(w)
 	assert.Equal(t, l.Ahead(w), 7)
@@ -58,7 +58,7 @@
 }
 
 func TestUntil(t *testing.T) {
-	terms := waitqueue.DefaultTerms()
+	terms := waitqueue.DefaultPolicy()
 	for _, c := range []struct {
 		name            string
 		objective, left time.Duration
@@ -73,7 +73,7 @@
 		{"but not past half of what is left", 900 * time.Millisecond, 2 * time.Second, 5000, true, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := terms.Until(start, c.objective, c.left, c.prompt, c.late)
+			got := terms.GiveUpAt(start, c.objective, c.left, c.prompt, c.late)
 			assert.Equal(t, got.Sub(start), c.want)
 		})
 	}
@@ -82,43 +82,43 @@
 // TestReturned: those that were turned away are told from those that come for the first time,
 // by what they say themselves.
 func TestReturned(t *testing.T) {
-	var r waitqueue.Returners
+	var r waitqueue.RetryDetector
 	for _, c := range []struct {
 		patience int
 		want     bool
 	}{
 		{12_000, false}, {14_000, false}, {11_900, false}, {9900, true}, {13_000, false}, {0, false}, {4000, true},
 	} {
-		got := r.Returned(time.Duration(c.patience) * time.Millisecond)
+		got := r.Observe(time.Duration(c.patience) * time.Millisecond)
 		assert.Equal(t, got, c.want, "%d", c.patience)
 	}
 	for range 1000 {
-		r.Returned(5 * time.Second)
+		r.Observe(5 * time.Second)
 	}
-	assert.Assert(t, !r.Returned(5*time.Second), "clients wait for less than before")
+	assert.Assert(t, !r.Observe(5*time.Second), "clients wait for less than before")
 }
 
 func TestAgain(t *testing.T) {
-	terms := waitqueue.DefaultTerms()
+	terms := waitqueue.DefaultPolicy()
 	for _, c := range []struct{ until, now, deadline, want int }{
 		{600, 3000, 14_000, 4000},
 		{600, 100, 14_000, 1100},
 		{5000, 3000, 14_000, 5000},
 		{600, 13_500, 14_000, 14_000},
 	} {
-		assert.Equal(t, terms.Again(ms(c.until), ms(c.now), ms(c.deadline)), ms(c.want), "%+v", c)
+		assert.Equal(t, terms.GiveUpAfterFailure(ms(c.until), ms(c.now), ms(c.deadline)), ms(c.want), "%+v", c)
 	}
 }
 
 func TestComeBack(t *testing.T) {
-	terms := waitqueue.DefaultTerms()
-	assert.Equal(t, terms.ComeBack(14*time.Second, 0), terms.BackMin)
-	assert.Assert(t, terms.ComeBack(14*time.Second, 0.999) > 4500*time.Millisecond)
-	assert.Equal(t, terms.ComeBack(6*time.Second, 0.5), 2*time.Second, "a third of the time left")
+	terms := waitqueue.DefaultPolicy()
+	assert.Equal(t, terms.RetryAfter(14*time.Second, 0), terms.BackMin)
+	assert.Assert(t, terms.RetryAfter(14*time.Second, 0.999) > 4500*time.Millisecond)
+	assert.Equal(t, terms.RetryAfter(6*time.Second, 0.5), 2*time.Second, "a third of the time left")
 }
 
 func TestHopeless(t *testing.T) {
-	terms := waitqueue.DefaultTerms()
+	terms := waitqueue.DefaultPolicy()
 	for _, c := range []struct {
 		ahead int
 		rate  float64
@@ -131,7 +131,7 @@
 		{12_000, 10_000, 3 * time.Second, false},
 		{1 << 30, 0, time.Second, false},
 	} {
-		assert.Equal(t, terms.Hopeless(c.ahead, c.rate, c.wait), c.want, "%+v", c)
+		assert.Equal(t, terms.ShouldReject(c.ahead, c.rate, c.wait), c.want, "%+v", c)
 	}
 }
 
@@ -175,9 +175,9 @@
 
 // replay drives one router before 12 engines' memory through the day. Until says how long a
 // request waits, and back when one that is turned away comes back (zero for never).
-func replay(order func(l *waitqueue.Line, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter,
+func replay(order func(l *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter,
 	until func(r *replayed) time.Time, back func(r *replayed) time.Duration) end {
-	var l waitqueue.Line
+	var l waitqueue.Queue
 	var e end
 	used := 0
 	byWaiter := map[*waitqueue.Waiter]*replayed{}
@@ -189,7 +189,7 @@
 	}
 	enter := func(r *replayed, now time.Time) {
 		r.Arrived, r.Late = now, r.late
-		r.Until = until(r)
+		r.GiveUpAt = until(r)
 		byWaiter[&r.Waiter] = r
 		inLine = append(inLine, r)
 		l.Add(&r.Waiter)
@@ -216,7 +216,7 @@
 			}
 		}
 		inLine = slices.DeleteFunc(inLine, func(r *replayed) bool {
-			if now.Before(r.Until) {
+			if now.Before(r.GiveUpAt) {
 				return false
 			}
 			if !l.Remove(&r.Waiter) {
@@ -250,20 +250,20 @@
 	return n
 }
 
-func inOrder(l *waitqueue.Line, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
+func inOrder(l *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
 	return l.Next(fits, 300*time.Millisecond, now)
 }
 
 // TestBursts compares the policy with a line in order of arrival that everybody stands in
 // until served, on the same load: many more are answered in time, and nearly all in the end.
 func TestBursts(t *testing.T) {
-	terms := waitqueue.DefaultTerms()
+	terms := waitqueue.DefaultPolicy()
 	ours := replay(inOrder,
 		func(r *replayed) time.Time {
-			return terms.Until(r.Arrived, objective, patience-4*time.Second, r.Need, r.late)
+			return terms.GiveUpAt(r.Arrived, objective, patience-4*time.Second, r.Need, r.late)
 		},
-		func(r *replayed) time.Duration { return terms.ComeBack(patience, r.u) })
-	line := replay(func(l *waitqueue.Line, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
+		func(r *replayed) time.Duration { return terms.RetryAfter(patience, r.u) })
+	line := replay(func(l *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
 		return l.Next(fits, 0, now)
 	},
 		func(r *replayed) time.Time { return r.Arrived.Add(patience) },
