--- a/policy/catchup/catchup.go
+++ b/policy/catchup/catchup.go
@@ -1,17 +1,18 @@
-// Package catchup decides when a process that is behind fetches state from another process, and
-// from which.
+// Package catchup decides when a process whose state is outdated fetches it from another process,
+// and from which (pull-based anti-entropy).
 //
-// Load pattern: a large table changes. All processes read it from the store, those with small links
-// some hundred milliseconds after the others, and all tell each other their versions meanwhile. Who
-// reads it himself must not be handed it as well, least of all by everybody: at twenty processes with
-// links of 10 Mbit/s, tables handed to those that were thought to be behind filled the links for
-// minutes. Other processes can't reach the store and have nobody else to learn from.
+// Load pattern: a large table changes. All processes read it from the store, those with slow links
+// some hundred milliseconds after the others, and all report their versions to each other meanwhile.
+// A process that reads the table itself must not receive it from others as well: at twenty processes
+// with links of 10 Mbit/s, tables pushed to all processes that seemed outdated filled the links for
+// minutes. Other processes can't reach the store and have no other source.
 //
-// So the one that is behind fetches, from one source at a time, and only once its own reading
-// has had its chance or has failed. In a replay of 20 processes that read it up to 400 ms after they heard of
-// it, none fetches; of 20 that the store shuts out, each fetches once.
+// So an outdated process fetches the state itself, from one source at a time, and only once its own
+// read from the store has had its grace period or has failed. In a replay of 20 processes that read
+// the table up to 400 ms after its version was reported, none fetches; of 20 that can't reach the
+// store, each fetches once.
 //
-// A Planner is deterministic, takes time and chance from its caller, and is not safe for
+// A Planner is deterministic, takes time and random numbers from its caller, and is not safe for
 // concurrent use.
 package catchup
 
@@ -22,75 +23,75 @@
 	"time"
 )
 
-// Config are the times of a Planner.
+// Config sets the times of a Planner.
 type Config struct {
-	// Grace is how long a process that reaches the store is behind before it fetches.
+	// Grace is how long a process that reaches the store is outdated before it fetches.
 	Grace time.Duration
-	// Cooldown is how long a source that failed is left alone.
+	// Cooldown is how long a source is avoided after a failed fetch.
 	Cooldown time.Duration
 	// OfferTTL is how long an offer counts.
 	OfferTTL time.Duration
 }
 
-// Planner is what one process knows of the versions of others.
+// Planner is one process's state of the versions of others.
 type Planner struct {
 	config  Config
 	sources map[string]source
-	// own is the version at the last decision, and behind since when a newer one is known.
-	own    int64
-	behind time.Time
+	// own is the version at the last decision, behindSince when a newer one became known.
+	own         int64
+	behindSince time.Time
 }
 
 type source struct {
-	version int64
-	at      time.Time
-	// rests is until when the source is left alone.
-	rests time.Time
+	version   int64
+	offeredAt time.Time
+	// cooldownUntil is until when the source is avoided.
+	cooldownUntil time.Time
 }
 
-// New returns a planner that knows of nobody.
+// New returns a planner without sources.
 func New(c Config) *Planner { return &Planner{config: c, sources: map[string]source{}} }
 
-// Offer notes that a source has a version.
+// Offer records that a source has a version.
 func (p *Planner) Offer(id string, version int64, now time.Time) {
 	s := p.sources[id]
-	s.version, s.at = version, now
+	s.version, s.offeredAt = version, now
 	p.sources[id] = s
 }
 
-// Failed notes that a fetch from a source failed.
+// Failed records that a fetch from a source failed.
 func (p *Planner) Failed(id string, now time.Time) {
 	if s, ok := p.sources[id]; ok {
-		s.rests = now.Add(p.config.Cooldown)
+		s.cooldownUntil = now.Add(p.config.Cooldown)
 		p.sources[id] = s
 	}
 }
 
-// Next returns the source to fetch from, for a process that has version own and may have lost the
-// store. If there is none yet, it returns "" and when to ask again, at the latest; draw returns a number
-// below n.
+// Next returns the source to fetch from, for a process that has version own and may have lost its
+// connection to the store. If there is none yet, it returns "" and the time after which to call it
+// again at the latest. draw returns a random number below n.
 func (p *Planner) Next(own int64, storeLost bool, now time.Time, draw func(n int) int) (id string, wait time.Duration) {
-	maps.DeleteFunc(p.sources, func(_ string, s source) bool { return now.Sub(s.at) >= p.config.OfferTTL })
+	maps.DeleteFunc(p.sources, func(_ string, s source) bool { return now.Sub(s.offeredAt) >= p.config.OfferTTL })
 	newest := p.newest()
 	if newest <= own {
-		p.own, p.behind = own, time.Time{}
+		p.own, p.behindSince = own, time.Time{}
 		return "", p.config.OfferTTL
 	}
-	// A process that gets on by itself is not late.
-	if p.behind.IsZero() || own != p.own {
-		p.own, p.behind = own, now
+	// A process that makes progress by itself gets a new grace period.
+	if p.behindSince.IsZero() || own != p.own {
+		p.own, p.behindSince = own, now
 	}
-	if late := now.Sub(p.behind); !storeLost && late < p.config.Grace {
-		return "", p.config.Grace - late
+	if behindFor := now.Sub(p.behindSince); !storeLost && behindFor < p.config.Grace {
+		return "", p.config.Grace - behindFor
 	}
-	free, wait := p.free(newest, now)
-	if len(free) > 0 {
-		return free[draw(len(free))], 0
+	ids, wait := p.available(newest, now)
+	if len(ids) > 0 {
+		return ids[draw(len(ids))], 0
 	}
 	return "", wait
 }
 
-// newest is the newest version that is offered.
+// newest returns the newest version that is offered.
 func (p *Planner) newest() int64 {
 	newest := int64(-1)
 	for _, s := range p.sources {
@@ -99,15 +100,15 @@
 	return newest
 }
 
-// free are the sources of a version that are not left alone, in order, and the time until the next one is
-// free if there are none.
-func (p *Planner) free(version int64, now time.Time) (ids []string, wait time.Duration) {
+// available returns the sources of a version that are not in cooldown, in order, and the time until
+// the next one is if there are none.
+func (p *Planner) available(version int64, now time.Time) (ids []string, wait time.Duration) {
 	wait = p.config.Cooldown
 	for id, s := range p.sources {
 		switch {
 		case s.version < version:
-		case now.Before(s.rests):
-			wait = min(wait, s.rests.Sub(now))
+		case now.Before(s.cooldownUntil):
+			wait = min(wait, s.cooldownUntil.Sub(now))
 		default:
 			ids = append(ids, id)
 		}
--- a/policy/catchup/catchup_test.go
+++ b/policy/catchup/catchup_test.go
@@ -11,23 +11,23 @@
 
 var config = Config{Grace: 500 * time.Millisecond, Cooldown: time.Second, OfferTTL: 5 * time.Second}
 
-// tick is the interval at which a replay asks each process.
+// tick is the interval at which a replay calls each planner.
 const tick = 10 * time.Millisecond
 
-// replay plays processes that learn of a version at offered and read it from the store at
-// read; never if that is zero. It returns how often each fetched, and from whom.
-func replay(read []time.Duration, storeLost bool) (fetches []int, served map[string]int) {
+// replay runs processes that are offered a version and read it from the store at readAt; never if
+// that is zero. It returns how often each process fetched, and how often each source was used.
+func replay(readAt []time.Duration, storeLost bool) (fetches []int, served map[string]int) {
 	start := time.Unix(0, 0)
 	draw := rand.New(rand.NewPCG(1, 2)).IntN
-	fetches, served = make([]int, len(read)), map[string]int{}
-	planners, own := make([]*Planner, len(read)), make([]int64, len(read))
+	fetches, served = make([]int, len(readAt)), map[string]int{}
+	planners, own := make([]*Planner, len(readAt)), make([]int64, len(readAt))
 	for i := range planners {
 		planners[i] = New(config)
 	}
 	for at := time.Duration(0); at < 3*time.Second; at += tick {
 		now := start.Add(at)
 		for i, p := range planners {
-			if read[i] > 0 && at >= read[i] {
+			if readAt[i] > 0 && at >= readAt[i] {
 				own[i] = 7
 			}
 			for source := range 8 {
@@ -43,20 +43,20 @@
 	return fetches, served
 }
 
-// TestLateReaders: all processes read the version themselves within the grace.
-func TestLateReaders(t *testing.T) {
-	read := make([]time.Duration, 20)
-	for i := range read {
-		read[i] = time.Duration(20*(i+1)) * time.Millisecond
+// TestNoFetchWithinGrace: all processes read the version from the store within the grace period.
+func TestNoFetchWithinGrace(t *testing.T) {
+	readAt := make([]time.Duration, 20)
+	for i := range readAt {
+		readAt[i] = time.Duration(20*(i+1)) * time.Millisecond
 	}
-	fetches, _ := replay(read, false)
+	fetches, _ := replay(readAt, false)
 	for i, n := range fetches {
 		assert.Equal(t, n, 0, "process %d", i)
 	}
 }
 
-// TestShutOut: each fetches once, and the sources share the work.
-func TestShutOut(t *testing.T) {
+// TestStoreUnreachable: each process fetches once, and the sources share the load.
+func TestStoreUnreachable(t *testing.T) {
 	for _, storeLost := range []bool{false, true} {
 		fetches, served := replay(make([]time.Duration, 20), storeLost)
 		for i, n := range fetches {
@@ -78,22 +78,22 @@
 		assert.Assert(t, id != "" || wait > 0)
 		return id
 	}
-	assert.Equal(t, next(-1, true, 0), "", "nobody is known")
+	assert.Equal(t, next(-1, true, 0), "", "no source is known")
 	p.Offer("a", 7, at(0))
 	p.Offer("b", 7, at(0))
-	assert.Equal(t, next(7, true, 0), "", "not behind")
-	assert.Equal(t, next(-1, false, 0), "", "the store first")
-	assert.Equal(t, next(-1, true, 10), "a", "the store is lost")
-	assert.Equal(t, next(-1, false, 500), "a", "the grace is over")
+	assert.Equal(t, next(7, true, 0), "", "not outdated")
+	assert.Equal(t, next(-1, false, 0), "", "within the grace period")
+	assert.Equal(t, next(-1, true, 10), "a", "the store is unreachable")
+	assert.Equal(t, next(-1, false, 500), "a", "the grace period is over")
 	p.Failed("a", at(500))
 	assert.Equal(t, next(-1, false, 500), "b")
 	p.Failed("b", at(510))
-	assert.Equal(t, next(-1, false, 520), "", "both rest")
+	assert.Equal(t, next(-1, false, 520), "", "both in cooldown")
 	_, wait := p.Next(-1, false, at(1400), first)
-	assert.Equal(t, wait, 100*time.Millisecond, "until the first has rested")
+	assert.Equal(t, wait, 100*time.Millisecond, "until the first cooldown ends")
 	assert.Equal(t, next(-1, false, 1500), "a")
-	assert.Equal(t, next(6, false, 1500), "", "it gets on by itself")
+	assert.Equal(t, next(6, false, 1500), "", "it makes progress by itself")
 	p.Offer("c", 8, at(1600))
-	assert.Equal(t, next(6, false, 2000), "c", "who has the newest, though newer ones keep coming")
-	assert.Equal(t, next(7, false, 7000), "", "the offers have lapsed")
+	assert.Equal(t, next(6, false, 2000), "c", "the source of the newest version, though newer ones keep coming")
+	assert.Equal(t, next(7, false, 7000), "", "the offers have expired")
 }
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -1,18 +1,18 @@
-// Package prefillpool chooses who reads a prompt: the prefill engine that will have read it
-// first, or the decode engine that will generate the answer.
+// Package prefillpool chooses the engine that prefills a prompt: the prefill engine with the
+// shortest expected delay, or the decode engine that will generate the answer.
 //
 // Load pattern: prompts arrive four times as fast as usual for a second or two, at several
-// routers, before two or three engines that read one prompt after the other. A router that
-// knows only what it sent itself, and how long readings took a moment ago, notices a line of
-// two seconds when its own prompts stand in it; a prompt given up there is read twice. So
-// routers tell each other how many tokens they have sent to each engine and not got back, and
-// the time until a prompt is read is reckoned from that line and the pace of an engine. In a
-// replay of two such seconds at five routers one prompt is read later than in half a second,
-// seven where lines are not told.
+// routers, for two or three engines that prefill one prompt after the other. A router that
+// knows only its own load and the prefill times of a moment ago notices a backlog of two
+// seconds when its own prompts are queued in it; a prompt given up there is prefilled twice. So
+// routers report to each other how many tokens they have sent to each engine that are not
+// prefilled yet, and the delay is estimated from that backlog and the rate of an engine. In a
+// replay of two such seconds at five routers one prompt takes longer than half a second, and
+// seven without the reports.
 //
-// A decode engine reads at half the pace, a piece at a time between the steps of the runs
-// beside it, which all wait meanwhile. So it reads a prompt when that is sooner by a factor
-// that grows with the number of those runs: an empty engine disturbs nobody.
+// A decode engine prefills at half the rate, in chunks between the decode steps of its runs,
+// which all wait meanwhile. So it prefills a prompt only when that is faster by a factor that
+// grows with the number of those runs: on an idle engine no run is delayed.
 //
 // A Pool is deterministic, takes the time from its caller, and is not safe for concurrent
 // use.
@@ -31,152 +31,156 @@
 
 // Config tunes a Pool.
 type Config struct {
-	// PerToken stands for the time in which an engine reads a token while none was learned.
+	// PerToken is the prefill time per token that is assumed until a rate is learned.
 	PerToken time.Duration
-	// Zone is about what a hand-off between zones takes longer, with its price.
-	Zone time.Duration
-	// Spread is by how much a router prefers some engines to others that are alike: those that know nothing of each other
-	// yet, since all have just started, would all choose the same one.
-	Spread time.Duration
-	// Failing is the cost of an engine that fails every request.
-	Failing time.Duration
-	// Shun is how long an engine whose exports can't be fetched reads no prompts.
-	Shun time.Duration
-	// DecodePrefillFactor is by how much longer a decode engine takes for a prompt, Disturbed by how much
-	// more that counts when its places are all taken. With a DecodePrefillFactor of zero it reads none while
-	// a prefill engine may.
-	DecodePrefillFactor, Disturbed float64
-	// LimitTimes is how many times the expected time a reading may take, LimitMin the least
-	// limit: an idle engine needs some 200 ms for a long prompt.
-	LimitTimes float64
-	LimitMin   time.Duration
+	// CrossZone is the penalty for an engine in another zone: about the extra time of a transfer
+	// between zones, with its price.
+	CrossZone time.Duration
+	// Preference is the largest penalty by which a router prefers some of several equal engines:
+	// routers that have all just started have no reports of each other yet, and would all choose
+	// the same engine.
+	Preference time.Duration
+	// Failure is the penalty for an engine that fails every request.
+	Failure time.Duration
+	// BackOff is how long an engine whose exports can't be fetched gets no prompts.
+	BackOff time.Duration
+	// DecodePrefillFactor is how many times longer a decode engine takes for a prompt,
+	// InterferenceFactor by how much more that counts when all its decode slots are taken. With
+	// a DecodePrefillFactor of zero it prefills no prompt while a prefill engine can.
+	DecodePrefillFactor, InterferenceFactor float64
+	// TimeoutFactor is how many times the expected time a prefill may take, MinTimeout the
+	// shortest timeout: an idle engine needs some 200 ms for a long prompt.
+	TimeoutFactor float64
+	MinTimeout    time.Duration
 }
 
-// DefaultConfig returns the values that were measured; see docs/DECISIONS.md.
+// DefaultConfig returns the default values; see docs/DECISIONS.md.
 func DefaultConfig() Config {
 	return Config{
-		PerToken: 20 * time.Microsecond, Zone: 27 * time.Millisecond, Spread: 20 * time.Millisecond, Failing: 2 * time.Second, Shun: 2 * time.Second,
-		DecodePrefillFactor: 2, Disturbed: 4, LimitTimes: 3, LimitMin: 600 * time.Millisecond,
+		PerToken: 20 * time.Microsecond, CrossZone: 27 * time.Millisecond, Preference: 20 * time.Millisecond, Failure: 2 * time.Second, BackOff: 2 * time.Second,
+		DecodePrefillFactor: 2, InterferenceFactor: 4, TimeoutFactor: 3, MinTimeout: 600 * time.Millisecond,
 	}
 }
 
-// Pool is what one router knows of the prefill engines of one service.
+// Pool is one router's state of the prefill engines of one service.
 type Pool struct {
 	cfg Config
 	// seed is the name of this router.
 	seed string
-	// rate is how fast an engine reads, outliers how readings ended.
+	// rate estimates the prefill rate of an engine; outliers tracks failing engines.
 	rate     stages.PrefillRate
 	outliers *outlier.Tracker
-	readers  map[string]*reader
+	engines  map[string]*engine
 }
 
-// reader is one engine.
-type reader struct {
-	// own and others are the tokens sent to it that were not read yet, by this router and by
-	// the others.
+// engine is the state of one prefill engine.
+type engine struct {
+	// own and others are the tokens sent to it that are not prefilled yet, by this router and by
+	// its peers.
 	own, others int
-	// shunned is until when it reads nothing.
-	shunned time.Time
-	// home is by how much this router prefers it, in [0, 1).
-	home float64
-	// slow is by how much longer than expected it took lately.
-	slow float64
-	seen time.Time
+	// avoidUntil is until when it gets no prompts.
+	avoidUntil time.Time
+	// preference is how much this router prefers it, in [0, 1).
+	preference float64
+	// slowdown is the moving average of actual to expected prefill times.
+	slowdown   float64
+	observedAt time.Time
 }
 
-// New returns an empty pool of the router of that name.
+// New returns an empty pool for the router with the name seed.
 func New(cfg Config, seed string) *Pool {
-	return &Pool{cfg: cfg, seed: seed, outliers: outlier.New(), readers: map[string]*reader{}}
+	return &Pool{cfg: cfg, seed: seed, outliers: outlier.New(), engines: map[string]*engine{}}
 }
 
-// Request is a prompt to be read.
+// Request is a prompt to prefill.
 type Request struct {
 	// Tokens is its length.
 	Tokens int
 	// Zone is that of the decode engine.
 	Zone string
-	// SlotLoad is the share of the decode engine's places that are taken, in [0, 1].
+	// SlotLoad is the share of the decode engine's slots that are taken, in [0, 1].
 	SlotLoad float64
-	// Memory is that of an engine, in tokens; zero if it is not known.
+	// Memory is that of an engine, in tokens; zero if it is unknown.
 	Memory int
-	// Exclude are engines that must not get it.
+	// Exclude lists the engines that must not get the prompt.
 	Exclude []string
-	// Avoid reports whether an engine gets it only if no other one may, Unavailable whether it must not get it now; nil means none.
+	// Avoid reports whether an engine gets the prompt only if no other one can, Unavailable whether
+	// it must not get the prompt now; nil means none.
 	Avoid, Unavailable func(id string) bool
 }
 
-// Choice is the engine that is to read a prompt.
+// Choice is the engine that prefills a prompt.
 type Choice struct {
 	Server registry.Server
-	// Expected is when it will have read it, Timeout when it is to be given up.
+	// Expected is the estimated time until the prompt is prefilled, Timeout the time after which
+	// the prefill is given up.
 	Expected, Timeout time.Duration
 }
 
-// Pick returns the engine that will have read the prompt first. It returns false when the
-// decode engine is to read it.
-func (p *Pool) Pick(servers []registry.Server, a Request, now time.Time) (Choice, bool) {
+// Pick returns the engine with the shortest expected delay. It returns false when the decode
+// engine has to prefill the prompt.
+func (p *Pool) Pick(servers []registry.Server, q Request, now time.Time) (Choice, bool) {
 	var best Choice
-	var least time.Duration
+	var lowest time.Duration
 	bestAvoided := false
 	for _, s := range servers {
-		if s.Stage != registry.Prefill || slices.Contains(a.Exclude, s.ID) {
+		if s.Stage != registry.Prefill || slices.Contains(q.Exclude, s.ID) {
 			continue
 		}
-		r := p.reader(s.ID)
-		if now.Before(r.shunned) || r.full(a) {
+		r := p.engine(s.ID)
+		if now.Before(r.avoidUntil) || r.outOfMemory(q) {
 			continue
 		}
-		expected := p.expected(r, a.Tokens, now)
-		cost := expected + p.aside(s, a.Zone, now) + time.Duration(float64(p.cfg.Spread)*(1-r.home))
-		avoided := a.Avoid != nil && a.Avoid(s.ID)
-		better := best.Server.ID == "" || bestAvoided && !avoided || avoided == bestAvoided && cost < least
-		if better && (a.Unavailable == nil || !a.Unavailable(s.ID)) {
-			best, least, bestAvoided = Choice{Server: s, Expected: expected}, cost, avoided
+		expected := p.expected(r, q.Tokens, now)
+		cost := expected + p.penalty(s, q.Zone, now) + time.Duration(float64(p.cfg.Preference)*(1-r.preference))
+		avoided := q.Avoid != nil && q.Avoid(s.ID)
+		better := best.Server.ID == "" || bestAvoided && !avoided || avoided == bestAvoided && cost < lowest
+		if better && (q.Unavailable == nil || !q.Unavailable(s.ID)) {
+			best, lowest, bestAvoided = Choice{Server: s, Expected: expected}, cost, avoided
 		}
 	}
-	if best.Server.ID == "" || least > p.self(a) {
+	if best.Server.ID == "" || lowest > p.decodePrefillCost(q) {
 		return Choice{}, false
 	}
-	best.Timeout = max(time.Duration(p.cfg.LimitTimes*float64(best.Expected)), p.cfg.LimitMin)
+	best.Timeout = max(time.Duration(p.cfg.TimeoutFactor*float64(best.Expected)), p.cfg.MinTimeout)
 	return best, true
 }
 
-// full reports whether an engine has no memory for one more prompt: it keeps each from when it comes until what was read
-// of it is fetched, and refuses what doesn't fit, at the cost of a repeat.
-func (r *reader) full(a Request) bool {
-	line := r.own + r.others
-	return a.Memory > 0 && line > 0 && line+a.Tokens > a.Memory
+// outOfMemory reports whether an engine has no memory for one more prompt: it holds each from
+// its arrival until the export is fetched, and rejects what doesn't fit, at the cost of a retry.
+func (r *engine) outOfMemory(q Request) bool {
+	backlog := r.own + r.others
+	return q.Memory > 0 && backlog > 0 && backlog+q.Tokens > q.Memory
 }
 
-// self is what reading by the decode engine costs.
-func (p *Pool) self(a Request) time.Duration {
+// decodePrefillCost is the cost of a prefill by the decode engine.
+func (p *Pool) decodePrefillCost(q Request) time.Duration {
 	if p.cfg.DecodePrefillFactor == 0 {
 		return math.MaxInt64
 	}
-	factor := p.cfg.DecodePrefillFactor * (1 + p.cfg.Disturbed*a.SlotLoad)
-	return time.Duration(factor * float64(a.Tokens) * float64(p.perToken()))
+	factor := p.cfg.DecodePrefillFactor * (1 + p.cfg.InterferenceFactor*q.SlotLoad)
+	return time.Duration(factor * float64(q.Tokens) * float64(p.perToken()))
 }
 
-// expected is when an engine will have read that many more tokens.
-func (p *Pool) expected(r *reader, tokens int, now time.Time) time.Duration {
-	line := float64(r.own + r.others + tokens)
-	return time.Duration(line * float64(p.perToken()) * r.slowness(now))
+// expected is the time in which an engine prefills its backlog and that many more tokens.
+func (p *Pool) expected(r *engine, tokens int, now time.Time) time.Duration {
+	backlog := float64(r.own + r.others + tokens)
+	return time.Duration(backlog * float64(p.perToken()) * r.currentSlowdown(now))
 }
 
-// aside is what speaks against an engine besides its line.
-func (p *Pool) aside(s registry.Server, zone string, now time.Time) time.Duration {
-	cost := time.Duration(float64(p.cfg.Failing) * p.outliers.Failing(s.ID, now))
+// penalty is the cost of choosing an engine apart from its backlog.
+func (p *Pool) penalty(s registry.Server, zone string, now time.Time) time.Duration {
+	cost := time.Duration(float64(p.cfg.Failure) * p.outliers.Failing(s.ID, now))
 	if s.Zone != zone {
-		cost += p.cfg.Zone
+		cost += p.cfg.CrossZone
 	}
 	if p.outliers.Suspect(s.ID, now) {
-		cost += p.cfg.Failing
+		cost += p.cfg.Failure
 	}
 	return cost
 }
 
-// perToken is the time in which an engine reads a token.
+// perToken is the time in which an engine prefills one token.
 func (p *Pool) perToken() time.Duration {
 	if rate := p.rate.TokensPerSecond(); rate > 0 {
 		return time.Duration(float64(time.Second) / rate)
@@ -185,78 +189,78 @@
 }
 
 const (
-	// slowLife is how long an engine counts as slow after a reading: those that turned slow
-	// are tried again in time.
-	slowLife = 3 * time.Second
-	// slowShare is what the newest reading counts.
-	slowShare = 0.3
-	// slowMost bounds what one reading can say.
-	slowMost = 20
+	// slowdownTTL is how long an engine counts as slow after a prefill, so that slow engines are
+	// tried again.
+	slowdownTTL = 3 * time.Second
+	// slowdownWeight is the weight of the latest prefill in the moving average.
+	slowdownWeight = 0.3
+	// maxSlowdown bounds the effect of one prefill.
+	maxSlowdown = 20
 )
 
-func (r *reader) slowness(now time.Time) float64 {
-	if r.slow <= 1 || now.Sub(r.seen) >= slowLife {
+func (r *engine) currentSlowdown(now time.Time) float64 {
+	if r.slowdown <= 1 || now.Sub(r.observedAt) >= slowdownTTL {
 		return 1
 	}
-	return r.slow
+	return r.slowdown
 }
 
-// Begin notes that a prompt was sent to an engine.
-func (p *Pool) Begin(id string, tokens int) { p.reader(id).own += tokens }
+// Begin records that a prompt was sent to an engine.
+func (p *Pool) Begin(id string, tokens int) { p.engine(id).own += tokens }
 
-// End notes how the reading that began ended, and how long it took.
+// End records the outcome and the duration of a prefill for which Begin was called.
 func (p *Pool) End(c Choice, tokens int, ok bool, took time.Duration, now time.Time) {
-	r := p.reader(c.Server.ID)
+	r := p.engine(c.Server.ID)
 	r.own = max(r.own-tokens, 0)
 	p.outliers.Observe(c.Server.ID, ok, now)
 	if ok {
 		p.rate.Observe(tokens, took)
 	}
-	ratio := min(took.Seconds()/max(c.Expected.Seconds(), time.Millisecond.Seconds()), slowMost)
-	r.slow = (1-slowShare)*r.slowness(now) + slowShare*ratio
-	r.seen = now
+	ratio := min(took.Seconds()/max(c.Expected.Seconds(), time.Millisecond.Seconds()), maxSlowdown)
+	r.slowdown = (1-slowdownWeight)*r.currentSlowdown(now) + slowdownWeight*ratio
+	r.observedAt = now
 }
 
-// BackOff notes that what an engine read can't be fetched.
-func (p *Pool) BackOff(id string, now time.Time) { p.reader(id).shunned = now.Add(p.cfg.Shun) }
+// BackOff records that an export of an engine can't be fetched.
+func (p *Pool) BackOff(id string, now time.Time) { p.engine(id).avoidUntil = now.Add(p.cfg.BackOff) }
 
-// SetPeerLoad takes the tokens that all other routers sent to an engine.
+// SetPeerLoad sets the tokens that all other routers sent to an engine.
 func (p *Pool) SetPeerLoad(id string, tokens int) {
-	r, ok := p.readers[id]
+	r, ok := p.engines[id]
 	if !ok && tokens > 0 {
-		r = p.reader(id)
+		r = p.engine(id)
 	}
 	if r != nil {
 		r.others = tokens
 	}
 }
 
-// OwnLoad is the tokens that this router sent to an engine and that were not read yet.
+// OwnLoad returns the tokens that this router sent to an engine and that are not prefilled yet.
 func (p *Pool) OwnLoad(id string) int {
-	if r, ok := p.readers[id]; ok {
+	if r, ok := p.engines[id]; ok {
 		return r.own
 	}
 	return 0
 }
 
-// TokensPerSecond is the tokens that one engine reads in a second; zero while it is not known.
+// TokensPerSecond returns the prefill rate of one engine; zero while it is unknown.
 func (p *Pool) TokensPerSecond() float64 { return p.rate.TokensPerSecond() }
 
-// Forget drops engines that keep does not want.
+// Forget drops the engines for which keep returns false.
 func (p *Pool) Forget(keep func(id string) bool) {
 	p.outliers.Forget(keep)
-	for id, r := range p.readers {
+	for id, r := range p.engines {
 		if !keep(id) && r.own == 0 {
-			delete(p.readers, id)
+			delete(p.engines, id)
 		}
 	}
 }
 
-func (p *Pool) reader(id string) *reader {
-	r, ok := p.readers[id]
+func (p *Pool) engine(id string) *engine {
+	r, ok := p.engines[id]
 	if !ok {
-		r = &reader{home: affinity.Of(p.seed, id)}
-		p.readers[id] = r
+		r = &engine{preference: affinity.Of(p.seed, id)}
+		p.engines[id] = r
 	}
 	return r
 }
--- a/policy/prefillpool/prefillpool_test.go
+++ b/policy/prefillpool/prefillpool_test.go
@@ -25,80 +25,80 @@
 
 func TestPick(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		set  func(p *prefillpool.Pool)
-		ask  prefillpool.Request
-		want string
+		name    string
+		setUp   func(p *prefillpool.Pool)
+		request prefillpool.Request
+		want    string
 	}{
 		{"the own zone", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z2", SlotLoad: 1}, "b"},
-		{"the shorter line", func(p *prefillpool.Pool) { p.Begin("a", 5000) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "b"},
-		{"lines of other routers count", func(p *prefillpool.Pool) { p.SetPeerLoad("b", 9000) }, prefillpool.Request{Tokens: 5000, Zone: "z2", SlotLoad: 1}, "a"},
+		{"the shorter backlog", func(p *prefillpool.Pool) { p.Begin("a", 5000) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "b"},
+		{"backlogs reported by peers count", func(p *prefillpool.Pool) { p.SetPeerLoad("b", 9000) }, prefillpool.Request{Tokens: 5000, Zone: "z2", SlotLoad: 1}, "a"},
 		{"excluded", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Exclude: []string{"a"}}, "b"},
 		{"exports can't be fetched", func(p *prefillpool.Pool) { p.BackOff("a", start) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "b"},
-		{"long lines: an empty decode engine reads it", lines(12_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 0}, ""},
-		{"long lines: a full decode engine doesn't", lines(12_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "a"},
-		{"very long lines: a full one does", lines(60_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, ""},
+		{"long backlogs: an idle decode engine prefills", backlogs(12_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 0}, ""},
+		{"long backlogs: a full decode engine doesn't", backlogs(12_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, "a"},
+		{"very long backlogs: a full one does", backlogs(60_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, ""},
 		{"no memory left at one", func(p *prefillpool.Pool) { p.SetPeerLoad("a", 24_000) }, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 28_000}, "b"},
-		{"no memory left", lines(24_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 28_000}, ""},
-		{"larger than the memory, and alone", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 4000}, "a"},
+		{"no memory left", backlogs(24_000), prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 28_000}, ""},
+		{"larger than the memory of an idle engine", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1, Memory: 4000}, "a"},
 		{"none is left", func(*prefillpool.Pool) {}, prefillpool.Request{Tokens: 5000, Zone: "z1", Exclude: []string{"a", "b"}}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
 			p.Pick(servers, prefillpool.Request{Tokens: 1, SlotLoad: 1}, start)
-			c.set(p)
-			got, ok := p.Pick(servers, c.ask, ms(1))
+			c.setUp(p)
+			got, ok := p.Pick(servers, c.request, ms(1))
 			assert.Equal(t, ok, c.want != "")
 			assert.Equal(t, got.Server.ID, c.want)
 		})
 	}
 }
 
-// lines puts that many tokens before both engines.
-func lines(tokens int) func(p *prefillpool.Pool) {
+// backlogs sets that many tokens as the backlog of both engines.
+func backlogs(tokens int) func(p *prefillpool.Pool) {
 	return func(p *prefillpool.Pool) {
 		p.SetPeerLoad("a", tokens)
 		p.SetPeerLoad("b", tokens)
 	}
 }
 
-// TestLimitGrowsWithTheLine: a prompt that has to wait behind others is not given up as if its
-// engine were mute.
-func TestLimitGrowsWithTheLine(t *testing.T) {
+// TestTimeoutGrowsWithBacklog: a prompt that waits behind others is not given up as if its engine
+// were unresponsive.
+func TestTimeoutGrowsWithBacklog(t *testing.T) {
 	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
 	idle, _ := p.Pick(servers, prefillpool.Request{Tokens: 5000, SlotLoad: 1}, start)
 	assert.Equal(t, idle.Timeout, 600*time.Millisecond)
-	lines(40_000)(p)
+	backlogs(40_000)(p)
 	busy, ok := p.Pick(servers, prefillpool.Request{Tokens: 5000, SlotLoad: 1}, start)
 	assert.Assert(t, ok)
 	assert.Assert(t, busy.Timeout >= 3*busy.Expected && busy.Expected >= 900*time.Millisecond, "%v, %v", busy.Timeout, busy.Expected)
 }
 
-// TestSlowEngine: one that turned slow gets fewer prompts, and is tried again in time.
+// TestSlowEngine: an engine that became slow gets fewer prompts, and is tried again later.
 func TestSlowEngine(t *testing.T) {
 	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
-	ask := prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}
+	request := prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}
 	for i := range 3 {
-		c, _ := p.Pick(servers[:1], ask, ms(i))
+		c, _ := p.Pick(servers[:1], request, ms(i))
 		p.Begin("a", 5000)
 		p.End(c, 5000, true, 8*c.Expected, ms(i))
 	}
-	got, _ := p.Pick(servers, ask, ms(10))
+	got, _ := p.Pick(servers, request, ms(10))
 	assert.Equal(t, got.Server.ID, "b")
-	got, _ = p.Pick(servers, ask, ms(10_000))
-	assert.Equal(t, got.Server.ID, "a", "its zone, and it may be well again")
+	got, _ = p.Pick(servers, request, ms(10_000))
+	assert.Equal(t, got.Server.ID, "a", "in its zone, and may have recovered")
 }
 
-// TestBurstOfPrompts replays two seconds of prompts, at five routers, of about what three
-// engines read: with lines told, fewer prompts are read later than in half a second.
+// TestBurstOfPrompts replays two seconds of prompts at five routers, at about the rate of three
+// engines: with reported backlogs, fewer prompts take longer than half a second.
 func TestBurstOfPrompts(t *testing.T) {
-	told, alone := late(true), late(false)
-	t.Logf("late: %d with lines told, %d without", told, alone)
-	assert.Assert(t, 2*told < alone)
+	reported, unreported := countLate(true), countLate(false)
+	t.Logf("late: %d with reported backlogs, %d without", reported, unreported)
+	assert.Assert(t, 2*reported < unreported)
 }
 
-// late plays the burst and counts the prompts that are read too late.
-func late(tell bool) int {
+// countLate runs the burst and counts the prompts that are prefilled too late.
+func countLate(report bool) int {
 	const (
 		routers  = 5
 		perToken = 20 * time.Microsecond
@@ -119,20 +119,20 @@
 		at     time.Time
 		router int
 	}
-	var open []sent
-	free := map[string]time.Time{}
+	var inProgress []sent
+	freeAt := map[string]time.Time{}
 	count := 0
 	for now := start; now.Before(ms(4000)); now = now.Add(time.Millisecond) {
 		var left []sent
-		for _, s := range open {
+		for _, s := range inProgress {
 			if now.Before(s.end) {
 				left = append(left, s)
 				continue
 			}
 			pools[s.router].End(s.choice, s.tokens, true, s.end.Sub(s.at), now)
 		}
-		open = left
-		if tell {
+		inProgress = left
+		if report {
 			for _, s := range list {
 				for i, p := range pools {
 					others := 0
@@ -156,12 +156,12 @@
 		}
 		pools[router].Begin(c.Server.ID, tokens)
 		began := now
-		if free[c.Server.ID].After(now) {
-			began = free[c.Server.ID]
+		if freeAt[c.Server.ID].After(now) {
+			began = freeAt[c.Server.ID]
 		}
 		end := began.Add(time.Duration(tokens) * perToken)
-		free[c.Server.ID] = end
-		open = append(open, sent{c, tokens, end, now, router})
+		freeAt[c.Server.ID] = end
+		inProgress = append(inProgress, sent{c, tokens, end, now, router})
 		if end.Sub(now) > tooLate {
 			count++
 		}
@@ -169,8 +169,8 @@
 	return count
 }
 
-// TestToldBeforeSeen: lines that others told of count from the first look at an engine on.
-func TestToldBeforeSeen(t *testing.T) {
+// TestPeerLoadBeforeFirstPick: backlogs reported by peers count from the first use of an engine on.
+func TestPeerLoadBeforeFirstPick(t *testing.T) {
 	p := prefillpool.New(prefillpool.DefaultConfig(), "edge-1")
 	p.SetPeerLoad("a", 30_000)
 	got, ok := p.Pick(servers, prefillpool.Request{Tokens: 5000, Zone: "z1", SlotLoad: 1}, start)
@@ -178,22 +178,23 @@
 	assert.Equal(t, got.Server.ID, "b")
 }
 
-// TestNeverSelf: with the mechanism off, no line is too long.
-func TestNeverSelf(t *testing.T) {
+// TestDecodePrefillDisabled: with the mechanism off, no backlog of the prefill engines is too long.
+func TestDecodePrefillDisabled(t *testing.T) {
 	cfg := prefillpool.DefaultConfig()
 	cfg.DecodePrefillFactor = 0
 	p := prefillpool.New(cfg, "edge-1")
-	lines(1_000_000)(p)
+	backlogs(1_000_000)(p)
 	_, ok := p.Pick(servers, prefillpool.Request{Tokens: 5000}, start)
 	assert.Assert(t, ok)
 	_, ok = p.Pick(servers, prefillpool.Request{Tokens: 5000, Exclude: []string{"a", "b"}}, start)
 	assert.Assert(t, !ok, "none is left")
 }
 
-// TestRoutersThatHaveJustStartedSpread: all routers end at once, and start with a second of requests before them. None knows
-// what the others send. All sent their prompts to the same few engines, which refused what did not fit their memory: 123 of
-// some 150 in two seconds, each at the cost of a repeat.
-func TestRoutersThatHaveJustStartedSpread(t *testing.T) {
+// TestRestartedRoutersSpreadPrompts: all routers terminate at once and restart with a second of
+// requests queued, without reports from each other. All sent their prompts to the same few engines,
+// which rejected what did not fit their memory: 123 of some 150 in two seconds, each at the cost of
+// a retry.
+func TestRestartedRoutersSpreadPrompts(t *testing.T) {
 	const routers, engines, memory, prompt = 29, 9, 28_000, 3000
 	var list []registry.Server
 	for i := range engines {
--- a/policy/retry/budget.go
+++ b/policy/retry/budget.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Budget sets how much may be retried.
+// Budget configures a retry budget, which is a token bucket.
 type Budget struct {
 	// Ratio is what one success adds; it is the share of retries in the long run.
 	Ratio float64
-	// Floor is what every second adds, so that a customer with few requests can
-	// retry as well.
-	Floor float64
-	// Burst is the most that is kept, and what a budget starts with.
+	// PerSecond is what every second adds, so that a customer with few requests can retry as
+	// well.
+	PerSecond float64
+	// Burst is the capacity of a budget, and what it starts with.
 	Burst float64
-	// HalfLife is the time in which credit above Burst/2 halves its excess, so
-	// that a good hour doesn't pay for a storm; zero means never.
+	// HalfLife is the time in which the excess over Burst/2 halves, so that credit from an hour
+	// without failures doesn't pay for a retry storm; zero means never.
 	HalfLife time.Duration
 }
 
@@ -30,18 +30,18 @@
 	b.tokens = min(b.tokens+cfg.Ratio, cfg.Burst)
 }
 
-// wait returns how long it takes until cost is there from the floor alone; zero
-// means that it is there now.
-func (b *bucket) wait(cfg Budget, cost float64, now time.Time) time.Duration {
+// waitFor returns how long it takes until PerSecond alone has made up the cost; zero means
+// that the budget covers it now.
+func (b *bucket) waitFor(cfg Budget, cost float64, now time.Time) time.Duration {
 	b.advance(cfg, now)
 	missing := cost - b.tokens
 	if missing <= 0 {
 		return 0
 	}
-	if cfg.Floor <= 0 {
+	if cfg.PerSecond <= 0 {
 		return time.Second
 	}
-	return max(time.Duration(missing/cfg.Floor*float64(time.Second)), time.Millisecond)
+	return max(time.Duration(missing/cfg.PerSecond*float64(time.Second)), time.Millisecond)
 }
 
 func (b *bucket) advance(cfg Budget, now time.Time) {
@@ -54,7 +54,7 @@
 		return
 	}
 	b.at = now
-	b.tokens = min(decayed(cfg, b.tokens, elapsed)+cfg.Floor*elapsed.Seconds(), cfg.Burst)
+	b.tokens = min(decayed(cfg, b.tokens, elapsed)+cfg.PerSecond*elapsed.Seconds(), cfg.Burst)
 }
 
 func decayed(cfg Budget, tokens float64, elapsed time.Duration) float64 {
--- a/policy/retry/example_test.go
+++ b/policy/retry/example_test.go
@@ -8,8 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/retry"
 )
 
-// A request that may not be repeated is tried again only when it is proved that
-// the attempt did not run.
+// A request that may not be repeated is retried only if the attempt provably did not run.
 func Example() {
 	policy := retry.New(retry.DefaultConfig())
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -22,7 +21,7 @@
 			Unrepeatable: true,
 			Attempts:     []retry.Attempt{{Backends: []string{"vm-1"}, Outcome: end}},
 		}, now)
-		fmt.Println(end, "again:", d.Action == retry.Again, "without:", d.ExcludeIDs)
+		fmt.Println(end, "again:", d.Action == retry.Restart, "without:", d.ExcludeIDs)
 	}
 	// Output:
 	// not_run:no_decode_place again: true without: [vm-1]
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -1,11 +1,11 @@
-// Package retry decides what follows when an attempt at a request has ended: the
-// final answer at once, or another attempt elsewhere.
+// Package retry decides what follows when an attempt at a request has ended: the final outcome
+// at once, or another attempt at another server.
 //
-// Only what may be repeated, or is proved not to have run, is tried again. Each
-// further attempt is paid from two budgets, the customer's and the global one,
-// which successes fill; so retries stay a bounded share of the work however many
-// servers fail at once. A Policy is not safe for concurrent use; the caller locks
-// it. Time is passed in and nothing is random.
+// Only a request that may be repeated, or that provably did not run, is retried. Each further
+// attempt is charged to two retry budgets (token buckets), the customer's and the global one,
+// which successes fill; so retries stay a bounded share of the work however many servers fail
+// at once. A Policy is not safe for concurrent use; the caller locks it. It takes the time from
+// its caller and uses no random numbers.
 package retry
 
 import (
@@ -19,46 +19,46 @@
 
 // Actions.
 const (
-	// Finish gives the final outcome to the caller at once.
+	// Finish returns the final outcome to the caller at once.
 	Finish Action = iota + 1
-	// Again starts a new attempt from the beginning.
-	Again
+	// Restart starts a new attempt from the beginning.
+	Restart
 	// Resume starts a new attempt at an output position.
 	Resume
 )
 
-// Denial says why there is no further attempt, for counting.
+// Denial is the reason why there is no further attempt, for metrics.
 type Denial string
 
-// Denials. The empty one means that there is a further attempt, or none needed.
+// Denials. The empty one means that there is a further attempt, or that none is needed.
 const (
-	Completed      Denial = "completed"
-	NotRetryable   Denial = "not_retryable"
-	Unrepeatable   Denial = "unrepeatable"
-	TooMany        Denial = "attempts"
-	NoTime         Denial = "deadline"
-	CustomerBudget Denial = "customer_budget"
-	GlobalBudget   Denial = "global_budget"
-	NoServer       Denial = "no_server"
+	Completed       Denial = "completed"
+	NotRetryable    Denial = "not_retryable"
+	Unrepeatable    Denial = "unrepeatable"
+	TooManyAttempts Denial = "attempts"
+	DeadlineTooSoon Denial = "deadline"
+	CustomerBudget  Denial = "customer_budget"
+	GlobalBudget    Denial = "global_budget"
+	NoServer        Denial = "no_server"
 )
 
-// Denials lists every denial, for the registration of metrics.
+// Denials returns every denial, for the registration of metrics.
 func Denials() []Denial {
-	return []Denial{Completed, NotRetryable, Unrepeatable, TooMany, NoTime, CustomerBudget, GlobalBudget, NoServer}
+	return []Denial{Completed, NotRetryable, Unrepeatable, TooManyAttempts, DeadlineTooSoon, CustomerBudget, GlobalBudget, NoServer}
 }
 
-// Attempt is one that has ended.
+// Attempt is an attempt that has ended.
 type Attempt struct {
-	// Backends are the servers at fault, or those that refused; Zones are theirs.
+	// Backends are the servers that failed or rejected the attempt; Zones are theirs.
 	Backends []string
 	Zones    []string
 	Outcome  outcome.Outcome
-	// WorkDone tells that prefill or decode work was done in vain. An attempt
-	// without it costs little of the budget.
+	// WorkDone is set when prefill or decode work was wasted. Another attempt after one without
+	// wasted work costs little of the budget.
 	WorkDone bool
 }
 
-// Request is the request as it stands.
+// Request is the current state of a request.
 type Request struct {
 	Customer     string
 	Unrepeatable bool
@@ -66,51 +66,51 @@
 	Deadline time.Time
 	// Position is the number of output tokens received so far, without a gap.
 	Position int
-	// Attempts are all that have ended, the latest last. There is at least one.
+	// Attempts are all attempts that have ended, the latest last. There is at least one.
 	Attempts []Attempt
-	// Expected is the time that a further attempt is expected to need.
+	// Expected is the expected duration of a further attempt.
 	Expected time.Duration
 }
 
 // Decision is what to do next.
 type Decision struct {
 	Action Action
-	// Outcome is final; it is set when Action is Finish.
+	// Outcome is the final outcome; it is set when Action is Finish.
 	Outcome outcome.Outcome
 	// Denial is set when Action is Finish.
 	Denial Denial
 	// Position is the first output position wanted; it is set when Action is Resume.
 	Position int
-	// ExcludeIDs are the backend servers that must not be chosen, and AvoidZones
-	// the zones that should not.
+	// ExcludeIDs are the backend servers that must not be chosen, AvoidZones the zones that
+	// should not be.
 	ExcludeIDs, AvoidZones []string
 }
 
 // Config bounds retries.
 type Config struct {
-	// Attempts is the most attempts at one request, the first included.
+	// Attempts is the maximum number of attempts at one request, the first included.
 	Attempts int
 	// Customer and Global are the two budgets.
 	Customer, Global Budget
-	// RefusalCost is what a further attempt costs after one that did no work,
-	// as a part of what it costs otherwise.
+	// RefusalCost is the cost of a further attempt after one that did no work, as a fraction of
+	// the usual cost.
 	RefusalCost float64
-	// RetryAfter is stated when neither the outcome nor a budget gives a time.
+	// RetryAfter is the delay that is stated when neither the outcome nor a budget gives one.
 	RetryAfter time.Duration
 }
 
-// DefaultConfig lets retries be a tenth of the successes of each customer.
+// DefaultConfig limits retries to a tenth of the successes of each customer.
 func DefaultConfig() Config {
 	return Config{
 		Attempts:    4,
-		Customer:    Budget{Ratio: 0.1, Floor: 0.5, Burst: 10, HalfLife: 10 * time.Second},
-		Global:      Budget{Ratio: 0.1, Floor: 2, Burst: 50, HalfLife: 10 * time.Second},
+		Customer:    Budget{Ratio: 0.1, PerSecond: 0.5, Burst: 10, HalfLife: 10 * time.Second},
+		Global:      Budget{Ratio: 0.1, PerSecond: 2, Burst: 50, HalfLife: 10 * time.Second},
 		RefusalCost: 0.1,
 		RetryAfter:  time.Second,
 	}
 }
 
-// Policy decides on retries and keeps the budgets.
+// Policy decides on retries and holds the budgets.
 type Policy struct {
 	cfg       Config
 	global    bucket
@@ -131,8 +131,8 @@
 // Forget drops the budget of a customer whose contract was withdrawn.
 func (p *Policy) Forget(customer string) { delete(p.customers, customer) }
 
-// Decide says what follows the latest attempt, and takes the cost of a further
-// one from the budgets.
+// Decide returns what follows the latest attempt, and charges the cost of a further one to the
+// budgets.
 func (p *Policy) Decide(req Request, now time.Time) Decision {
 	last := req.Attempts[len(req.Attempts)-1]
 	if d := p.denied(&req, &last, now); d != "" {
@@ -141,21 +141,21 @@
 	if d, wait := p.charge(&req, &last, now); d != "" {
 		return p.finish(&req, d, wait)
 	}
-	d := Decision{Action: Again}
+	d := Decision{Action: Restart}
 	if req.Position > 0 {
 		d = Decision{Action: Resume, Position: req.Position}
 	}
-	d.ExcludeIDs, d.AvoidZones = avoid(req.Attempts)
+	d.ExcludeIDs, d.AvoidZones = serversToAvoid(req.Attempts)
 	return d
 }
 
-// Conclude returns the final outcome of a request for whose next attempt there is
-// no server. The latest attempt is that refusal.
+// Conclude returns the final outcome of a request when there is no server for its next
+// attempt. The latest attempt is that rejection.
 func (p *Policy) Conclude(req Request) outcome.Outcome {
 	return p.finish(&req, NoServer, 0).Outcome
 }
 
-// denied returns why no further attempt may be made, budgets apart.
+// denied returns why no further attempt may be made, apart from the budgets.
 func (p *Policy) denied(req *Request, last *Attempt, now time.Time) Denial {
 	o := last.Outcome
 	switch {
@@ -166,25 +166,25 @@
 	case !o.Reason.Retryable():
 		return NotRetryable
 	case len(req.Attempts) >= p.cfg.Attempts:
-		return TooMany
+		return TooManyAttempts
 	case !req.Deadline.IsZero() && now.Add(req.Expected).After(req.Deadline):
-		return NoTime
+		return DeadlineTooSoon
 	default:
 		return ""
 	}
 }
 
-// charge takes the cost from both budgets or from none.
+// charge takes the cost from both budgets or from neither.
 func (p *Policy) charge(req *Request, last *Attempt, now time.Time) (Denial, time.Duration) {
 	cost := 1.0
 	if !last.WorkDone {
 		cost = p.cfg.RefusalCost
 	}
 	customer := p.customer(req.Customer)
-	if wait := customer.wait(p.cfg.Customer, cost, now); wait > 0 {
+	if wait := customer.waitFor(p.cfg.Customer, cost, now); wait > 0 {
 		return CustomerBudget, wait
 	}
-	if wait := p.global.wait(p.cfg.Global, cost, now); wait > 0 {
+	if wait := p.global.waitFor(p.cfg.Global, cost, now); wait > 0 {
 		return GlobalBudget, wait
 	}
 	customer.tokens -= cost
@@ -192,16 +192,16 @@
 	return "", 0
 }
 
-// finish makes the final outcome of all attempts. A caller that may ask again is
-// told when; the reason of the last attempt stays but for a spent budget.
+// finish combines all attempts into the final outcome. A caller that may retry is told when;
+// the reason of the last attempt stays unless a budget is spent.
 func (p *Policy) finish(req *Request, d Denial, wait time.Duration) Decision {
 	o := req.Attempts[len(req.Attempts)-1].Outcome
-	o.Kind = known(req.Attempts)
+	o.Kind = overallKind(req.Attempts)
 	if d == CustomerBudget || d == GlobalBudget {
 		o.Detail = string(o.Reason) + " " + o.Detail
 		o.Reason = outcome.RetryBudgetSpent
 	}
-	if mayComeBack(req, o) {
+	if callerMayRetry(req, o) {
 		o.RetryAfter = max(o.RetryAfter, wait)
 		if o.RetryAfter == 0 {
 			o.RetryAfter = p.cfg.RetryAfter
@@ -210,18 +210,18 @@
 	return Decision{Action: Finish, Outcome: o, Denial: d}
 }
 
-// mayComeBack reports whether the caller may send the request again: never one
-// that is unrepeatable and may have run.
-func mayComeBack(req *Request, o outcome.Outcome) bool {
+// callerMayRetry reports whether the caller may send the request again: never if the request
+// is unrepeatable and may have run.
+func callerMayRetry(req *Request, o outcome.Outcome) bool {
 	if o.Kind == outcome.Completed || req.Unrepeatable && o.Kind != outcome.NotRun {
 		return false
 	}
 	return o.Reason.Retryable() || o.Reason == outcome.RetryBudgetSpent
 }
 
-// known returns what is known of the request as a whole: it was not run only
-// when no attempt was.
-func known(attempts []Attempt) outcome.Kind {
+// overallKind returns the outcome of the request as a whole: it did not run only if no attempt
+// did.
+func overallKind(attempts []Attempt) outcome.Kind {
 	kind := attempts[len(attempts)-1].Outcome.Kind
 	if kind != outcome.NotRun {
 		return kind
--- a/policy/retrybudget/retrybudget_test.go
+++ b/policy/retrybudget/retrybudget_test.go
@@ -13,27 +13,27 @@
 
 var start = time.Unix(1000, 0)
 
-// replay sends requests at a rate for a time, each of which is sent again if that is
-// allowed, and returns the times of the repeats.
+// replay sends requests at a rate for a time, retries each of them if that is allowed, and
+// returns the times of the retries.
 func replay(budgets []*retrybudget.Budget, from time.Time, perSecond int, d time.Duration) []time.Time {
-	var repeats []time.Time
+	var retries []time.Time
 	step := time.Second / time.Duration(perSecond)
 	for i, now := 0, from; now.Before(from.Add(d)); i, now = i+1, now.Add(step) {
 		b := budgets[i%len(budgets)]
 		b.AddRequest(limits, now)
 		if b.TryRetry(limits, len(budgets), now) {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
-	return repeats
+	return retries
 }
 
-// worst is the largest number of repeats within one window.
-func worst(repeats []time.Time) int {
+// maxPerWindow returns the largest number of retries within one window.
+func maxPerWindow(retries []time.Time) int {
 	most := 0
-	for i, from := range repeats {
+	for i, from := range retries {
 		n := 0
-		for _, r := range repeats[i:] {
+		for _, r := range retries[i:] {
 			if r.Sub(from) < limits.Window {
 				n++
 			}
@@ -51,30 +51,30 @@
 	return out
 }
 
-// TestEveryAnswerLost replays a service all of whose answers are lost while load is
-// steady, at one router and at several.
+// TestEveryAnswerLost replays a service that loses every answer under steady load, at one
+// router and at several.
 func TestEveryAnswerLost(t *testing.T) {
 	for _, n := range []int{1, 4, 26} {
-		repeats := replay(budgets(n), start, 60, time.Minute)
+		retries := replay(budgets(n), start, 60, time.Minute)
 		bound := int(limits.Ratio*600 + limits.Slack)
-		assert.Assert(t, worst(repeats) <= bound, "%d routers: %d of %d", n, worst(repeats), bound)
-		assert.Assert(t, worst(repeats) >= bound/2, "%d routers: %d of %d", n, worst(repeats), bound)
+		assert.Assert(t, maxPerWindow(retries) <= bound, "%d routers: %d of %d", n, maxPerWindow(retries), bound)
+		assert.Assert(t, maxPerWindow(retries) >= bound/2, "%d routers: %d of %d", n, maxPerWindow(retries), bound)
 	}
 }
 
-// TestRestart replays a loss of power after which all routers start with nothing known:
-// what the ones before them spent still counts.
+// TestRestart replays a power failure after which all routers start without state: the retries
+// of the processes before them still count.
 func TestRestart(t *testing.T) {
 	before := replay(budgets(4), start, 20, 25*time.Second)
 	after := replay(budgets(4), start.Add(25500*time.Millisecond), 20, 30*time.Second)
 	bound := int(limits.Ratio*200 + limits.Slack)
-	got := worst(append(before, after...))
+	got := maxPerWindow(append(before, after...))
 	assert.Assert(t, got <= bound, "%d of %d", got, bound)
 }
 
 func TestIdleBudgetAllowsLittle(t *testing.T) {
 	b := &retrybudget.Budget{}
-	assert.Assert(t, !b.TryRetry(limits, 4, start), "nothing was requested yet")
+	assert.Assert(t, !b.TryRetry(limits, 4, start), "no request was counted yet")
 	b.AddRequest(limits, start)
 	later := start.Add(20 * time.Second)
 	n := 0
--- a/policy/waitqueue/waitqueue.go
+++ b/policy/waitqueue/waitqueue.go
@@ -1,15 +1,14 @@
-// Package waitqueue is the line of requests for which no engine has room.
+// Package waitqueue queues requests for which no engine has free memory.
 //
-// Load pattern: for some seconds requests arrive about twice as fast as memory is
-// freed. An answer is worth most to its caller when it begins within the route's
-// objective, and a fraction of that when it begins later. A line in order of arrival
-// then serves everybody late. So a request waits in front while it can still begin in
-// time, oldest first; once it can't, it is told at once when to come back, unless it
-// has come back already: then nothing is lost by waiting, and it takes what those in
-// front leave over.
+// Load pattern: for some seconds requests arrive about twice as fast as memory is freed. An
+// answer is worth most to its caller when it begins within the route's latency objective, and
+// a fraction of that when it begins later. A FIFO queue then serves every request late. So a
+// request waits at the front, oldest first, while it can still begin in time. Once it can't,
+// it is rejected at once with the time of its retry, unless it is a retry already: then
+// waiting loses nothing, and it gets the memory that the requests ahead of it leave over.
 //
-// A Line is deterministic and takes the time from its caller. It is not safe for
-// concurrent use.
+// A Queue is deterministic and takes the time from its caller. It is not safe for concurrent
+// use.
 package waitqueue
 
 import (
@@ -17,32 +16,33 @@
 	"time"
 )
 
-// Waiter is one waiting request.
+// Waiter is a queued request.
 type Waiter struct {
-	// Need is the memory that it needs, in tokens.
+	// Need is the memory that the request needs, in tokens.
 	Need int
-	// Arrived is when it came; GiveUpAt is when it gives up.
+	// Arrived is when the request arrived, GiveUpAt when it stops waiting.
 	Arrived, GiveUpAt time.Time
-	// Late is set when it can't be answered within its objective any more.
+	// Late is set when the request can't be answered within its latency objective any more.
 	Late bool
-	// Exclude are engines that must not get the request.
+	// Exclude lists the engines that must not get the request.
 	Exclude []string
-	// Priority is the rank of its route; zero is the most urgent.
+	// Priority is that of its route; zero is the most urgent.
 	Priority int
 }
 
-// Queue is the waiting requests.
+// Queue holds the waiting requests in the order in which they are served.
 type Queue struct {
 	waiters []*Waiter
 }
 
-// Add puts a request into the line.
-func (l *Queue) Add(w *Waiter) {
-	i, _ := slices.BinarySearchFunc(l.waiters, w, compare)
-	l.waiters = slices.Insert(l.waiters, i, w)
+// Add queues a request.
+func (q *Queue) Add(w *Waiter) {
+	i, _ := slices.BinarySearchFunc(q.waiters, w, compare)
+	q.waiters = slices.Insert(q.waiters, i, w)
 }
 
-// compare orders by lateness, then rank, then arrival.
+// compare orders requests within their latency objective before late ones, then by priority,
+// then by arrival.
 func compare(a, b *Waiter) int {
 	switch {
 	case a.Late != b.Late:
@@ -57,36 +57,35 @@
 	}
 }
 
-// Remove takes a request out of the line and reports whether it was there.
-func (l *Queue) Remove(w *Waiter) bool {
-	i := slices.Index(l.waiters, w)
+// Remove takes a request out of the queue and reports whether it was queued.
+func (q *Queue) Remove(w *Waiter) bool {
+	i := slices.Index(q.waiters, w)
 	if i < 0 {
 		return false
 	}
-	l.waiters = slices.Delete(l.waiters, i, i+1)
+	q.waiters = slices.Delete(q.waiters, i, i+1)
 	return true
 }
 
-// Next takes out the first request that fits, or returns nil. A large request is not
-// passed by for ever: those behind it may go before it only while it has waited for
-// less than hold.
-func (l *Queue) Next(fits func(*Waiter) bool, hold time.Duration, now time.Time) *Waiter {
-	for i, w := range l.waiters {
+// Next removes and returns the first request that fits, or returns nil. To keep a large
+// request from starving, smaller ones may bypass it only until it has waited for maxBypass.
+func (q *Queue) Next(fits func(*Waiter) bool, maxBypass time.Duration, now time.Time) *Waiter {
+	for i, w := range q.waiters {
 		if fits(w) {
-			l.waiters = slices.Delete(l.waiters, i, i+1)
+			q.waiters = slices.Delete(q.waiters, i, i+1)
 			return w
 		}
-		if !w.Late && now.Sub(w.Arrived) >= hold {
+		if !w.Late && now.Sub(w.Arrived) >= maxBypass {
 			return nil
 		}
 	}
 	return nil
 }
 
-// Ahead is the memory, in tokens, that requests need which go before w.
-func (l *Queue) Ahead(w *Waiter) int {
+// Ahead returns the memory, in tokens, needed by the requests that are served before w.
+func (q *Queue) Ahead(w *Waiter) int {
 	sum := 0
-	for _, other := range l.waiters {
+	for _, other := range q.waiters {
 		if compare(other, w) <= 0 {
 			sum += other.Need
 		}
@@ -94,5 +93,5 @@
 	return sum
 }
 
-// Len is the number of waiting requests.
-func (l *Queue) Len() int { return len(l.waiters) }
+// Len returns the number of queued requests.
+func (q *Queue) Len() int { return len(q.waiters) }
