--- a/policy/catchup/catchup.go
+++ b/policy/catchup/catchup.go
@@ -33,13 +33,13 @@
 	OfferTTL time.Duration
 }
 
-// Planner is one process's state of the versions of others.
+// Planner holds what was offered to one process, and how long its own version is outdated.
 type Planner struct {
 	config  Config
 	sources map[string]source
 	// own is the version at the last decision, behindSince when a newer one became known.
-	own         int64
-	behindSince time.Time
+	own           int64
+	outdatedSince time.Time
 }
 
 type source struct {
@@ -74,15 +74,15 @@
 	maps.DeleteFunc(p.sources, func(_ string, s source) bool { return now.Sub(s.offeredAt) >= p.config.OfferTTL })
 	newest := p.newest()
 	if newest <= own {
-		p.own, p.behindSince = own, time.Time{}
+		p.own, p.outdatedSince = own, time.Time{}
 		return "", p.config.OfferTTL
 	}
 	// A process that makes progress by itself gets a new grace period.
-	if p.behindSince.IsZero() || own != p.own {
-		p.own, p.behindSince = own, now
+	if p.outdatedSince.IsZero() || own != p.own {
+		p.own, p.outdatedSince = own, now
 	}
-	if behindFor := now.Sub(p.behindSince); !storeLost && behindFor < p.config.Grace {
-		return "", p.config.Grace - behindFor
+	if outdatedFor := now.Sub(p.outdatedSince); !storeLost && outdatedFor < p.config.Grace {
+		return "", p.config.Grace - outdatedFor
 	}
 	ids, wait := p.available(newest, now)
 	if len(ids) > 0 {
@@ -101,7 +101,7 @@
 }
 
 // available returns the sources of a version that are not in cooldown, in order, and the time until
-// the next one is if there are none.
+// the next one is available if there are none.
 func (p *Planner) available(version int64, now time.Time) (ids []string, wait time.Duration) {
 	wait = p.config.Cooldown
 	for id, s := range p.sources {
--- a/policy/outputlength/outputlength.go
+++ b/policy/outputlength/outputlength.go
@@ -140,8 +140,8 @@
 		return
 	}
 	r.tokens = float64(tokens)
-	now := min(max(int(r.position(r.tokens)), 0), buckets-1)
-	for ; r.bucket < now; r.bucket++ {
+	target := min(max(int(r.position(r.tokens)), 0), buckets-1)
+	for ; r.bucket < target; r.bucket++ {
 		r.curve.reached[r.bucket+1]++
 		r.curve.stale = true
 	}
--- a/policy/outputlength/outputlength_test.go
+++ b/policy/outputlength/outputlength_test.go
@@ -94,8 +94,8 @@
 		last = got
 	}
 	assert.Equal(t, r.Survival(maxTokens), 0.0)
-	young := l.Begin(1000, maxTokens)
-	assert.Assert(t, r.Survival(1500) > young.Survival(1500), "a run that has generated more is likelier to continue")
+	shorter := l.Begin(1000, maxTokens)
+	assert.Assert(t, r.Survival(1500) > shorter.Survival(1500), "a run that has generated more is likelier to continue")
 }
 
 // TestSurvivalIsCalibrated: of many runs, as many exceed a length as was predicted when they were
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Pool is one router's state of the prefill engines of one service.
+// Pool is one router's local state about the prefill engines of one service.
 type Pool struct {
 	cfg Config
 	// seed is the name of this router.
@@ -75,9 +75,9 @@
 
 // engine is the state of one prefill engine.
 type engine struct {
-	// own and others are the tokens sent to it that are not prefilled yet, by this router and by
-	// its peers.
-	own, others int
+	// own and peers are the tokens that this router and its peers sent to it and that are not
+	// prefilled yet.
+	own, peers int
 	// avoidUntil is until when it gets no prompts.
 	avoidUntil time.Time
 	// preference is how much this router prefers it, in [0, 1).
@@ -127,12 +127,12 @@
 		if s.Stage != registry.Prefill || slices.Contains(q.Exclude, s.ID) {
 			continue
 		}
-		r := p.engine(s.ID)
-		if now.Before(r.avoidUntil) || r.outOfMemory(q) {
+		e := p.engine(s.ID)
+		if now.Before(e.avoidUntil) || e.outOfMemory(q) {
 			continue
 		}
-		expected := p.expected(r, q.Tokens, now)
-		cost := expected + p.penalty(s, q.Zone, now) + time.Duration(float64(p.cfg.Preference)*(1-r.preference))
+		expected := p.expected(e, q.Tokens, now)
+		cost := expected + p.penalty(s, q.Zone, now) + time.Duration(float64(p.cfg.Preference)*(1-e.preference))
 		avoided := q.Avoid != nil && q.Avoid(s.ID)
 		better := best.Server.ID == "" || bestAvoided && !avoided || avoided == bestAvoided && cost < lowest
 		if better && (q.Unavailable == nil || !q.Unavailable(s.ID)) {
@@ -148,8 +148,8 @@
 
 // outOfMemory reports whether an engine has no memory for one more prompt: it holds each from
 // its arrival until the export is fetched, and rejects what doesn't fit, at the cost of a retry.
-func (r *engine) outOfMemory(q Request) bool {
-	backlog := r.own + r.others
+func (e *engine) outOfMemory(q Request) bool {
+	backlog := e.own + e.peers
 	return q.Memory > 0 && backlog > 0 && backlog+q.Tokens > q.Memory
 }
 
@@ -163,9 +163,9 @@
 }
 
 // expected is the time in which an engine prefills its backlog and that many more tokens.
-func (p *Pool) expected(r *engine, tokens int, now time.Time) time.Duration {
-	backlog := float64(r.own + r.others + tokens)
-	return time.Duration(backlog * float64(p.perToken()) * r.currentSlowdown(now))
+func (p *Pool) expected(e *engine, tokens int, now time.Time) time.Duration {
+	backlog := float64(e.own + e.peers + tokens)
+	return time.Duration(backlog * float64(p.perToken()) * e.currentSlowdown(now))
 }
 
 // penalty is the cost of choosing an engine apart from its backlog.
@@ -198,11 +198,11 @@
 	maxSlowdown = 20
 )
 
-func (r *engine) currentSlowdown(now time.Time) float64 {
-	if r.slowdown <= 1 || now.Sub(r.observedAt) >= slowdownTTL {
+func (e *engine) currentSlowdown(now time.Time) float64 {
+	if e.slowdown <= 1 || now.Sub(e.observedAt) >= slowdownTTL {
 		return 1
 	}
-	return r.slowdown
+	return e.slowdown
 }
 
 // Begin records that a prompt was sent to an engine.
@@ -210,15 +210,15 @@
 
 // End records the outcome and the duration of a prefill for which Begin was called.
 func (p *Pool) End(c Choice, tokens int, ok bool, took time.Duration, now time.Time) {
-	r := p.engine(c.Server.ID)
-	r.own = max(r.own-tokens, 0)
+	e := p.engine(c.Server.ID)
+	e.own = max(e.own-tokens, 0)
 	p.outliers.Observe(c.Server.ID, ok, now)
 	if ok {
 		p.rate.Observe(tokens, took)
 	}
 	ratio := min(took.Seconds()/max(c.Expected.Seconds(), time.Millisecond.Seconds()), maxSlowdown)
-	r.slowdown = (1-slowdownWeight)*r.currentSlowdown(now) + slowdownWeight*ratio
-	r.observedAt = now
+	e.slowdown = (1-slowdownWeight)*e.currentSlowdown(now) + slowdownWeight*ratio
+	e.observedAt = now
 }
 
 // BackOff records that an export of an engine can't be fetched.
@@ -226,19 +226,19 @@
 
 // SetPeerLoad sets the tokens that all other routers sent to an engine.
 func (p *Pool) SetPeerLoad(id string, tokens int) {
-	r, ok := p.engines[id]
+	e, ok := p.engines[id]
 	if !ok && tokens > 0 {
-		r = p.engine(id)
+		e = p.engine(id)
 	}
-	if r != nil {
-		r.others = tokens
+	if e != nil {
+		e.peers = tokens
 	}
 }
 
 // OwnLoad returns the tokens that this router sent to an engine and that are not prefilled yet.
 func (p *Pool) OwnLoad(id string) int {
-	if r, ok := p.engines[id]; ok {
-		return r.own
+	if e, ok := p.engines[id]; ok {
+		return e.own
 	}
 	return 0
 }
@@ -249,18 +249,18 @@
 // Forget drops the engines for which keep returns false.
 func (p *Pool) Forget(keep func(id string) bool) {
 	p.outliers.Forget(keep)
-	for id, r := range p.engines {
-		if !keep(id) && r.own == 0 {
+	for id, e := range p.engines {
+		if !keep(id) && e.own == 0 {
 			delete(p.engines, id)
 		}
 	}
 }
 
 func (p *Pool) engine(id string) *engine {
-	r, ok := p.engines[id]
+	e, ok := p.engines[id]
 	if !ok {
-		r = &engine{preference: affinity.Of(p.seed, id)}
-		p.engines[id] = r
+		e = &engine{preference: affinity.Of(p.seed, id)}
+		p.engines[id] = e
 	}
-	return r
+	return e
 }
--- a/policy/prefillpool/prefillpool_test.go
+++ b/policy/prefillpool/prefillpool_test.go
@@ -135,13 +135,13 @@
 		if report {
 			for _, s := range list {
 				for i, p := range pools {
-					others := 0
+					peers := 0
 					for j, o := range pools {
 						if j != i {
-							others += o.OwnLoad(s.ID)
+							peers += o.OwnLoad(s.ID)
 						}
 					}
-					p.SetPeerLoad(s.ID, others)
+					p.SetPeerLoad(s.ID, peers)
 				}
 			}
 		}
--- a/policy/retry/budget.go
+++ b/policy/retry/budget.go
@@ -21,8 +21,8 @@
 
 // bucket is the state of one budget. The zero bucket is full.
 type bucket struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 func (b *bucket) credit(cfg Budget, now time.Time) {
@@ -45,15 +45,15 @@
 }
 
 func (b *bucket) advance(cfg Budget, now time.Time) {
-	if b.at.IsZero() {
-		b.tokens, b.at = cfg.Burst, now
+	if b.updatedAt.IsZero() {
+		b.tokens, b.updatedAt = cfg.Burst, now
 		return
 	}
-	elapsed := now.Sub(b.at)
+	elapsed := now.Sub(b.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	b.at = now
+	b.updatedAt = now
 	b.tokens = min(decayed(cfg, b.tokens, elapsed)+cfg.PerSecond*elapsed.Seconds(), cfg.Burst)
 }
 
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -92,9 +92,9 @@
 	Attempts int
 	// Customer and Global are the two budgets.
 	Customer, Global Budget
-	// RefusalCost is the cost of a further attempt after one that did no work, as a fraction of
+	// RejectionCost is the cost of a further attempt after one that did no work, as a fraction of
 	// the usual cost.
-	RefusalCost float64
+	RejectionCost float64
 	// RetryAfter is the delay that is stated when neither the outcome nor a budget gives one.
 	RetryAfter time.Duration
 }
@@ -102,11 +102,11 @@
 // DefaultConfig limits retries to a tenth of the successes of each customer.
 func DefaultConfig() Config {
 	return Config{
-		Attempts:    4,
-		Customer:    Budget{Ratio: 0.1, PerSecond: 0.5, Burst: 10, HalfLife: 10 * time.Second},
-		Global:      Budget{Ratio: 0.1, PerSecond: 2, Burst: 50, HalfLife: 10 * time.Second},
-		RefusalCost: 0.1,
-		RetryAfter:  time.Second,
+		Attempts:      4,
+		Customer:      Budget{Ratio: 0.1, PerSecond: 0.5, Burst: 10, HalfLife: 10 * time.Second},
+		Global:        Budget{Ratio: 0.1, PerSecond: 2, Burst: 50, HalfLife: 10 * time.Second},
+		RejectionCost: 0.1,
+		RetryAfter:    time.Second,
 	}
 }
 
@@ -178,7 +178,7 @@
 func (p *Policy) charge(req *Request, last *Attempt, now time.Time) (Denial, time.Duration) {
 	cost := 1.0
 	if !last.WorkDone {
-		cost = p.cfg.RefusalCost
+		cost = p.cfg.RejectionCost
 	}
 	customer := p.customer(req.Customer)
 	if wait := customer.waitFor(p.cfg.Customer, cost, now); wait > 0 {
@@ -219,8 +219,8 @@
 	return o.Reason.Retryable() || o.Reason == outcome.RetryBudgetSpent
 }
 
-// overallKind returns the outcome of the request as a whole: it did not run only if no attempt
-// did.
+// overallKind returns the kind of outcome of the request as a whole: it did not run only if no
+// attempt did.
 func overallKind(attempts []Attempt) outcome.Kind {
 	kind := attempts[len(attempts)-1].Outcome.Kind
 	if kind != outcome.NotRun {
--- a/policy/retrybudget/retrybudget_test.go
+++ b/policy/retrybudget/retrybudget_test.go
@@ -30,7 +30,7 @@
 
 // maxPerWindow returns the largest number of retries within one window.
 func maxPerWindow(retries []time.Time) int {
-	most := 0
+	highest := 0
 	for i, from := range retries {
 		n := 0
 		for _, r := range retries[i:] {
@@ -38,9 +38,9 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 func budgets(n int) []*retrybudget.Budget {
--- a/policy/waitqueue/policy.go
+++ b/policy/waitqueue/policy.go
@@ -39,7 +39,7 @@
 }
 
 // GiveUpAt returns when a request stops waiting: once it can no longer begin within its latency
-// objective or, if it is a retry, after LateWait or half of the time left.
+// objective or, if it is a retry, after LateWait but at most half of the time left.
 func (p Policy) GiveUpAt(arrived time.Time, objective, left time.Duration, prompt int, late bool) time.Time {
 	if late {
 		return arrived.Add(min(p.LateWait, left/2))
--- a/policy/waitqueue/waitqueue_test.go
+++ b/policy/waitqueue/waitqueue_test.go
@@ -26,35 +26,35 @@
 	first := &waitqueue.Waiter{Arrived: ms(10), Priority: 1}
 	second := &waitqueue.Waiter{Arrived: ms(20), Priority: 1}
 	retried := &waitqueue.Waiter{Arrived: ms(0), Priority: 0, Late: true}
-	var l waitqueue.Queue
+	var q waitqueue.Queue
 	for _, w := range []*waitqueue.Waiter{retried, second, urgent, first} {
-		l.Add(w)
+		q.Add(w)
 	}
 	for _, want := range []*waitqueue.Waiter{urgent, first, second, retried} {
-		assert.Equal(t, l.Next(fitsAlways, time.Second, ms(40)), want)
+		assert.Equal(t, q.Next(fitsAlways, time.Second, ms(40)), want)
 	}
-	assert.Assert(t, l.Next(fitsAlways, time.Second, ms(40)) == nil)
+	assert.Assert(t, q.Next(fitsAlways, time.Second, ms(40)) == nil)
 }
 
 func TestLargeRequestIsBypassedForLimitedTime(t *testing.T) {
-	var l waitqueue.Queue
+	var q waitqueue.Queue
 	large := &waitqueue.Waiter{Need: 10_000, Arrived: ms(0)}
 	small := &waitqueue.Waiter{Need: 3000, Arrived: ms(10)}
-	l.Add(large)
-	l.Add(small)
-	assert.Assert(t, l.Next(fitsUpTo(5000), 300*time.Millisecond, ms(301)) == nil, "memory is reserved for the large request")
-	assert.Equal(t, l.Next(fitsUpTo(5000), 300*time.Millisecond, ms(299)), small)
-	assert.Equal(t, l.Next(fitsUpTo(10_000), 300*time.Millisecond, ms(400)), large)
+	q.Add(large)
+	q.Add(small)
+	assert.Assert(t, q.Next(fitsUpTo(5000), 300*time.Millisecond, ms(301)) == nil, "memory is reserved for the large request")
+	assert.Equal(t, q.Next(fitsUpTo(5000), 300*time.Millisecond, ms(299)), small)
+	assert.Equal(t, q.Next(fitsUpTo(10_000), 300*time.Millisecond, ms(400)), large)
 }
 
 func TestRemove(t *testing.T) {
-	var l waitqueue.Queue
+	var q waitqueue.Queue
 	w := &waitqueue.Waiter{Need: 7}
-	l.Add(w)
-	assert.Equal(t, l.Ahead(w), 7)
-	assert.Assert(t, l.Remove(w))
-	assert.Assert(t, !l.Remove(w))
-	assert.Equal(t, l.Len(), 0)
+	q.Add(w)
+	assert.Equal(t, q.Ahead(w), 7)
+	assert.Assert(t, q.Remove(w))
+	assert.Assert(t, !q.Remove(w))
+	assert.Equal(t, q.Len(), 0)
 }
 
 func TestGiveUpAt(t *testing.T) {
@@ -81,20 +81,20 @@
 
 // TestRetryDetector: retries are told from first requests by the timeouts that clients state.
 func TestRetryDetector(t *testing.T) {
-	var r waitqueue.RetryDetector
+	var d waitqueue.RetryDetector
 	for _, c := range []struct {
-		patience int
-		want     bool
+		timeout int
+		want    bool
 	}{
 		{12_000, false}, {14_000, false}, {11_900, false}, {9900, true}, {13_000, false}, {0, false}, {4000, true},
 	} {
-		got := r.Observe(time.Duration(c.patience) * time.Millisecond)
-		assert.Equal(t, got, c.want, "%d", c.patience)
+		got := d.Observe(time.Duration(c.timeout) * time.Millisecond)
+		assert.Equal(t, got, c.want, "%d", c.timeout)
 	}
 	for range 1000 {
-		r.Observe(5 * time.Second)
+		d.Observe(5 * time.Second)
 	}
-	assert.Assert(t, !r.Observe(5*time.Second), "timeouts are shorter than before")
+	assert.Assert(t, !d.Observe(5*time.Second), "timeouts are shorter than before")
 }
 
 func TestGiveUpAfterFailure(t *testing.T) {
@@ -174,10 +174,10 @@
 
 // replay runs the load through one router with the memory of 12 engines. giveUpAt returns when a
 // request stops waiting, retryAfter the delay until a rejected one is retried (zero for never).
-func replay(next func(l *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter,
+func replay(next func(q *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter,
 	giveUpAt func(r *replayed) time.Time, retryAfter func(r *replayed) time.Duration) result {
-	var l waitqueue.Queue
-	var e result
+	var q waitqueue.Queue
+	var res result
 	used := 0
 	byWaiter := map[*waitqueue.Waiter]*replayed{}
 	var queued []*replayed
@@ -191,7 +191,7 @@
 		r.GiveUpAt = giveUpAt(r)
 		byWaiter[&r.Waiter] = r
 		queued = append(queued, r)
-		l.Add(&r.Waiter)
+		q.Add(&r.Waiter)
 	}
 	for now := start; now.Before(start.Add(60 * time.Second)); now = now.Add(tick) {
 		for _, n := range releases[now] {
@@ -201,7 +201,7 @@
 			enqueue(r, now)
 		}
 		for {
-			w := next(&l, func(w *waitqueue.Waiter) bool { return used+w.Need <= memory }, now)
+			w := next(&q, func(w *waitqueue.Waiter) bool { return used+w.Need <= memory }, now)
 			if w == nil {
 				break
 			}
@@ -209,16 +209,16 @@
 			used += w.Need
 			releases[now.Add(r.runTime.Round(tick))] = append(releases[now.Add(r.runTime.Round(tick))], w.Need)
 			if !r.late && now.Sub(r.Arrived) <= objective-300*time.Millisecond {
-				e.inTime++
+				res.inTime++
 			} else {
-				e.late++
+				res.late++
 			}
 		}
 		queued = slices.DeleteFunc(queued, func(r *replayed) bool {
 			if now.Before(r.GiveUpAt) {
 				return false
 			}
-			if !l.Remove(&r.Waiter) {
+			if !q.Remove(&r.Waiter) {
 				return true
 			}
 			if d := retryAfter(r).Round(tick); d > 0 && !r.late {
@@ -226,12 +226,12 @@
 				dueArrivals[now.Add(d)] = append(dueArrivals[now.Add(d)], r)
 				return true
 			}
-			e.refused++
+			res.refused++
 			return true
 		})
 	}
-	e.refused += l.Len()
-	return e
+	res.refused += q.Len()
+	return res
 }
 
 func arrivals(rng *rand.Rand, now time.Time) int {
@@ -249,8 +249,8 @@
 	return n
 }
 
-func nextByPolicy(l *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
-	return l.Next(fits, 300*time.Millisecond, now)
+func nextByPolicy(q *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
+	return q.Next(fits, 300*time.Millisecond, now)
 }
 
 // TestBursts compares the policy with a FIFO queue in which every request waits until it is
@@ -262,8 +262,8 @@
 			return policy.GiveUpAt(r.Arrived, objective, clientTimeout-4*time.Second, r.Need, r.late)
 		},
 		func(r *replayed) time.Duration { return policy.RetryAfter(clientTimeout, r.u) })
-	fifo := replay(func(l *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
-		return l.Next(fits, 0, now)
+	fifo := replay(func(q *waitqueue.Queue, fits func(*waitqueue.Waiter) bool, now time.Time) *waitqueue.Waiter {
+		return q.Next(fits, 0, now)
 	},
 		func(r *replayed) time.Time { return r.Arrived.Add(clientTimeout) },
 		func(*replayed) time.Duration { return 0 })
