--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -9,11 +9,11 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/waitqueue"
 )
 
-// memoryConfig is how decode engines are chosen without the mechanisms that are off.
+// memoryConfig returns the configuration for choosing decode engines without the disabled mechanisms.
 func memoryConfig(off mechanism.Set) kvmemory.Config {
 	c := kvmemory.DefaultConfig()
 	if off.Has(mechanism.Stagger) {
-		c.Turn = 0
+		c.Stagger = 0
 	}
 	if off.Has(mechanism.LateHeadroom) {
 		c.LateSpare = 0
@@ -24,8 +24,8 @@
 	return c
 }
 
-// readingConfig is the same for who reads prompts.
-func readingConfig(off mechanism.Set) prefillpool.Config {
+// prefillConfig returns the configuration for choosing prefill engines without the disabled mechanisms.
+func prefillConfig(off mechanism.Set) prefillpool.Config {
 	c := prefillpool.DefaultConfig()
 	if off.Has(mechanism.LocalPrefill) {
 		c.DecodePrefillFactor = 0
@@ -33,8 +33,8 @@
 	return c
 }
 
-// waitingTerms is the same for requests that wait.
-func waitingTerms(off mechanism.Set) waitqueue.Policy {
+// queueTerms returns the terms of the wait queue without the disabled mechanisms.
+func queueTerms(off mechanism.Set) waitqueue.Policy {
 	t := waitqueue.DefaultPolicy()
 	if off.Has(mechanism.RetryQueueing) {
 		t.LateWait = 0
