--- a/policy/outputlength/outputlength.go
+++ b/policy/outputlength/outputlength.go
@@ -104,7 +104,8 @@
 	return c.cumulative[b] + (at-float64(b))*(c.cumulative[b+1]-c.cumulative[b])
 }
 
-// Run is one run. It is not safe for concurrent use, and is guarded by the lock of its Learner.
+// Run is the state of one run. It is not safe for concurrent use; the lock that guards its Learner
+// guards it too.
 type Run struct {
 	curve *curve
 	// scale is the length that positions are relative to, maxTokens the maximum length, both in
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -37,7 +37,7 @@
 	// between zones, with its price.
 	CrossZone time.Duration
 	// Preference is the largest penalty by which a router prefers some of several equal engines:
-	// routers that have all just started have no reports of each other yet, and would all choose
+	// routers that have all just started have no reports from each other yet, and would all choose
 	// the same engine.
 	Preference time.Duration
 	// Failure is the penalty for an engine that fails every request.
--- a/policy/prefillpool/prefillpool_test.go
+++ b/policy/prefillpool/prefillpool_test.go
@@ -191,9 +191,9 @@
 }
 
 // TestRestartedRoutersSpreadPrompts: all routers terminate at once and restart with a second of
-// requests queued, without reports from each other. All sent their prompts to the same few engines,
-// which rejected what did not fit their memory: 123 of some 150 in two seconds, each at the cost of
-// a retry.
+// requests queued, without reports from each other. They all sent their prompts to the same few
+// engines, which rejected what did not fit their memory: 123 of some 150 in two seconds, each at
+// the cost of a retry.
 func TestRestartedRoutersSpreadPrompts(t *testing.T) {
 	const routers, engines, memory, prompt = 29, 9, 28_000, 3000
 	var list []registry.Server
--- a/policy/retry/avoid.go
+++ b/policy/retry/avoid.go
@@ -7,7 +7,7 @@
 )
 
 // serversToAvoid returns the servers at which attempts ended, and the zones of those that seem
-// to have failed, as opposed to rejected the attempt. After a stale revision the same server may
+// to have failed rather than rejected the attempt. After a stale revision the same server may
 // get the next attempt, since its rejection included the newer revision.
 func serversToAvoid(attempts []Attempt) (ids, zones []string) {
 	for _, a := range attempts {
--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -16,7 +16,8 @@
 
 // Limits bounds the retries of all routers together.
 type Limits struct {
-	// Ratio is the share of the requests of Window that may be retried, besides Slack.
+	// Ratio is the share of the requests within Window that may be retried, in addition to Slack
+	// retries.
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
--- a/policy/waitqueue/retrydetector.go
+++ b/policy/waitqueue/retrydetector.go
@@ -2,11 +2,10 @@
 
 import "time"
 
-// RetryDetector recognizes requests that are retried after a rejection, which can't be answered
-// within their latency objective any more, by the timeouts that clients state. The clients of one
-// route start with about the same timeout, and a client that was told to wait for a third of it
-// has that much less left. A RetryDetector is not safe for concurrent use; the zero value has
-// observed no client.
+// RetryDetector recognizes the retries of rejected requests, which can't be answered within their
+// latency objective any more, by the timeouts that clients state. The clients of one route start
+// with about the same timeout, and one that was told to retry after a third of it has that much
+// less left. A RetryDetector is not safe for concurrent use; the zero value has observed no client.
 type RetryDetector struct {
 	longest time.Duration
 }
@@ -20,7 +19,7 @@
 )
 
 // Observe records the timeout that a client states, and reports whether its request is a retry.
-// Zero means that it stated none, and that nothing is known.
+// Zero means that it stated none; its request does not count as a retry.
 func (d *RetryDetector) Observe(timeout time.Duration) bool {
 	if timeout <= 0 {
 		return false
--- a/policy/waitqueue/waitqueue.go
+++ b/policy/waitqueue/waitqueue.go
@@ -4,7 +4,7 @@
 // answer is worth most to its caller when it begins within the route's latency objective, and
 // a fraction of that when it begins later. A FIFO queue then serves every request late. So a
 // request waits at the front, oldest first, while it can still begin in time. Once it can't,
-// it is rejected at once with the time of its retry, unless it is a retry already: then
+// it is rejected at once with a delay for its retry, unless it is a retry already: then
 // waiting loses nothing, and it gets the memory that the requests ahead of it leave over.
 //
 // A Queue is deterministic and takes the time from its caller. It is not safe for concurrent
