--- a/forward/broken.go
+++ b/forward/broken.go
@@ -83,11 +83,11 @@
 // broke notes that a request was in progress at a server that may have ended. Where it cut the connection it is asked
 // at once whether it is there: its entry lapses seconds later, and no request may be sent there until then.
 func (f *Forwarder) broke(j *job, s registry.Server, cut bool) {
-	b := quarantine.Broken{Content: j.digest(), Generated: j.generated - j.carried}
+	b := quarantine.BrokenAttempt{Content: j.digest(), Generated: j.generated - j.carried}
 	ended, ask := f.interrupted.broke(s.ID, b, cut)
 	switch {
 	case ended:
-		f.tellEnded(s.ID, "", []quarantine.Broken{b})
+		f.tellEnded(s.ID, "", []quarantine.BrokenAttempt{b})
 	case f.attempts.hasEnded(s.ID):
 		f.serverEnded(s.ID, endedRestarted)
 	case ask:
@@ -108,14 +108,14 @@
 
 // tellEnded notes requests that were in progress at a server that has ended; how is empty if that was
 // noted before.
-func (f *Forwarder) tellEnded(id string, how howEnded, broken []quarantine.Broken) {
+func (f *Forwarder) tellEnded(id string, how howEnded, broken []quarantine.BrokenAttempt) {
 	f.Metrics.Counter(metrics.RequestsBroken).Inc(int64(len(broken)))
 	f.Guard.Ended(id, broken)
 	event.ServerEnded.Log(f.Log).Str("server", id).Str("how", string(how)).Int("requests", len(broken)).
 		Strs("contents", contentsOf(broken)).Msg("")
 }
 
-func contentsOf(broken []quarantine.Broken) []string {
+func contentsOf(broken []quarantine.BrokenAttempt) []string {
 	var out []string
 	for _, b := range broken[:min(len(broken), loggedContents)] {
 		out = append(out, b.Content.String())
--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -129,7 +129,7 @@
 // between: it is never held.
 func TestAnsweredRequestIsNotSuspect(t *testing.T) {
 	w := newWorld(t)
-	for i := range quarantine.MostEnds + 1 {
+	for i := range quarantine.MaxTerminations + 1 {
 		s := w.add(t, fmt.Sprint("p", i), "plain", registry.Whole)
 		s.Behave(site.Mute)
 		done := make(chan answer, 1)
--- a/forward/call.go
+++ b/forward/call.go
@@ -257,7 +257,7 @@
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.limits.Observe(c.ID, overload.Answer{Took: took, Objective: j.route.Objective, Refused: refused}, time.Now())
+	s.limits.Observe(c.ID, overload.Outcome{Took: took, Objective: j.route.Objective, Rejected: refused}, time.Now())
 }
 
 func (f *Forwarder) observe(j *job, c registry.Server, ok bool) {
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -80,8 +80,8 @@
 	if f.Off.Has(mechanism.Outliers) {
 		return cost
 	}
-	cost += failingCost * s.outliers.Failing(c.ID, now)
-	if s.outliers.Suspect(c.ID, now) {
+	cost += failingCost * s.outliers.ExcessFailureRate(c.ID, now)
+	if s.outliers.Suspected(c.ID, now) {
 		cost += suspectCost
 	}
 	return cost
--- a/forward/doubts.go
+++ b/forward/doubts.go
@@ -35,7 +35,7 @@
 func (d *doubts) told(from, id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.Told(from, id, time.Now())
+	d.tracker.Reported(from, id, time.Now())
 }
 
 func (d *doubts) succeeded(id string) {
@@ -47,7 +47,7 @@
 func (d *doubts) doubtful(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.tracker.Doubtful(id, time.Now())
+	return d.tracker.Suspected(id, time.Now())
 }
 
 func (d *doubts) take() []string {
--- a/forward/interrupted.go
+++ b/forward/interrupted.go
@@ -10,21 +10,21 @@
 // interrupted is which requests were in progress at servers that ended. It is safe for concurrent use.
 type interrupted struct {
 	mu   sync.Mutex
-	ends *quarantine.Ends
+	ends *quarantine.Terminations
 	// asked are the servers that are being asked whether they are there.
 	asked map[string]struct{}
 }
 
 func newInterrupted() *interrupted {
-	return &interrupted{ends: quarantine.NewEnds(), asked: map[string]struct{}{}}
+	return &interrupted{ends: quarantine.NewTerminations(), asked: map[string]struct{}{}}
 }
 
 // broke reports whether the server of an attempt that broke is known to have ended, and whether it is to be
 // asked: if it cut the connection, and by one request at a time.
-func (r *interrupted) broke(id string, b quarantine.Broken, cut bool) (ended, ask bool) {
+func (r *interrupted) broke(id string, b quarantine.BrokenAttempt, cut bool) (ended, ask bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ends.Broke(id, b, time.Now()) {
+	if r.ends.AttemptBroken(id, b, time.Now()) {
 		return true, false
 	}
 	if _, ok := r.asked[id]; ok || !cut {
@@ -40,10 +40,10 @@
 	delete(r.asked, id)
 }
 
-func (r *interrupted) ended(id string) []quarantine.Broken {
+func (r *interrupted) ended(id string) []quarantine.BrokenAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends.Ended(id, time.Now())
+	return r.ends.ServerTerminated(id, time.Now())
 }
 
 // missing returns the servers at which attempts broke and that known does not name, and forgets what is old.
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	r.ends.Expire(time.Now())
 	var out []string
-	for _, id := range r.ends.Waiting() {
+	for _, id := range r.ends.Unconfirmed() {
 		if !known(id) {
 			out = append(out, id)
 		}
--- a/forward/rests.go
+++ b/forward/rests.go
@@ -14,7 +14,7 @@
 	count atomic.Int64
 
 	mu    sync.Mutex
-	rests *cooldown.Rests
+	rests *cooldown.Cooldowns
 }
 
 func newRests() *rests { return &rests{rests: cooldown.New()} }
@@ -23,7 +23,7 @@
 func (r *rests) asked(id string, rest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rests.Asked(id, rest, time.Now())
+	r.rests.Record(id, rest, time.Now())
 	r.count.Store(int64(r.rests.Len()))
 }
 
@@ -34,7 +34,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rests.Left(id, time.Now())
+	return r.rests.Remaining(id, time.Now())
 }
 
 // forget drops rests that are over, and servers that known does not name.
--- a/forward/types.go
+++ b/forward/types.go
@@ -128,7 +128,7 @@
 	// Held reports for how long a request is held back still.
 	Held(d fingerprint.Digest) (time.Duration, bool)
 	// Ended takes the requests that were in progress at a server that ended.
-	Ended(server string, broken []quarantine.Broken)
+	Ended(server string, broken []quarantine.BrokenAttempt)
 	// Answered notes that a server answered a request with success.
 	Answered(d fingerprint.Digest)
 }
--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -53,7 +53,7 @@
 func (p *proofs) inForce(version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ledger.InForce(version)
+	p.ledger.Applied(version)
 	p.wakeAll()
 }
 
@@ -64,7 +64,7 @@
 	if version >= p.version {
 		p.version, p.row = version, row
 	}
-	p.ledger.Prove(freshness.Proof{Version: version, At: asked})
+	p.ledger.AddProof(freshness.Proof{Version: version, At: asked})
 	p.wakeAll()
 }
 
@@ -72,7 +72,7 @@
 func (p *proofs) prove(proof freshness.Proof) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ledger.Prove(proof)
+	p.ledger.AddProof(proof)
 	p.wakeAll()
 }
 
@@ -108,7 +108,7 @@
 
 // lately reports whether a key that is not known here is unknown; it waits a moment for a proof to tell.
 func (p *proofs) lately(ctx context.Context) bool {
-	return p.await(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownAfter })
+	return p.await(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownKeyMaxAge })
 }
 
 // await reports whether enough is proved, now or within proofWait.
--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -49,7 +49,7 @@
 }
 
 type sighting struct {
-	quarantine.Sighting
+	quarantine.Observation
 	at time.Time
 }
 
@@ -74,18 +74,18 @@
 func (g *Guard) Watches() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Watches()
+	return g.ledger.Active()
 }
 
 // Held reports for how long a request is held still.
 func (g *Guard) Held(d fingerprint.Digest) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Held(d, time.Now())
+	return g.ledger.Quarantined(d, time.Now())
 }
 
 // Ended takes the requests of this process that were in progress at a server that ended.
-func (g *Guard) Ended(server string, broken []quarantine.Broken) {
+func (g *Guard) Ended(server string, broken []quarantine.BrokenAttempt) {
 	if g.off {
 		return
 	}
@@ -93,8 +93,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range broken {
-		s := quarantine.Sighting{Content: b.Content, Server: server, Generated: b.Generated}
-		if g.ledger.Sight(s, now) {
+		s := quarantine.Observation{Content: b.Content, Server: server, Generated: b.Generated}
+		if g.ledger.Observe(s, now) {
 			g.sightings = append(g.sightings, sighting{s, now})
 		}
 	}
@@ -107,7 +107,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, held := g.ledger.Held(d, now)
+	_, held := g.ledger.Quarantined(d, now)
 	if !g.ledger.Clear(d, now) {
 		return
 	}
@@ -127,7 +127,7 @@
 	now := time.Now()
 	g.ledger.Expire(now)
 	g.forgetTold(now, toldFor)
-	maps.DeleteFunc(g.drop, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
+	maps.DeleteFunc(g.drop, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.ObservationTTL })
 }
 
 // toldFor is how long what began here is kept to be told, whatever the pace of reports.
@@ -138,7 +138,7 @@
 	begun, again := g.ledger.Decide(time.Now())
 	for _, h := range begun {
 		g.met.Counter(metrics.Holds).Inc(1)
-		g.holds[h.Content] = h.Begun()
+		g.holds[h.Content] = h.StartedAt()
 		delete(g.drop, h.Content)
 		g.noteHeld(h, fromHere)
 	}
@@ -159,8 +159,8 @@
 
 // noteHeld logs a hold that has become known here. The caller holds mu.
 func (g *Guard) noteHeld(h quarantine.Hold, from string) {
-	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.Ends(h.Content)).
-		Dur("left", time.Until(h.Until)).Dur("for", h.For).Str("from", from).Msg("")
+	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.TerminatedServers(h.Content)).
+		Dur("left", time.Until(h.Until)).Dur("for", h.Duration).Str("from", from).Msg("")
 	wake(g.unkept)
 }
 
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := []*Guard{newGuard(false), newGuard(false), newGuard(false)}
 		for i, g := range list {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}, {Content: harmless, Generated: 9}})
+			g.Ended(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: deadly}, {Content: harmless, Generated: 9}})
 			tell(list...)
 			time.Sleep(time.Second)
 		}
@@ -76,8 +76,8 @@
 func TestSwitchedOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(true)
-		for i := range quarantine.MostEnds {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+		for i := range quarantine.MaxTerminations {
+			g.Ended(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: deadly}})
 		}
 		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
 		time.Sleep(time.Second)
@@ -110,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
 		for i := range 300 {
-			g.Ended(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
+			g.Ended(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.BrokenAttempt{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
 		}
 		r := g.Report(time.Minute)
 		assert.Equal(t, len(r.GetSightings()), toldSightings)
@@ -160,10 +160,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		saw, reader, other := newGuard(false), newGuard(false), newGuard(false)
-		for i := range quarantine.MostEnds {
-			saw.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+		for i := range quarantine.MaxTerminations {
+			saw.Ended(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: deadly}})
 		}
-		time.Sleep(quarantine.Settle)
+		time.Sleep(quarantine.SettleDelay)
 		synctest.Wait()
 		tell(saw, reader, other)
 		assert.Equal(t, keep(t, other, table, false), 0)
@@ -197,10 +197,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		g := newGuard(false)
-		for i := range quarantine.MostEnds {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+		for i := range quarantine.MaxTerminations {
+			g.Ended(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: deadly}})
 		}
-		time.Sleep(quarantine.Settle)
+		time.Sleep(quarantine.SettleDelay)
 		synctest.Wait()
 		empty := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		assert.Equal(t, keep(t, g, table, false), 1)
--- a/holdback/keep.go
+++ b/holdback/keep.go
@@ -63,7 +63,7 @@
 		return quarantine.Hold{}, errors.New("for_s is out of range")
 	}
 	left := min(r.Begun.Add(whole).Sub(now.Round(0)), whole)
-	return quarantine.Hold{Content: d, Until: now.Add(left), For: whole}, nil
+	return quarantine.Hold{Content: d, Until: now.Add(left), Duration: whole}, nil
 }
 
 // Follow takes the holds of the table until ctx ends. It calls pause after a call that failed, with the number of those
@@ -164,7 +164,7 @@
 	if r.Version < g.kept[d].version {
 		return nil // What it was before.
 	}
-	g.kept[d] = keptHold{version: r.Version, whole: h.For, forgotten: h.Until.Add(h.For)}
+	g.kept[d] = keptHold{version: r.Version, whole: h.Duration, forgotten: h.Until.Add(h.Duration)}
 	if !g.off {
 		g.takeHold(h, fromStore)
 	}
@@ -233,7 +233,7 @@
 		k := g.kept[h.Content]
 		mine := g.sawEnd(h.Content)
 		_, drops := g.drop[h.Content]
-		if k.whole >= h.For || drops || (!mine && (!reads || now.Sub(h.Begun()) < keepFor)) {
+		if k.whole >= h.Duration || drops || (!mine && (!reads || now.Sub(h.StartedAt()) < keepFor)) {
 			continue
 		}
 		out = append(out, g.write(h, k.version))
@@ -252,7 +252,7 @@
 
 // write is the change that keeps a hold. The caller holds mu.
 func (g *Guard) write(h quarantine.Hold, version uint64) change {
-	value, err := json.Marshal(Row{Begun: h.Begun().UTC(), ForSeconds: h.For.Seconds(), Servers: g.ledger.Ends(h.Content)})
+	value, err := json.Marshal(Row{Begun: h.StartedAt().UTC(), ForSeconds: h.Duration.Seconds(), Servers: g.ledger.TerminatedServers(h.Content)})
 	if err != nil {
 		panic(err) // A Row can always be encoded.
 	}
@@ -266,12 +266,12 @@
 func (g *Guard) wrote(c change) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c.hold.For == 0 {
+	if c.hold.Duration == 0 {
 		delete(g.kept, c.content)
 		delete(g.drop, c.content)
 		return
 	}
 	k := g.kept[c.content]
-	k.whole, k.forgotten = c.hold.For, c.hold.Until.Add(c.hold.For)
+	k.whole, k.forgotten = c.hold.Duration, c.hold.Until.Add(c.hold.Duration)
 	g.kept[c.content] = k
 }
--- a/holdback/tell.go
+++ b/holdback/tell.go
@@ -37,7 +37,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.ledger.Watches() && len(g.releases) == 0 {
+	if !g.ledger.Active() && len(g.releases) == 0 {
 		return nil
 	}
 	return g.tell(now, within, g.ledger.Holds(now))
@@ -65,7 +65,7 @@
 	for _, h := range holds[:min(len(holds), toldHolds)] {
 		left := h.Until.Sub(now)
 		out.Holds = append(out.Holds, &peer.Hold{
-			Content: h.Content[:], LeftMs: uint64(left.Milliseconds()), ForMs: uint64(h.For.Milliseconds()),
+			Content: h.Content[:], LeftMs: uint64(left.Milliseconds()), ForMs: uint64(h.Duration.Milliseconds()),
 		})
 	}
 	for d, at := range g.releases {
@@ -93,14 +93,14 @@
 	}
 	for _, h := range in.GetHolds() {
 		if d, ok := digestOf(h.GetContent()); ok {
-			g.takeHold(quarantine.Hold{Content: d, Until: now.Add(millis(h.GetLeftMs())), For: millis(h.GetForMs())}, from)
+			g.takeHold(quarantine.Hold{Content: d, Until: now.Add(millis(h.GetLeftMs())), Duration: millis(h.GetForMs())}, from)
 		}
 	}
 	news := false
 	for _, s := range in.GetSightings() {
 		if d, ok := digestOf(s.GetContent()); ok {
-			seen := quarantine.Sighting{Content: d, Server: s.GetServer(), Generated: int(s.GetGenerated())}
-			news = g.ledger.Sight(seen, now.Add(-millis(uint64(s.GetAgeMs())))) || news
+			seen := quarantine.Observation{Content: d, Server: s.GetServer(), Generated: int(s.GetGenerated())}
+			news = g.ledger.Observe(seen, now.Add(-millis(uint64(s.GetAgeMs())))) || news
 		}
 	}
 	// Reports repeat what was told, and a look at 8,000 suspects takes a tenth of a millisecond.
@@ -111,19 +111,19 @@
 
 // takeHold takes a hold that was decided elsewhere, unless it is impossible. The caller holds mu.
 func (g *Guard) takeHold(h quarantine.Hold, from string) {
-	if h.For <= 0 || h.For > quarantine.MaxHold || h.Begun().After(time.Now()) {
+	if h.Duration <= 0 || h.Duration > quarantine.MaxHold || h.StartedAt().After(time.Now()) {
 		return
 	}
-	if g.ledger.Hold(h) && h.Until.After(time.Now()) {
+	if g.ledger.AddHold(h) && h.Until.After(time.Now()) {
 		g.noteHeld(h, from)
 	}
 }
 
 // takeRelease takes a release from elsewhere, and reports whether it changed anything. The caller holds mu.
 func (g *Guard) takeRelease(d fingerprint.Digest, at time.Time, from string) bool {
-	_, held := g.ledger.Held(d, time.Now())
+	_, held := g.ledger.Quarantined(d, time.Now())
 	changed := g.ledger.Clear(d, at)
-	if _, still := g.ledger.Held(d, time.Now()); held && !still {
+	if _, still := g.ledger.Quarantined(d, time.Now()); held && !still {
 		g.released(d, from)
 	}
 	return changed
--- a/policy/cooldown/cooldown.go
+++ b/policy/cooldown/cooldown.go
@@ -7,7 +7,7 @@
 //
 // Each refusal holds for its own time, whatever later ones say, and for its router alone.
 //
-// Rests takes the time from its caller and is not safe for concurrent use.
+// Cooldowns takes the time from its caller and is not safe for concurrent use.
 package cooldown
 
 import (
@@ -15,28 +15,28 @@
 	"time"
 )
 
-// Rests are the rests that servers asked one router for.
-type Rests struct{ until map[string]time.Time }
+// Cooldowns are the rests that servers asked one router for.
+type Cooldowns struct{ until map[string]time.Time }
 
 // New returns no rests.
-func New() *Rests { return &Rests{until: map[string]time.Time{}} }
+func New() *Cooldowns { return &Cooldowns{until: map[string]time.Time{}} }
 
-// Asked notes that a server has asked for rest now.
-func (r *Rests) Asked(id string, rest time.Duration, now time.Time) {
+// Record notes that a server has asked for rest now.
+func (r *Cooldowns) Record(id string, rest time.Duration, now time.Time) {
 	if until := now.Add(rest); until.After(r.until[id]) {
 		r.until[id] = until
 	}
 }
 
-// Left is how long a server is to be sent nothing still; zero if it may be.
-func (r *Rests) Left(id string, now time.Time) time.Duration {
+// Remaining is how long a server is to be sent nothing still; zero if it may be.
+func (r *Cooldowns) Remaining(id string, now time.Time) time.Duration {
 	return max(r.until[id].Sub(now), 0)
 }
 
 // Forget drops rests that are over, and servers that known does not name.
-func (r *Rests) Forget(known func(id string) bool, now time.Time) {
+func (r *Cooldowns) Forget(known func(id string) bool, now time.Time) {
 	maps.DeleteFunc(r.until, func(id string, until time.Time) bool { return !known(id) || !now.Before(until) })
 }
 
 // Len is the number of rests that are kept.
-func (r *Rests) Len() int { return len(r.until) }
+func (r *Cooldowns) Len() int { return len(r.until) }
--- a/policy/cooldown/cooldown_test.go
+++ b/policy/cooldown/cooldown_test.go
@@ -16,16 +16,16 @@
 
 func TestRests(t *testing.T) {
 	r := cooldown.New()
-	assert.Equal(t, r.Left("a", start), time.Duration(0))
-	r.Asked("a", 3*time.Second, start)
-	r.Asked("a", time.Second, at(time.Second))
-	assert.Equal(t, r.Left("a", at(time.Second)), 2*time.Second, "a shorter one that comes later ends no longer one")
-	r.Asked("a", 3*time.Second, at(2*time.Second))
-	assert.Equal(t, r.Left("a", at(3*time.Second)), 2*time.Second)
-	assert.Equal(t, r.Left("b", at(3*time.Second)), time.Duration(0))
-	assert.Equal(t, r.Left("a", at(5*time.Second)), time.Duration(0))
-	r.Asked("b", time.Hour, at(4*time.Second))
-	r.Asked("c", time.Hour, at(4*time.Second))
+	assert.Equal(t, r.Remaining("a", start), time.Duration(0))
+	r.Record("a", 3*time.Second, start)
+	r.Record("a", time.Second, at(time.Second))
+	assert.Equal(t, r.Remaining("a", at(time.Second)), 2*time.Second, "a shorter one that comes later ends no longer one")
+	r.Record("a", 3*time.Second, at(2*time.Second))
+	assert.Equal(t, r.Remaining("a", at(3*time.Second)), 2*time.Second)
+	assert.Equal(t, r.Remaining("b", at(3*time.Second)), time.Duration(0))
+	assert.Equal(t, r.Remaining("a", at(5*time.Second)), time.Duration(0))
+	r.Record("b", time.Hour, at(4*time.Second))
+	r.Record("c", time.Hour, at(4*time.Second))
 	r.Forget(func(id string) bool { return id != "c" }, at(5*time.Second))
 	assert.Equal(t, r.Len(), 1)
 }
@@ -45,16 +45,16 @@
 		asked := cooldown.New()
 		for now := start; now.Before(at(day)); now = now.Add(time.Second / perSecond) {
 			id := names[rng.IntN(engines)]
-			for heeds && r.Left(id, now) > 0 {
+			for heeds && r.Remaining(id, now) > 0 {
 				id = names[rng.IntN(engines)]
 			}
-			if asked.Left(id, now) > 0 {
+			if asked.Remaining(id, now) > 0 {
 				inRest++
 			}
 			if id < names[ill] {
 				refused++
-				r.Asked(id, asks, now)
-				asked.Asked(id, asks, now)
+				r.Record(id, asks, now)
+				asked.Record(id, asks, now)
 			}
 		}
 		return refused, inRest
--- a/policy/freshness/freshness.go
+++ b/policy/freshness/freshness.go
@@ -32,14 +32,14 @@
 	known  bool
 }
 
-// InForce notes the version that is in force from now on. Versions only grow.
-func (l *Ledger) InForce(version int64) {
+// Applied notes the version that is in force from now on. Versions only grow.
+func (l *Ledger) Applied(version int64) {
 	l.inForce = max(l.inForce, version)
 	l.settle()
 }
 
-// Prove takes a proof. One of a version that is not in force yet counts once it is.
-func (l *Ledger) Prove(p Proof) {
+// AddProof takes a proof. One of a version that is not in force yet counts once it is.
+func (l *Ledger) AddProof(p Proof) {
 	if p.Version <= 0 || (l.newest.Version > 0 && p.At <= l.newest.At) {
 		l.settleWith(p)
 		return
@@ -88,6 +88,6 @@
 	return !bounded || (known && age < limit)
 }
 
-// UnknownAfter is the age of a proof up to which a key that is not known counts as unknown. Beyond it the key may have
+// UnknownKeyMaxAge is the age of a proof up to which a key that is not known counts as unknown. Beyond it the key may have
 // been added since, which is asked first.
-const UnknownAfter = time.Second
+const UnknownKeyMaxAge = time.Second
--- a/policy/freshness/freshness_test.go
+++ b/policy/freshness/freshness_test.go
@@ -15,26 +15,26 @@
 	var l freshness.Ledger
 	_, known := l.Age(0)
 	assert.Assert(t, !known, "nothing is proved yet")
-	l.InForce(3)
+	l.Applied(3)
 	_, known = l.Age(0)
 	assert.Assert(t, !known, "a table alone proves nothing: it may have been replaced since")
 
-	l.Prove(freshness.Proof{Version: 3, At: 2 * second})
+	l.AddProof(freshness.Proof{Version: 3, At: 2 * second})
 	age, known := l.Age(5 * second)
 	assert.Assert(t, known)
 	assert.Equal(t, age, 3*second)
 
-	l.Prove(freshness.Proof{Version: 4, At: 4 * second})
+	l.AddProof(freshness.Proof{Version: 4, At: 4 * second})
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, 3*second, "a newer version is known of, and not in force here")
-	l.InForce(4)
+	l.Applied(4)
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second)
 
-	l.Prove(freshness.Proof{Version: 4, At: 3 * second})
+	l.AddProof(freshness.Proof{Version: 4, At: 3 * second})
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second, "an older proof changes nothing")
-	l.InForce(9)
+	l.Applied(9)
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second, "what was changed until the proof is in a later version too")
 	newest, ok := l.Newest()
@@ -64,8 +64,8 @@
 
 func BenchmarkAge(b *testing.B) {
 	var l freshness.Ledger
-	l.InForce(3)
-	l.Prove(freshness.Proof{Version: 3, At: 1})
+	l.Applied(3)
+	l.AddProof(freshness.Proof{Version: 3, At: 1})
 	bounds := freshness.Bounds{Revoke: 5 * second}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/policy/freshness/model_test.go
+++ b/policy/freshness/model_test.go
@@ -102,10 +102,10 @@
 	g.ask = asked{}
 	if a.version > g.version {
 		g.version = a.version
-		g.ledger.InForce(int64(a.version))
+		g.ledger.Applied(int64(a.version))
 	}
 	if a.proved > 0 {
-		g.ledger.Prove(freshness.Proof{Version: int64(a.proved), At: ticks(a.at - a.age)})
+		g.ledger.AddProof(freshness.Proof{Version: int64(a.proved), At: ticks(a.at - a.age)})
 	}
 }
 
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -121,9 +121,9 @@
 	return left
 }
 
-// Failing is the estimated probability that a request fails at a server beyond what is
+// ExcessFailureRate is the estimated probability that a request fails at a server beyond what is
 // usual in its service, in [0, 1].
-func (t *Tracker) Failing(id string, now time.Time) float64 {
+func (t *Tracker) ExcessFailureRate(id string, now time.Time) float64 {
 	r, ok := t.servers[id]
 	if !ok {
 		return 0
@@ -135,9 +135,9 @@
 	return max(rate-usual, 0)
 }
 
-// Suspect reports whether a server should get no request that is lost when it fails: it
+// Suspected reports whether a server should get no request that is lost when it fails: it
 // failed several in a row, the last of them a moment ago.
-func (t *Tracker) Suspect(id string, now time.Time) bool {
+func (t *Tracker) Suspected(id string, now time.Time) bool {
 	r, ok := t.servers[id]
 	return ok && r.streak >= suspectStreak && now.Sub(r.lastFailure) < suspectFor
 }
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -31,9 +31,9 @@
 func TestGreyServer(t *testing.T) {
 	tr := outlier.New()
 	now := observe(tr, 60, map[string]float64{"a": 0.4, "b": 0.14, "c": 0.14})
-	assert.Assert(t, tr.Failing("a", now) > 0.15, "%v", tr.Failing("a", now))
+	assert.Assert(t, tr.ExcessFailureRate("a", now) > 0.15, "%v", tr.ExcessFailureRate("a", now))
 	for _, id := range []string{"b", "c"} {
-		assert.Assert(t, tr.Failing(id, now) < 0.1, "%s: %v", id, tr.Failing(id, now))
+		assert.Assert(t, tr.ExcessFailureRate(id, now) < 0.1, "%s: %v", id, tr.ExcessFailureRate(id, now))
 	}
 }
 
@@ -41,38 +41,38 @@
 	tr := outlier.New()
 	now := observe(tr, 60, map[string]float64{"a": 0.14, "b": 0.14, "c": 0.14})
 	for _, id := range []string{"a", "b", "c"} {
-		assert.Assert(t, tr.Failing(id, now) < 0.12, "%s: %v", id, tr.Failing(id, now))
+		assert.Assert(t, tr.ExcessFailureRate(id, now) < 0.12, "%s: %v", id, tr.ExcessFailureRate(id, now))
 	}
 }
 
 func TestRecoveredServerIsTrusted(t *testing.T) {
 	tr := outlier.New()
 	now := observe(tr, 60, map[string]float64{"a": 1})
-	assert.Assert(t, tr.Failing("a", now) > 0.5)
+	assert.Assert(t, tr.ExcessFailureRate("a", now) > 0.5)
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		tr.Observe("a", true, now)
 	}
-	assert.Assert(t, tr.Failing("a", now) < 0.15)
+	assert.Assert(t, tr.ExcessFailureRate("a", now) < 0.15)
 }
 
 func TestSuspect(t *testing.T) {
 	tr := outlier.New()
 	for i := range 3 {
-		assert.Assert(t, !tr.Suspect("a", start), "after %d", i)
+		assert.Assert(t, !tr.Suspected("a", start), "after %d", i)
 		tr.Observe("a", false, start)
 	}
-	assert.Assert(t, tr.Suspect("a", start.Add(time.Second)))
-	assert.Assert(t, !tr.Suspect("a", start.Add(3*time.Second)), "it is tried again")
+	assert.Assert(t, tr.Suspected("a", start.Add(time.Second)))
+	assert.Assert(t, !tr.Suspected("a", start.Add(3*time.Second)), "it is tried again")
 	tr.Observe("a", true, start.Add(3*time.Second))
-	assert.Assert(t, !tr.Suspect("a", start.Add(3*time.Second)))
+	assert.Assert(t, !tr.Suspected("a", start.Add(3*time.Second)))
 }
 
 func TestForget(t *testing.T) {
 	tr := outlier.New()
 	tr.Observe("a", false, start)
 	tr.Forget(func(string) bool { return false })
-	assert.Equal(t, tr.Failing("a", start), 0.0)
+	assert.Equal(t, tr.ExcessFailureRate("a", start), 0.0)
 }
 
 // BenchmarkChoice is what one choice among many servers costs, each asked for its failures.
@@ -87,7 +87,7 @@
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		for _, id := range ids {
-			_ = tr.Failing(id, now)
+			_ = tr.ExcessFailureRate(id, now)
 		}
 	}
 }
--- a/policy/overload/overload.go
+++ b/policy/overload/overload.go
@@ -61,25 +61,25 @@
 // New returns a Limiter that lets everything in.
 func New() *Limiter { return &Limiter{servers: map[string]*server{}} }
 
-// Answer is how a call ended.
-type Answer struct {
+// Outcome is how a call ended.
+type Outcome struct {
 	Took time.Duration
 	// Objective is the time within which callers expect an answer; zero if there is none.
 	Objective time.Duration
-	// Refused is set when the server took no more calls.
-	Refused bool
+	// Rejected is set when the server took no more calls.
+	Rejected bool
 }
 
 // Observe notes how a call at a server ended.
-func (l *Limiter) Observe(id string, a Answer, now time.Time) {
+func (l *Limiter) Observe(id string, a Outcome, now time.Time) {
 	s := l.server(id)
 	s.share, s.seen = s.shareAt(now), now
 	took := a.Took.Seconds()
-	if !a.Refused {
+	if !a.Rejected {
 		s.learn(took)
 	}
 	late := a.Objective > 0 && took > inTime*a.Objective.Seconds() && took > queued*s.best
-	if a.Refused || late {
+	if a.Rejected || late {
 		s.share = max(s.share*(1-lower), least)
 		return
 	}
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -81,7 +81,7 @@
 	case limited && !l.Admits("a", false, p.rng.Float64(), now):
 		p.away[second]++
 	case len(p.waiting) >= queue:
-		l.Observe("a", overload.Answer{Objective: objective, Refused: true}, now)
+		l.Observe("a", overload.Outcome{Objective: objective, Rejected: true}, now)
 		p.away[second]++
 	default:
 		p.waiting = append(p.waiting, c)
@@ -95,7 +95,7 @@
 
 func (p *plant) answer(c call, now time.Time, second int) {
 	took := now.Sub(c.sent)
-	p.limiters[c.router].Observe("a", overload.Answer{Took: took, Objective: objective}, now)
+	p.limiters[c.router].Observe("a", overload.Outcome{Took: took, Objective: objective}, now)
 	if took+way <= objective {
 		p.inTime[second]++
 	} else {
@@ -142,7 +142,7 @@
 func TestSlowByNature(t *testing.T) {
 	l := overload.New()
 	for i := range 200 {
-		l.Observe("a", overload.Answer{Took: 400 * time.Millisecond, Objective: objective}, start.Add(time.Duration(i)*100*time.Millisecond))
+		l.Observe("a", overload.Outcome{Took: 400 * time.Millisecond, Objective: objective}, start.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	assert.Equal(t, l.Share("a"), 1.0)
 }
@@ -151,7 +151,7 @@
 func TestLateGivesWay(t *testing.T) {
 	l := overload.New()
 	for range 12 {
-		l.Observe("a", overload.Answer{Refused: true}, start)
+		l.Observe("a", overload.Outcome{Rejected: true}, start)
 	}
 	share := l.Share("a")
 	assert.Assert(t, share > 0.4 && share < 0.5, "%g", share)
@@ -163,7 +163,7 @@
 func TestRecoversUnasked(t *testing.T) {
 	l := overload.New()
 	for i := range 200 {
-		l.Observe("a", overload.Answer{Refused: true}, start.Add(time.Duration(i)))
+		l.Observe("a", overload.Outcome{Rejected: true}, start.Add(time.Duration(i)))
 	}
 	assert.Assert(t, !l.Admits("a", false, 0.5, start))
 	assert.Assert(t, l.Admits("a", false, 0.5, start.Add(4*time.Second)))
@@ -173,7 +173,7 @@
 
 func ExampleLimiter() {
 	l := overload.New()
-	l.Observe("i-1", overload.Answer{Took: 40 * time.Millisecond, Objective: objective}, start)
+	l.Observe("i-1", overload.Outcome{Took: 40 * time.Millisecond, Objective: objective}, start)
 	fmt.Println(l.Admits("i-1", false, 0.99, start))
 	// Output: true
 }
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -166,11 +166,11 @@
 
 // aside is what speaks against an engine besides its line.
 func (p *Pool) aside(s registry.Server, zone string, now time.Time) time.Duration {
-	cost := time.Duration(float64(p.cfg.Failing) * p.outliers.Failing(s.ID, now))
+	cost := time.Duration(float64(p.cfg.Failing) * p.outliers.ExcessFailureRate(s.ID, now))
 	if s.Zone != zone {
 		cost += p.cfg.Zone
 	}
-	if p.outliers.Suspect(s.ID, now) {
+	if p.outliers.Suspected(s.ID, now) {
 		cost += p.cfg.Failing
 	}
 	return cost
--- a/policy/quarantine/bench_test.go
+++ b/policy/quarantine/bench_test.go
@@ -23,7 +23,7 @@
 	sightAll(l, 0, "s", "one", "two")
 	now := at(1)
 	for b.Loop() {
-		l.Held(one, now)
+		l.Quarantined(one, now)
 	}
 }
 
--- a/policy/quarantine/decide.go
+++ b/policy/quarantine/decide.go
@@ -19,15 +19,15 @@
 		if !ok {
 			return begun, time.Time{}
 		}
-		if due := c.reached.Add(Settle); due.After(now) {
+		if due := c.reached.Add(SettleDelay); due.After(now) {
 			return begun, due
 		}
-		h := Hold{Content: c.content, For: FirstHold}
+		h := Hold{Content: c.content, Duration: FirstHold}
 		if old, ok := l.holds[c.content]; ok {
-			h.For = min(2*old.For, MaxHold)
+			h.Duration = min(2*old.Duration, MaxHold)
 		}
-		h.Until = now.Add(h.For)
-		if !l.Hold(h) {
+		h.Until = now.Add(h.Duration)
+		if !l.AddHold(h) {
 			return begun, time.Time{}
 		}
 		begun = append(begun, h)
@@ -47,10 +47,10 @@
 func (l *Ledger) leader(now time.Time) (candidate, bool) {
 	var best candidate
 	for d, x := range l.suspects {
-		if _, was := l.holds[d]; len(x.ends) < MostEnds && !was {
+		if _, was := l.holds[d]; len(x.ends) < MaxTerminations && !was {
 			continue // Nearly all of them: a look at 8,000 suspects takes 0.1 ms.
 		}
-		if _, held := l.Held(d, now); held {
+		if _, held := l.Quarantined(d, now); held {
 			continue
 		}
 		c, ok := x.candidate(l.explained, l.needs(d, now), l.holds[d].Until)
@@ -75,7 +75,7 @@
 	if h, ok := l.holds[d]; ok && h.forgotten().After(now) {
 		return 1
 	}
-	return MostEnds
+	return MaxTerminations
 }
 
 // candidate counts the ends that nothing explains, of those after some time.
--- a/policy/quarantine/ends.go
+++ b/policy/quarantine/ends.go
@@ -17,30 +17,30 @@
 	endedLife = 30 * time.Second
 )
 
-// Broken is an attempt whose server broke it off.
-type Broken struct {
+// BrokenAttempt is an attempt whose server broke it off.
+type BrokenAttempt struct {
 	Content fingerprint.Digest
 	// Generated is the number of tokens that had come.
 	Generated int
 	at        time.Time
 }
 
-// Ends joins what one router learns apart: that attempts broke, and that their server has ended. A
+// Terminations joins what one router learns apart: that attempts broke, and that their server has ended. A
 // connection breaks for many reasons; only the attempts at a server that ended tell of what may have ended it.
 // It is a pure state machine and not safe for concurrent use. Servers are known by their start.
-type Ends struct {
-	broken map[string][]Broken
+type Terminations struct {
+	broken map[string][]BrokenAttempt
 	ended  map[string]time.Time
 }
 
-// NewEnds returns an empty state.
-func NewEnds() *Ends {
-	return &Ends{broken: map[string][]Broken{}, ended: map[string]time.Time{}}
+// NewTerminations returns an empty state.
+func NewTerminations() *Terminations {
+	return &Terminations{broken: map[string][]BrokenAttempt{}, ended: map[string]time.Time{}}
 }
 
-// Broke notes that a server broke an attempt off, and reports whether that server is known to have ended.
-// Otherwise the attempt is kept until Ended tells of it.
-func (e *Ends) Broke(server string, b Broken, now time.Time) bool {
+// AttemptBroken notes that a server broke an attempt off, and reports whether that server is known to have ended.
+// Otherwise the attempt is kept until ServerTerminated tells of it.
+func (e *Terminations) AttemptBroken(server string, b BrokenAttempt, now time.Time) bool {
 	if at, ok := e.ended[server]; ok && now.Sub(at) < endedLife {
 		return true
 	}
@@ -49,13 +49,13 @@
 	return false
 }
 
-// Ended notes that a server has ended, and returns the attempts that it broke off a moment before. Told
+// ServerTerminated notes that a server has ended, and returns the attempts that it broke off a moment before. Told
 // again it changes nothing.
-func (e *Ends) Ended(server string, now time.Time) []Broken {
+func (e *Terminations) ServerTerminated(server string, now time.Time) []BrokenAttempt {
 	if _, ok := e.ended[server]; !ok {
 		e.ended[server] = now
 	}
-	var out []Broken
+	var out []BrokenAttempt
 	for _, b := range e.broken[server] {
 		if now.Sub(b.at) < confirmWithin {
 			out = append(out, b)
@@ -65,8 +65,8 @@
 	return out
 }
 
-// Waiting are the servers at which attempts broke that are not known to have ended.
-func (e *Ends) Waiting() []string {
+// Unconfirmed are the servers at which attempts broke that are not known to have ended.
+func (e *Terminations) Unconfirmed() []string {
 	out := make([]string, 0, len(e.broken))
 	for server := range e.broken {
 		out = append(out, server)
@@ -75,10 +75,10 @@
 }
 
 // Expire forgets what is too old.
-func (e *Ends) Expire(now time.Time) {
+func (e *Terminations) Expire(now time.Time) {
 	maps.DeleteFunc(e.ended, func(_ string, at time.Time) bool { return now.Sub(at) >= endedLife })
 	for server, list := range e.broken {
-		list = slices.DeleteFunc(list, func(b Broken) bool { return now.Sub(b.at) >= confirmWithin })
+		list = slices.DeleteFunc(list, func(b BrokenAttempt) bool { return now.Sub(b.at) >= confirmWithin })
 		if e.broken[server] = list; len(list) == 0 {
 			delete(e.broken, server)
 		}
--- a/policy/quarantine/ends_test.go
+++ b/policy/quarantine/ends_test.go
@@ -18,39 +18,39 @@
 // TestEnds: attempts that broke count once their server is found to have ended, whichever is learned first,
 // and not when it was found long after, or never.
 func TestEnds(t *testing.T) {
-	e := NewEnds()
-	assert.Assert(t, !e.Broke("a", Broken{Content: one, Generated: 7}, start))
-	assert.Assert(t, !e.Broke("b", Broken{Content: two}, start))
-	got := e.Ended("a", start.Add(time.Second))
+	e := NewTerminations()
+	assert.Assert(t, !e.AttemptBroken("a", BrokenAttempt{Content: one, Generated: 7}, start))
+	assert.Assert(t, !e.AttemptBroken("b", BrokenAttempt{Content: two}, start))
+	got := e.ServerTerminated("a", start.Add(time.Second))
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].Content, one)
 	assert.Equal(t, got[0].Generated, 7)
-	assert.Equal(t, len(e.Ended("a", start.Add(time.Second))), 0, "once")
-	assert.Assert(t, e.Broke("a", Broken{Content: two}, start.Add(2*time.Second)), "known to have ended")
+	assert.Equal(t, len(e.ServerTerminated("a", start.Add(time.Second))), 0, "once")
+	assert.Assert(t, e.AttemptBroken("a", BrokenAttempt{Content: two}, start.Add(2*time.Second)), "known to have ended")
 
-	assert.DeepEqual(t, e.Waiting(), []string{"b"})
-	assert.Equal(t, len(e.Ended("b", start.Add(confirmWithin))), 0, "another cause")
+	assert.DeepEqual(t, e.Unconfirmed(), []string{"b"})
+	assert.Equal(t, len(e.ServerTerminated("b", start.Add(confirmWithin))), 0, "another cause")
 }
 
 func TestEndsExpire(t *testing.T) {
-	e := NewEnds()
-	e.Broke("a", Broken{Content: one}, start)
-	e.Ended("b", start)
+	e := NewTerminations()
+	e.AttemptBroken("a", BrokenAttempt{Content: one}, start)
+	e.ServerTerminated("b", start)
 	e.Expire(start.Add(confirmWithin))
-	assert.Equal(t, len(e.Waiting()), 0)
+	assert.Equal(t, len(e.Unconfirmed()), 0)
 	e.Expire(start.Add(endedLife))
-	assert.Assert(t, !e.Broke("b", Broken{Content: one}, start.Add(endedLife)))
+	assert.Assert(t, !e.AttemptBroken("b", BrokenAttempt{Content: one}, start.Add(endedLife)))
 }
 
 // TestEndsStaySmall: requests that end without an answer at a server that lives come all the time, and are not kept.
 func TestEndsStaySmall(t *testing.T) {
-	e := NewEnds()
+	e := NewTerminations()
 	now := start
 	for range 1000 {
-		e.Broke("a", Broken{Content: one}, now)
+		e.AttemptBroken("a", BrokenAttempt{Content: one}, now)
 		now = now.Add(time.Second)
 		e.Expire(now)
 	}
 	assert.Assert(t, len(e.broken["a"]) <= int(confirmWithin/time.Second))
-	assert.Equal(t, len(e.Ended("a", now)), 9, "those of the last seconds")
+	assert.Equal(t, len(e.ServerTerminated("a", now)), 9, "those of the last seconds")
 }
--- a/policy/quarantine/ledger.go
+++ b/policy/quarantine/ledger.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// MostEnds is the number of servers that may end under a request before it is held: the users' bound on
+	// MaxTerminations is the number of servers that may end under a request before it is held: the users' bound on
 	// servers that are lost before a request has to be known for what it is.
-	MostEnds = 3
-	// Settle is the pause from the last of these ends to the decision: routers whose requests ran at the same server
+	MaxTerminations = 3
+	// SettleDelay is the pause from the last of these ends to the decision: routers whose requests ran at the same server
 	// tell of them within some round trips, and who is held depends on all of them.
-	Settle = 300 * time.Millisecond
-	// SightingLife is how long an end counts against the requests that ran at the server.
-	SightingLife = 10 * time.Minute
+	SettleDelay = 300 * time.Millisecond
+	// ObservationTTL is how long an end counts against the requests that ran at the server.
+	ObservationTTL = 10 * time.Minute
 	// FirstHold is how long a request is held at first. It bounds what a wrong decision costs its caller; a right
 	// one costs a server with its requests, a dozen streams, once in that time.
 	FirstHold = 10 * time.Minute
 	// MaxHold bounds it: each hold that proves right lasts twice as long as the one before.
 	MaxHold = 24 * time.Hour
 	// maxSuspects and maxHolds bound the memory of a Ledger, to 1.5 MB (TestLedgerIsSmall): two hundred servers that end within
-	// SightingLife with forty requests each.
+	// ObservationTTL with forty requests each.
 	maxSuspects = 8000
 	maxHolds    = 1000
 )
 
-// Sighting tells that a request was in progress at a server that ended.
-type Sighting struct {
+// Observation tells that a request was in progress at a server that ended.
+type Observation struct {
 	Content fingerprint.Digest
 	Server  string
 	// Generated is the number of tokens that had come from it.
@@ -41,15 +41,15 @@
 	Content fingerprint.Digest
 	// Until is when the hold ends. Another end within as long a time begins the next one at once.
 	Until time.Time
-	// For is the whole time of the hold.
-	For time.Duration
+	// Duration is the whole time of the hold.
+	Duration time.Duration
 }
 
-// Begun is when the hold was decided.
-func (h Hold) Begun() time.Time { return h.Until.Add(-h.For) }
+// StartedAt is when the hold was decided.
+func (h Hold) StartedAt() time.Time { return h.Until.Add(-h.Duration) }
 
 // forgotten is when the hold counts no more.
-func (h Hold) forgotten() time.Time { return h.Until.Add(h.For) }
+func (h Hold) forgotten() time.Time { return h.Until.Add(h.Duration) }
 
 // Ledger is what is known of ends of servers and of the requests under them.
 type Ledger struct {
@@ -89,17 +89,17 @@
 	}
 }
 
-// Watches reports whether any request is suspect or held, so that others need not be looked at.
-func (l *Ledger) Watches() bool { return len(l.suspects)+len(l.holds) > 0 }
+// Active reports whether any request is suspect or held, so that others need not be looked at.
+func (l *Ledger) Active() bool { return len(l.suspects)+len(l.holds) > 0 }
 
-// Held reports for how long a request is held still; not at all if ok is false.
-func (l *Ledger) Held(d fingerprint.Digest, now time.Time) (left time.Duration, ok bool) {
+// Quarantined reports for how long a request is held still; not at all if ok is false.
+func (l *Ledger) Quarantined(d fingerprint.Digest, now time.Time) (left time.Duration, ok bool) {
 	left = l.holds[d].Until.Sub(now)
 	return left, left > 0
 }
 
-// Sight takes a sighting of some time, and reports whether it is news.
-func (l *Ledger) Sight(s Sighting, at time.Time) bool {
+// Observe takes a sighting of some time, and reports whether it is news.
+func (l *Ledger) Observe(s Observation, at time.Time) bool {
 	if cleared, ok := l.cleared[s.Content]; ok && !at.After(cleared) {
 		return false
 	}
@@ -114,7 +114,7 @@
 	}
 	x.ends = append(x.ends, end{server: s.Server, at: at, generated: s.Generated})
 	x.last = later(x.last, at)
-	if _, held := l.Held(s.Content, at); held {
+	if _, held := l.Quarantined(s.Content, at); held {
 		l.explained[s.Server] = at
 	}
 	return true
@@ -138,12 +138,12 @@
 // reports whether that changed anything: ends and a hold from before count no more.
 func (l *Ledger) Clear(d fingerprint.Digest, at time.Time) bool {
 	x, h := l.suspects[d], l.holds[d]
-	if x == nil && h.For == 0 {
+	if x == nil && h.Duration == 0 {
 		return false
 	}
 	l.cleared[d] = later(l.cleared[d], at)
 	changed := false
-	if h.For > 0 && !h.Begun().After(at) {
+	if h.Duration > 0 && !h.StartedAt().After(at) {
 		delete(l.holds, d)
 		changed = true
 	}
@@ -158,13 +158,13 @@
 	return changed
 }
 
-// Hold takes a hold that another router decided, or that was kept, and reports whether it is news.
-func (l *Ledger) Hold(h Hold) bool {
-	if cleared, ok := l.cleared[h.Content]; ok && !h.Begun().After(cleared) {
+// AddHold takes a hold that another router decided, or that was kept, and reports whether it is news.
+func (l *Ledger) AddHold(h Hold) bool {
+	if cleared, ok := l.cleared[h.Content]; ok && !h.StartedAt().After(cleared) {
 		return false
 	}
 	known, ok := l.holds[h.Content]
-	if ok && h.For <= known.For && h.Begun().Before(known.Until) {
+	if ok && h.Duration <= known.Duration && h.StartedAt().Before(known.Until) {
 		// The same hold, told on with what its way has taken added.
 		return false
 	}
@@ -192,8 +192,8 @@
 	return out
 }
 
-// Ends are the servers that ended under a request.
-func (l *Ledger) Ends(d fingerprint.Digest) []string {
+// TerminatedServers are the servers that ended under a request.
+func (l *Ledger) TerminatedServers(d fingerprint.Digest) []string {
 	x := l.suspects[d]
 	if x == nil {
 		return nil
@@ -209,14 +209,14 @@
 // Expire forgets what is too old.
 func (l *Ledger) Expire(now time.Time) {
 	for d, x := range l.suspects {
-		x.forget(func(e end) bool { return now.Sub(e.at) >= SightingLife })
+		x.forget(func(e end) bool { return now.Sub(e.at) >= ObservationTTL })
 		if len(x.ends) == 0 {
 			delete(l.suspects, d)
 		}
 	}
 	maps.DeleteFunc(l.holds, func(_ fingerprint.Digest, h Hold) bool { return !h.forgotten().After(now) })
-	maps.DeleteFunc(l.explained, func(_ string, at time.Time) bool { return now.Sub(at) >= SightingLife })
-	maps.DeleteFunc(l.cleared, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= SightingLife })
+	maps.DeleteFunc(l.explained, func(_ string, at time.Time) bool { return now.Sub(at) >= ObservationTTL })
+	maps.DeleteFunc(l.cleared, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= ObservationTTL })
 }
 
 func later(a, b time.Time) time.Time {
--- a/policy/quarantine/ledger_test.go
+++ b/policy/quarantine/ledger_test.go
@@ -24,7 +24,7 @@
 // decided has a Ledger decide at each moment that it asks for until then, and returns what it held.
 func decided(l *Ledger, until time.Time) []Hold {
 	var out []Hold
-	for now := start; !now.After(until); now = now.Add(Settle / 3) {
+	for now := start; !now.After(until); now = now.Add(SettleDelay / 3) {
 		begun, _ := l.Decide(now)
 		out = append(out, begun...)
 	}
@@ -33,7 +33,7 @@
 
 func sightAll(l *Ledger, seconds float64, server string, contents ...string) {
 	for _, c := range contents {
-		l.Sight(Sighting{Content: named(c), Server: server}, at(seconds))
+		l.Observe(Observation{Content: named(c), Server: server}, at(seconds))
 	}
 }
 
@@ -78,12 +78,12 @@
 			var generated int
 			_, err := fmt.Sscanf(strings.Replace(stream, ":", " ", 1), "%s %d", &prompt, &generated)
 			assert.NilError(t, err)
-			if _, ok := l.Held(named(prompt), at(s.second)); ok {
+			if _, ok := l.Quarantined(named(prompt), at(s.second)); ok {
 				continue
 			}
-			l.Sight(Sighting{Content: named(prompt), Server: fmt.Sprint("server-", i), Generated: generated}, at(s.second))
+			l.Observe(Observation{Content: named(prompt), Server: fmt.Sprint("server-", i), Generated: generated}, at(s.second))
 		}
-		more, again := l.Decide(at(s.second).Add(Settle))
+		more, again := l.Decide(at(s.second).Add(SettleDelay))
 		assert.Assert(t, again.IsZero())
 		held = append(held, more...)
 	}
@@ -93,8 +93,8 @@
 		third  float64
 	}{{"2233", 15.39}, {"9401", 40.25}} {
 		assert.Equal(t, held[i].Content, named(want.prompt))
-		assert.Equal(t, held[i].Begun(), at(want.third).Add(Settle))
-		assert.Equal(t, len(l.Ends(named(want.prompt))), MostEnds)
+		assert.Equal(t, held[i].StartedAt(), at(want.third).Add(SettleDelay))
+		assert.Equal(t, len(l.TerminatedServers(named(want.prompt))), MaxTerminations)
 	}
 }
 
@@ -103,10 +103,10 @@
 // ends are explained by it, and the other one is free, also when the same goes on.
 func TestBesideAtEachEnd(t *testing.T) {
 	l := New()
-	for i := range MostEnds {
+	for i := range MaxTerminations {
 		server := fmt.Sprint("s", i)
-		l.Sight(Sighting{Content: named("harmless"), Server: server, Generated: 20}, at(float64(i)))
-		l.Sight(Sighting{Content: named("deadly"), Server: server}, at(float64(i)+0.1))
+		l.Observe(Observation{Content: named("harmless"), Server: server, Generated: 20}, at(float64(i)))
+		l.Observe(Observation{Content: named("deadly"), Server: server}, at(float64(i)+0.1))
 	}
 	held := decided(l, at(10))
 	assert.Equal(t, len(held), 1)
@@ -123,14 +123,14 @@
 // until all have told.
 func TestToldLate(t *testing.T) {
 	l := New()
-	for i := range MostEnds - 1 {
+	for i := range MaxTerminations - 1 {
 		sightAll(l, float64(i), fmt.Sprint("s", i), "harmless", "deadly")
 	}
-	l.Sight(Sighting{Content: named("harmless"), Server: "last", Generated: 5}, at(5))
+	l.Observe(Observation{Content: named("harmless"), Server: "last", Generated: 5}, at(5))
 	begun, again := l.Decide(at(5.1))
 	assert.Equal(t, len(begun), 0)
-	assert.Equal(t, again, at(5).Add(Settle))
-	l.Sight(Sighting{Content: named("deadly"), Server: "last"}, at(5.2))
+	assert.Equal(t, again, at(5).Add(SettleDelay))
+	l.Observe(Observation{Content: named("deadly"), Server: "last"}, at(5.2))
 	held := decided(l, at(10))
 	assert.Equal(t, len(held), 1)
 	assert.Equal(t, held[0].Content, named("deadly"))
@@ -144,10 +144,10 @@
 		sightAll(l, float64(i), fmt.Sprint("s", i), "popular")
 		assert.Assert(t, l.suspected(named("popular")))
 		assert.Assert(t, l.Clear(named("popular"), at(float64(i)+0.5)))
-		assert.Assert(t, !l.Sight(Sighting{Content: named("popular"), Server: "told late"}, at(float64(i))), "from before")
+		assert.Assert(t, !l.Observe(Observation{Content: named("popular"), Server: "told late"}, at(float64(i))), "from before")
 	}
 	assert.Equal(t, len(decided(l, at(20))), 0)
-	assert.Assert(t, !l.Watches())
+	assert.Assert(t, !l.Active())
 	assert.Assert(t, !l.Clear(named("never seen"), at(20)))
 }
 
@@ -155,7 +155,7 @@
 // comes again each time.
 func TestServersEndByThemselves(t *testing.T) {
 	l := New()
-	for round := range MostEnds - 1 {
+	for round := range MaxTerminations - 1 {
 		for server := range 20 {
 			sightAll(l, float64(10*round), fmt.Sprint(round, "-", server), fmt.Sprint("a", server), fmt.Sprint("b", server))
 		}
@@ -182,46 +182,46 @@
 // answer ends it, with all that was known.
 func TestHoldsEnd(t *testing.T) {
 	l := New()
-	for i := range MostEnds {
+	for i := range MaxTerminations {
 		sightAll(l, float64(i), fmt.Sprint("s", i), "deadly")
 	}
 	first := decided(l, at(5))
 	assert.Equal(t, len(first), 1)
-	assert.Equal(t, first[0].For, FirstHold)
-	left, ok := l.Held(named("deadly"), first[0].Begun())
+	assert.Equal(t, first[0].Duration, FirstHold)
+	left, ok := l.Quarantined(named("deadly"), first[0].StartedAt())
 	assert.Assert(t, ok)
 	assert.Equal(t, left, FirstHold)
 
 	later := first[0].Until.Add(time.Second)
-	_, ok = l.Held(named("deadly"), later)
+	_, ok = l.Quarantined(named("deadly"), later)
 	assert.Assert(t, !ok, "let through")
 	l.Expire(later)
 	begun, _ := l.Decide(later)
 	assert.Equal(t, len(begun), 0, "not for what it was held for already")
-	l.Sight(Sighting{Content: named("deadly"), Server: "again"}, later)
-	begun, _ = l.Decide(later.Add(Settle))
+	l.Observe(Observation{Content: named("deadly"), Server: "again"}, later)
+	begun, _ = l.Decide(later.Add(SettleDelay))
 	assert.Equal(t, len(begun), 1)
-	assert.Equal(t, begun[0].For, 2*FirstHold)
+	assert.Equal(t, begun[0].Duration, 2*FirstHold)
 
 	assert.Assert(t, l.Clear(named("deadly"), later.Add(time.Minute)))
-	_, ok = l.Held(named("deadly"), later.Add(time.Minute))
+	_, ok = l.Quarantined(named("deadly"), later.Add(time.Minute))
 	assert.Assert(t, !ok)
-	assert.Assert(t, !l.Hold(begun[0]), "told on by one that has not heard")
+	assert.Assert(t, !l.AddHold(begun[0]), "told on by one that has not heard")
 	l.Expire(later.Add(time.Hour))
-	assert.Assert(t, !l.Watches())
+	assert.Assert(t, !l.Active())
 }
 
 // TestHoldIsForgotten: a request that did nothing for as long again after its hold is as any other.
 func TestHoldIsForgotten(t *testing.T) {
 	l := New()
-	h := Hold{Content: one, Until: start.Add(FirstHold), For: FirstHold}
-	assert.Assert(t, l.Hold(h))
-	assert.Assert(t, l.Watches())
+	h := Hold{Content: one, Until: start.Add(FirstHold), Duration: FirstHold}
+	assert.Assert(t, l.AddHold(h))
+	assert.Assert(t, l.Active())
 	now := h.Until.Add(FirstHold)
 	l.Expire(now)
-	assert.Assert(t, !l.Watches())
-	l.Sight(Sighting{Content: one, Server: "s"}, now)
-	begun, _ := l.Decide(now.Add(Settle))
+	assert.Assert(t, !l.Active())
+	l.Observe(Observation{Content: one, Server: "s"}, now)
+	begun, _ := l.Decide(now.Add(SettleDelay))
 	assert.Equal(t, len(begun), 0)
 }
 
@@ -229,16 +229,16 @@
 // time. That must not make it longer and longer.
 func TestHoldToldAround(t *testing.T) {
 	a, b := New(), New()
-	h := Hold{Content: one, Until: start.Add(FirstHold), For: FirstHold}
-	assert.Assert(t, a.Hold(h))
+	h := Hold{Content: one, Until: start.Add(FirstHold), Duration: FirstHold}
+	assert.Assert(t, a.AddHold(h))
 	const delay = 700 * time.Millisecond
 	now := start
 	for range 100 {
 		for _, way := range [][2]*Ledger{{a, b}, {b, a}} {
-			left, ok := way[0].Held(one, now)
+			left, ok := way[0].Quarantined(one, now)
 			assert.Assert(t, ok)
 			now = now.Add(delay)
-			way[1].Hold(Hold{Content: one, Until: now.Add(left), For: FirstHold})
+			way[1].AddHold(Hold{Content: one, Until: now.Add(left), Duration: FirstHold})
 		}
 	}
 	for _, l := range []*Ledger{a, b} {
@@ -256,7 +256,7 @@
 	assert.Assert(t, !l.suspected(named("0")), "the oldest")
 	assert.Assert(t, l.suspected(named(fmt.Sprint(maxSuspects/2))) && l.suspected(named(fmt.Sprint(maxSuspects+9))), "not the newer ones")
 	for i := range maxHolds + 10 {
-		l.Hold(Hold{Content: named(fmt.Sprint(i)), Until: start.Add(FirstHold), For: FirstHold})
+		l.AddHold(Hold{Content: named(fmt.Sprint(i)), Until: start.Add(FirstHold), Duration: FirstHold})
 	}
 	assert.Equal(t, len(l.Holds(start)), maxHolds)
 }
@@ -296,7 +296,7 @@
 				place(s)
 			}
 			l.Decide(now)
-			_, held := l.Held(named("deadly"), now)
+			_, held := l.Quarantined(named("deadly"), now)
 			crash := !held
 			if held && rng.IntN(4) > 0 {
 				continue
@@ -305,19 +305,19 @@
 			starts++
 			if crash {
 				deadlyEnds++
-				l.Sight(Sighting{Content: named("deadly"), Server: name}, now)
+				l.Observe(Observation{Content: named("deadly"), Server: name}, now)
 			}
 			lost := running[server]
 			running[server] = nil
 			for _, r := range lost {
-				l.Sight(Sighting{Content: named(fmt.Sprint(r)), Server: name, Generated: 1 + rng.IntN(500)}, now)
+				l.Observe(Observation{Content: named(fmt.Sprint(r)), Server: name, Generated: 1 + rng.IntN(500)}, now)
 				if tries[r]++; tries[r] <= 3 {
 					other := (server + 1 + rng.IntN(8)) % 9
 					running[other] = append(running[other], r)
 				}
 			}
 		}
-		assert.Assert(t, deadlyEnds <= MostEnds+1, "seed %d: %d ends", seed, deadlyEnds)
+		assert.Assert(t, deadlyEnds <= MaxTerminations+1, "seed %d: %d ends", seed, deadlyEnds)
 		wrong += len(l.Holds(at(90))) - 1
 	}
 	t.Logf("%d others held of some %d", wrong, seeds*others)
--- a/policy/quarantine/size_test.go
+++ b/policy/quarantine/size_test.go
@@ -19,7 +19,7 @@
 		sightAll(l, 0, fmt.Sprintf("i-%010d@1764720000123", i/40), fmt.Sprint(i))
 	}
 	for i := range maxHolds {
-		l.Hold(Hold{Content: named(fmt.Sprint("held ", i)), Until: start.Add(FirstHold), For: FirstHold})
+		l.AddHold(Hold{Content: named(fmt.Sprint("held ", i)), Until: start.Add(FirstHold), Duration: FirstHold})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -72,8 +72,8 @@
 	return news
 }
 
-// Told notes that another router saw a request fail at an engine.
-func (t *Tracker) Told(router, id string, now time.Time) {
+// Reported notes that another router saw a request fail at an engine.
+func (t *Tracker) Reported(router, id string, now time.Time) {
 	if news, named := t.tells(router, id, now); news {
 		t.raise(id, 1/float64(named), now)
 	}
@@ -107,8 +107,8 @@
 	}
 }
 
-// Doubtful reports whether other engines are to be preferred to this one.
-func (t *Tracker) Doubtful(id string, now time.Time) bool {
+// Suspected reports whether other engines are to be preferred to this one.
+func (t *Tracker) Suspected(id string, now time.Time) bool {
 	e, ok := t.engines[id]
 	return ok && e.faded(now) > e.bound
 }
--- a/policy/suspicion/suspicion_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -16,22 +16,22 @@
 
 func TestOneFailureIsForgottenWithinSeconds(t *testing.T) {
 	d := suspicion.New("r")
-	assert.Check(t, !d.Doubtful("e", start))
-	d.Told("other", "e", start)
-	assert.Check(t, d.Doubtful("e", start.Add(100*time.Millisecond)))
-	assert.Check(t, !d.Doubtful("e", start.Add(3*time.Second)))
-	assert.Check(t, !d.Doubtful("f", start))
+	assert.Check(t, !d.Suspected("e", start))
+	d.Reported("other", "e", start)
+	assert.Check(t, d.Suspected("e", start.Add(100*time.Millisecond)))
+	assert.Check(t, !d.Suspected("e", start.Add(3*time.Second)))
+	assert.Check(t, !d.Suspected("f", start))
 }
 
 func TestWhatOneRouterTellsOfAnEngineCountsOnceASecond(t *testing.T) {
 	once, often := suspicion.New("r"), suspicion.New("r")
-	once.Told("other", "e", start)
+	once.Reported("other", "e", start)
 	for range 30 {
-		often.Told("other", "e", start)
+		often.Reported("other", "e", start)
 	}
 	for ms := 0; ms < 4000; ms += 50 {
 		at := start.Add(time.Duration(ms) * time.Millisecond)
-		assert.Check(t, once.Doubtful("e", at) == often.Doubtful("e", at), "after %d ms", ms)
+		assert.Check(t, once.Suspected("e", at) == often.Suspected("e", at), "after %d ms", ms)
 	}
 }
 
@@ -45,10 +45,10 @@
 
 func TestSuccessesOutweighWhatIsTold(t *testing.T) {
 	d := suspicion.New("r")
-	d.Told("other", "e", start)
+	d.Reported("other", "e", start)
 	d.Succeeded("e")
 	d.Succeeded("e")
-	assert.Check(t, !d.Doubtful("e", start))
+	assert.Check(t, !d.Suspected("e", start))
 }
 
 // TestRoutersThatAreCutOffAreNotBelieved is a router that can reach no engine any more and says so of all. The others
@@ -57,12 +57,12 @@
 	d := suspicion.New("r")
 	for s := range 10 {
 		for e := range 20 {
-			d.Told("cut off", fmt.Sprint("e", e), start.Add(time.Duration(s)*time.Second))
+			d.Reported("cut off", fmt.Sprint("e", e), start.Add(time.Duration(s)*time.Second))
 		}
 	}
 	in := 0
 	for e := range 20 {
-		if d.Doubtful(fmt.Sprint("e", e), start.Add(9*time.Second+300*time.Millisecond)) {
+		if d.Suspected(fmt.Sprint("e", e), start.Add(9*time.Second+300*time.Millisecond)) {
 			in++
 		}
 	}
@@ -123,7 +123,7 @@
 			if !e.ok && e.at+heard == now && p.told {
 				for i, other := range routers {
 					if i != e.router {
-						other.Told(fmt.Sprint("r", e.router), "e0", at)
+						other.Reported(fmt.Sprint("r", e.router), "e0", at)
 					}
 				}
 			}
@@ -134,7 +134,7 @@
 
 func (p play) choose(d *suspicion.Tracker, r *rand.Rand, now time.Time) int {
 	for {
-		if e := r.IntN(p.engines); !d.Doubtful(fmt.Sprint("e", e), now) {
+		if e := r.IntN(p.engines); !d.Suspected(fmt.Sprint("e", e), now) {
 			return e
 		}
 	}
@@ -176,10 +176,10 @@
 	for r := range 30 {
 		d := suspicion.New(fmt.Sprint("r", r))
 		for other := range 29 {
-			d.Told(fmt.Sprint("other", other), "e", start)
+			d.Reported(fmt.Sprint("other", other), "e", start)
 		}
 		// Doubts have a bound: as many failures as there are routers say no more than a few.
-		if d.Doubtful("e", start.Add(6*time.Second)) {
+		if d.Suspected("e", start.Add(6*time.Second)) {
 			in++
 		}
 	}
