--- a/policy/cooldown/cooldown.go
+++ b/policy/cooldown/cooldown.go
@@ -1,11 +1,12 @@
-// Package cooldown keeps one router away from servers that have asked it for rest.
+// Package cooldown makes one router back off from servers that asked it for a cooldown (Retry-After).
 //
-// Load pattern: two of nine engines turn most of what reaches them away for a quarter of a minute, and say with each
-// refusal for how long they want nothing from the router that asked. Their memory is free meanwhile, so that whoever goes by
-// memory alone, or takes the refusal for something else, sends there again within milliseconds. Each such send takes a part of
-// the repeats of all, and the request's time.
+// Load pattern: two of nine engines reject most requests for a quarter of a minute, and each rejection says for how long
+// its router should send nothing. Their memory is free meanwhile, so a router that goes by free memory alone, or takes the
+// rejection for something else, sends there again within milliseconds. Each such attempt takes a retry from the shared
+// budget and delays its request.
 //
-// Each refusal holds for its own time, whatever later ones say, and for its router alone.
+// Each cooldown lasts for its own time, even if a later rejection asks for a shorter one, and applies only to the router
+// that received it.
 //
 // Cooldowns takes the time from its caller and is not safe for concurrent use.
 package cooldown
@@ -15,28 +16,28 @@
 	"time"
 )
 
-// Cooldowns are the rests that servers asked one router for.
+// Cooldowns holds the cooldowns that servers asked one router for.
 type Cooldowns struct{ until map[string]time.Time }
 
-// New returns no rests.
+// New returns empty Cooldowns.
 func New() *Cooldowns { return &Cooldowns{until: map[string]time.Time{}} }
 
-// Record notes that a server has asked for rest now.
-func (r *Cooldowns) Record(id string, rest time.Duration, now time.Time) {
-	if until := now.Add(rest); until.After(r.until[id]) {
-		r.until[id] = until
+// Record records that a server has asked for a cooldown now.
+func (c *Cooldowns) Record(id string, duration time.Duration, now time.Time) {
+	if until := now.Add(duration); until.After(c.until[id]) {
+		c.until[id] = until
 	}
 }
 
-// Remaining is how long a server is to be sent nothing still; zero if it may be.
-func (r *Cooldowns) Remaining(id string, now time.Time) time.Duration {
-	return max(r.until[id].Sub(now), 0)
+// Remaining returns how long a server is still to be sent nothing; zero if it has no cooldown.
+func (c *Cooldowns) Remaining(id string, now time.Time) time.Duration {
+	return max(c.until[id].Sub(now), 0)
 }
 
-// Forget drops rests that are over, and servers that known does not name.
-func (r *Cooldowns) Forget(known func(id string) bool, now time.Time) {
-	maps.DeleteFunc(r.until, func(id string, until time.Time) bool { return !known(id) || !now.Before(until) })
+// Forget drops cooldowns that are over, and servers for which known returns false.
+func (c *Cooldowns) Forget(known func(id string) bool, now time.Time) {
+	maps.DeleteFunc(c.until, func(id string, until time.Time) bool { return !known(id) || !now.Before(until) })
 }
 
-// Len is the number of rests that are kept.
-func (r *Cooldowns) Len() int { return len(r.until) }
+// Len returns the number of cooldowns held.
+func (c *Cooldowns) Len() int { return len(c.until) }
--- a/policy/drain/drain_test.go
+++ b/policy/drain/drain_test.go
@@ -9,7 +9,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// step is one thing heard, at so many seconds.
+// step makes one report to a Tracker.
 type step func(t *Tracker, now time.Time)
 
 func record(revision uint64, retired bool) step {
@@ -23,10 +23,10 @@
 func signal(t *Tracker, now time.Time) { t.Signalled(now) }
 
 func TestLeaving(t *testing.T) {
-	live, leaving, blind := list("a", false), list("a", true), list("b", false)
+	live, leaving, unreadable := list("a", false), list("a", true), list("b", false)
 	cases := []struct {
 		name  string
-		steps []step // one a second
+		steps []step // one per second
 		want  Sources
 	}{
 		{"nothing known", nil, 0},
@@ -34,8 +34,8 @@
 		{"late older record", []step{record(5, true), record(4, false)}, Record},
 		{"list taken back", []step{leaving, live}, 0},
 		{"list flaps", []step{leaving, live, leaving}, List},
-		{"reader that cannot read the list", []step{leaving, blind, blind}, List},
-		{"reader gone", []step{leaving, blind, blind, blind, blind}, 0},
+		{"reader that cannot read the list", []step{leaving, unreadable, unreadable}, List},
+		{"reader gone", []step{leaving, unreadable, unreadable, unreadable, unreadable}, 0},
 		{"signal is final", []step{signal, record(9, false), live}, Signal},
 		{"all", []step{leaving, record(2, true), signal}, Record | List | Signal},
 	}
@@ -45,7 +45,7 @@
 			for i, s := range c.steps {
 				s(tr, epoch.Add(time.Duration(i)*time.Second))
 			}
-			assert.Equal(t, tr.Told(), c.want)
+			assert.Equal(t, tr.Reported(), c.want)
 			assert.Equal(t, tr.Leaving(), c.want != 0)
 			assert.Equal(t, tr.Drained(0), c.want != 0)
 		})
--- a/policy/freshness/freshness.go
+++ b/policy/freshness/freshness.go
@@ -1,93 +1,92 @@
-// Package freshness decides how old a configuration may be under which requests with keys are served.
+// Package freshness bounds the age of the configuration under which requests with API keys are served.
 //
-// Load pattern: a key is taken away while some gateways are cut off from the platform's store, from each
-// other, or frozen. From a bound after the change on no gateway may run a request with that key, and none
-// can know that it has missed the change. So each knows until when its configuration is proved to have been
-// the newest, and refuses once that is too long ago.
+// Load pattern: a key is revoked while some gateways are partitioned from the platform's store or from each
+// other, or are suspended. Once a bounded time has passed since the change, no gateway may run a request with
+// that key, but a gateway cannot know that it has missed the change. So each tracks until when its
+// configuration is proved to have been the newest, and rejects requests with keys once that is too long ago.
 //
-// A proof says that a version was the newest at some time. It comes from an answer of the store, and holds
-// from the moment at which the question was sent; or from another gateway, which tells the age of its own
-// proof, and holds from that much before the moment at which it was asked. So ages only add up, no clock of
-// another VM is compared, and an answer that was held up on its way only makes the proof older.
+// A proof states that a version was the newest at some time. If it comes from the store, that is the time at
+// which the query was sent. If it comes from another gateway, which reports the age of its own proof, it is the
+// time at which the query was sent minus that age. So ages only add up, clocks of different VMs are never
+// compared, and a delayed answer only makes the proof older.
 //
-// A Ledger takes the time from its caller: a clock that goes on while the VM is suspended. It is not safe
+// A Ledger takes the time from its caller, whose clock must continue while the VM is suspended. It is not safe
 // for concurrent use.
 package freshness
 
 import "time"
 
-// Proof says that version was the newest at a time of this process's clock.
+// Proof states that Version was the newest at a time of this process's clock.
 type Proof struct {
 	Version int64
 	At      time.Duration
 }
 
-// Ledger is what one process has proved.
+// Ledger holds the proofs of one process.
 type Ledger struct {
-	inForce int64
-	// newest is the latest proof of all, of a version that may not be in force here yet.
+	applied int64
+	// newest is the latest proof; its version may not be applied here yet.
 	newest Proof
-	// proved is since when the version in force may be out of date; known is unset while nothing is proved.
-	proved time.Duration
-	known  bool
+	// provedAt is the time since which the applied version may be out of date; known is false without a proof.
+	provedAt time.Duration
+	known    bool
 }
 
-// Applied notes the version that is in force from now on. Versions only grow.
+// Applied records the version that is applied from now on. Versions only grow.
 func (l *Ledger) Applied(version int64) {
-	l.inForce = max(l.inForce, version)
-	l.settle()
+	l.applied = max(l.applied, version)
+	l.useNewest()
 }
 
-// AddProof takes a proof. One of a version that is not in force yet counts once it is.
+// AddProof adds a proof. One of a version that is not applied yet counts once it is.
 func (l *Ledger) AddProof(p Proof) {
 	if p.Version <= 0 || (l.newest.Version > 0 && p.At <= l.newest.At) {
-		l.settleWith(p)
+		l.use(p)
 		return
 	}
 	l.newest = p
-	l.settle()
+	l.useNewest()
 }
 
-func (l *Ledger) settle() { l.settleWith(l.newest) }
+func (l *Ledger) useNewest() { l.use(l.newest) }
 
-// settleWith counts a proof of a version that is in force, or that was before it: whatever was changed until
-// then is in the present one.
-func (l *Ledger) settleWith(p Proof) {
-	if p.Version <= 0 || p.Version > l.inForce {
+// use takes a proof of the applied version or of an earlier one into account: the applied version contains all
+// changes up to the time of either.
+func (l *Ledger) use(p Proof) {
+	if p.Version <= 0 || p.Version > l.applied {
 		return
 	}
-	if !l.known || p.At > l.proved {
-		l.proved, l.known = p.At, true
+	if !l.known || p.At > l.provedAt {
+		l.provedAt, l.known = p.At, true
 	}
 }
 
-// Age is how long ago the configuration in force was proved to be the newest; false if it never was.
+// Age returns how long ago the applied configuration was proved to be the newest; false if it never was.
 func (l *Ledger) Age(now time.Duration) (time.Duration, bool) {
-	return now - l.proved, l.known
+	return now - l.provedAt, l.known
 }
 
-// Newest is the latest proof, to be told to others; false if there is none.
+// Newest returns the latest proof, to report to other gateways; false if there is none.
 func (l *Ledger) Newest() (Proof, bool) { return l.newest, l.newest.Version > 0 }
 
-// Bounds say for how long a configuration may be trusted.
+// Bounds limit how long a configuration may be trusted.
 type Bounds struct {
-	// Revoke is the time after which a key that was taken away must not work any more; zero means that there
-	// is no such bound.
+	// Revoke is the time after which a revoked key must no longer work; zero means that there is no such bound.
 	Revoke time.Duration
 }
 
-// margin is kept from the bound for the grain of timers.
+// margin is subtracted from the bound to allow for the granularity of timers.
 const margin = 250 * time.Millisecond
 
-// Limit is the age of a proof from which on requests with keys are refused; false if there is none.
+// Limit returns the age of a proof from which on requests with keys are rejected; false if there is none.
 func (b Bounds) Limit() (time.Duration, bool) { return max(b.Revoke-margin, 0), b.Revoke > 0 }
 
-// Trusted reports whether requests with keys may be served under a configuration that was proved so long ago.
+// Trusted reports whether requests with keys may be served under a configuration whose proof has an age.
 func (b Bounds) Trusted(age time.Duration, known bool) bool {
 	limit, bounded := b.Limit()
 	return !bounded || (known && age < limit)
 }
 
-// UnknownKeyMaxAge is the age of a proof up to which a key that is not known counts as unknown. Beyond it the key may have
-// been added since, which is asked first.
+// UnknownKeyMaxAge is the maximum age of a proof under which a key that is missing here counts as unknown. With an older
+// proof the key may have been added since, so a newer proof is requested first.
 const UnknownKeyMaxAge = time.Second
--- a/policy/freshness/freshness_test.go
+++ b/policy/freshness/freshness_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, !known, "nothing is proved yet")
 	l.Applied(3)
 	_, known = l.Age(0)
-	assert.Assert(t, !known, "a table alone proves nothing: it may have been replaced since")
+	assert.Assert(t, !known, "an applied version alone proves nothing: it may have been replaced since")
 
 	l.AddProof(freshness.Proof{Version: 3, At: 2 * second})
 	age, known := l.Age(5 * second)
@@ -26,7 +26,7 @@
 
 	l.AddProof(freshness.Proof{Version: 4, At: 4 * second})
 	age, _ = l.Age(5 * second)
-	assert.Equal(t, age, 3*second, "a newer version is known of, and not in force here")
+	assert.Equal(t, age, 3*second, "a newer version was proved but is not applied here")
 	l.Applied(4)
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second)
@@ -36,7 +36,7 @@
 	assert.Equal(t, age, second, "an older proof changes nothing")
 	l.Applied(9)
 	age, _ = l.Age(5 * second)
-	assert.Equal(t, age, second, "what was changed until the proof is in a later version too")
+	assert.Equal(t, age, second, "a later version contains all changes up to the proof")
 	newest, ok := l.Newest()
 	assert.Assert(t, ok)
 	assert.Equal(t, newest, freshness.Proof{Version: 4, At: 4 * second})
--- a/policy/freshness/model_test.go
+++ b/policy/freshness/model_test.go
@@ -7,9 +7,9 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/freshness"
 )
 
-// The model: a store whose configuration changes, and gateways that ask it, ask each other, and start again, each with
-// one question on its way at most. An answer may be made and come at any later time, or never: that is a cut, a freeze, or
-// a link that holds bytes up. All orders are explored up to a number of ticks.
+// The model has a store whose configuration changes, and gateways that query the store and each other, and restart, each
+// with at most one outstanding query. An answer may be made and delivered at any later time, or never, which covers
+// partitions, suspended processes and links that delay bytes. All orders up to a number of ticks are explored.
 const (
 	modelGateways = 2
 	modelVersions = 2
@@ -17,34 +17,35 @@
 	modelRevoke   = 2
 )
 
-// asked is a question on its way.
-type asked struct {
-	// peer is set if another gateway was asked, and not the store; done once it was answered.
-	asked, peer, done bool
-	at                int8
-	// version is what the answer says is in force, and proved, at the time provedAt of the one that was asked.
-	version, proved int8
-	age             int8
+// query is a query of a gateway and its answer.
+type query struct {
+	// sent is set while the query is outstanding, peer if it went to the other gateway instead of the store.
+	sent, peer, answered bool
+	at                   int8
+	// version is the applied version in the answer, provedVersion the one that the answer proves, with a proof of
+	// proofAge.
+	version, provedVersion int8
+	proofAge               int8
 }
 
 type modelGateway struct {
 	ledger freshness.Ledger
-	// version is in force.
+	// version is the applied version.
 	version int8
-	ask     asked
+	query   query
 }
 
 type model struct {
 	now int8
-	// acked is when each version was accepted; the first one was at the beginning.
-	acked    [modelVersions]int8
-	versions int8
-	gateways [modelGateways]modelGateway
+	// acceptedAt is when the store accepted each version; the first one at tick 0.
+	acceptedAt [modelVersions]int8
+	versions   int8
+	gateways   [modelGateways]modelGateway
 }
 
 func ticks(n int8) time.Duration { return time.Duration(n) * time.Second }
 
-// next are the states that one step leads to.
+// next returns the states that one step leads to.
 func (m model) next() []model {
 	var out []model
 	add := func(change func(*model)) {
@@ -57,21 +58,21 @@
 	}
 	if m.versions < modelVersions {
 		add(func(n *model) {
-			n.acked[n.versions] = n.now
+			n.acceptedAt[n.versions] = n.now
 			n.versions++
 		})
 	}
 	for i := range m.gateways {
 		g := &m.gateways[i]
 		switch {
-		case !g.ask.asked:
-			add(func(n *model) { n.gateways[i].ask = asked{asked: true, at: n.now} })
-			add(func(n *model) { n.gateways[i].ask = asked{asked: true, peer: true, at: n.now} })
-		case !g.ask.done:
+		case !g.query.sent:
+			add(func(n *model) { n.gateways[i].query = query{sent: true, at: n.now} })
+			add(func(n *model) { n.gateways[i].query = query{sent: true, peer: true, at: n.now} })
+		case !g.query.answered:
 			add(func(n *model) { n.answer(i) })
 		default:
 			add(func(n *model) { n.deliver(i) })
-			add(func(n *model) { n.gateways[i].ask = asked{} })
+			add(func(n *model) { n.gateways[i].query = query{} })
 		}
 		if g.version > 0 {
 			add(func(n *model) { n.gateways[i] = modelGateway{} })
@@ -80,37 +81,38 @@
 	return out
 }
 
-// answer has the question of a gateway answered now.
+// answer answers the query of a gateway now.
 func (m *model) answer(i int) {
-	a := &m.gateways[i].ask
-	a.done = true
-	if !a.peer {
-		a.version, a.proved = m.versions, m.versions
+	q := &m.gateways[i].query
+	q.answered = true
+	if !q.peer {
+		q.version, q.provedVersion = m.versions, m.versions
 		return
 	}
 	other := &m.gateways[(i+1)%modelGateways]
-	a.version = other.version
+	q.version = other.version
 	if p, ok := other.ledger.Newest(); ok {
-		a.proved, a.age = int8(p.Version), m.now-int8(p.At/time.Second)
+		q.provedVersion, q.proofAge = int8(p.Version), m.now-int8(p.At/time.Second)
 	}
 }
 
-// deliver has an answer come.
+// deliver delivers the answer to a gateway.
 func (m *model) deliver(i int) {
 	g := &m.gateways[i]
-	a := g.ask
-	g.ask = asked{}
-	if a.version > g.version {
-		g.version = a.version
-		g.ledger.Applied(int64(a.version))
+	q := g.query
+	g.query = query{}
+	if q.version > g.version {
+		g.version = q.version
+		g.ledger.Applied(int64(q.version))
 	}
-	if a.proved > 0 {
-		g.ledger.AddProof(freshness.Proof{Version: int64(a.proved), At: ticks(a.at - a.age)})
+	if q.provedVersion > 0 {
+		g.ledger.AddProof(freshness.Proof{Version: int64(q.provedVersion), At: ticks(q.at - q.proofAge)})
 	}
 }
 
-// wrong is a gateway that trusts a configuration in which a change is missing that was accepted too long ago.
-func (m *model) wrong() (int, bool) {
+// violation returns a gateway that trusts a configuration without a change that was accepted too long ago; false if there
+// is none.
+func (m *model) violation() (int, bool) {
 	bounds := freshness.Bounds{Revoke: ticks(modelRevoke)}
 	for i := range m.gateways {
 		g := &m.gateways[i]
@@ -118,7 +120,7 @@
 			continue
 		}
 		for v := g.version; v < m.versions; v++ {
-			if m.acked[v] <= m.now-modelRevoke {
+			if m.acceptedAt[v] <= m.now-modelRevoke {
 				return i, true
 			}
 		}
@@ -126,17 +128,17 @@
 	return 0, false
 }
 
-// TestNobodyTrustsAConfigurationTooLong explores the model: whatever is cut, held up or started again, no gateway serves
-// under a configuration that lacks a change of longer ago than the bound.
-func TestNobodyTrustsAConfigurationTooLong(t *testing.T) {
+// TestNoGatewayTrustsStaleConfiguration explores the model: with any partitions, delays and restarts, no gateway serves
+// under a configuration that lacks a change older than the bound.
+func TestNoGatewayTrustsStaleConfiguration(t *testing.T) {
 	first := model{versions: 1}
 	seen := map[model]bool{first: true}
 	trusted := 0
 	for queue := []model{first}; len(queue) > 0; {
 		m := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
-		if i, wrong := m.wrong(); wrong {
-			t.Fatalf("gateway %d trusts what it should not: %+v", i, m)
+		if i, violated := m.violation(); violated {
+			t.Fatalf("gateway %d trusts a stale configuration: %+v", i, m)
 		}
 		if _, known := m.gateways[0].ledger.Age(0); known {
 			trusted++
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -1,9 +1,10 @@
-// Package outlier tells servers that fail more often than the others of their service.
+// Package outlier detects servers that fail more often than the others of their service
+// (outlier detection).
 //
 // Load pattern: a seventh of the servers fail two of five requests, or hang, while their
-// health check is good. Only the answers to requests show
-// it. Some services fail a fixed share of requests everywhere, so a server is compared
-// with the others of its service and not with a fixed bound.
+// health checks pass, so only the outcomes of requests show it. Some services fail a
+// fixed share of requests at every server, so a server is compared with the others of its
+// service instead of with a fixed threshold.
 //
 // A Tracker takes the time from its caller and is not safe for concurrent use.
 package outlier
@@ -13,23 +14,24 @@
 	"time"
 )
 
-// halfLife is the age at which an observation counts half. A server that is well again
-// gets its full share back after a few of them.
+// halfLife is the age at which an observation counts half. A recovered server gets its
+// full share of requests back after a few half-lives.
 const halfLife = 3 * time.Second
 
-// prior is the number of observations without which nothing is concluded.
+// prior is the weight of the baseline rate, in observations: with fewer observations of a
+// server, the baseline outweighs them.
 const prior = 3.0
 
-// Tracker holds what was observed of the servers of one service.
+// Tracker holds the observed outcomes at the servers of one service.
 type Tracker struct {
 	servers map[string]*record
-	// at is the time to which all counts have decayed, all their sum over the servers: a
-	// choice asks for each server how it compares with the others.
-	at  time.Time
-	all counts
+	// at is the time to which all counts are decayed, total their sum over the servers:
+	// each choice of a server compares every candidate with the others.
+	at    time.Time
+	total counts
 }
 
-// counts are decayed numbers of requests.
+// counts are exponentially decayed numbers of requests.
 type counts struct{ ok, failed float64 }
 
 func (c *counts) scale(f float64) {
@@ -44,9 +46,9 @@
 
 func (c counts) requests() float64 { return c.ok + c.failed }
 
-// rounding is the share of a sum below which a difference from it may be nothing but
-// rounding.
-const rounding = 1e-6
+// roundingError is the share of a total below which a difference from it may be only
+// rounding error.
+const roundingError = 1e-6
 
 type record struct {
 	counts
@@ -56,10 +58,10 @@
 	streak int
 }
 
-// New returns an empty tracker.
+// New returns an empty Tracker.
 func New() *Tracker { return &Tracker{servers: map[string]*record{}} }
 
-// Observe notes the end of a request at a server.
+// Observe records the outcome of a request at a server.
 func (t *Tracker) Observe(id string, ok bool, now time.Time) {
 	t.decay(now)
 	r, known := t.servers[id]
@@ -67,62 +69,63 @@
 		r = &record{}
 		t.servers[id] = r
 	}
-	var seen counts
+	var sample counts
 	if ok {
-		seen.ok = 1
+		sample.ok = 1
 		r.streak = 0
 	} else {
-		seen.failed = 1
+		sample.failed = 1
 		r.streak++
 		r.lastFailure = now
 	}
-	r.add(seen)
-	t.all.add(seen)
+	r.add(sample)
+	t.total.add(sample)
 }
 
-// Forget drops all servers that keep does not want.
+// Forget drops all servers for which keep returns false.
 func (t *Tracker) Forget(keep func(id string) bool) {
-	t.all = counts{}
+	t.total = counts{}
 	for id, r := range t.servers {
 		if !keep(id) {
 			delete(t.servers, id)
 			continue
 		}
-		t.all.add(r.counts)
+		t.total.add(r.counts)
 	}
 }
 
-// decay brings all counts to now.
+// decay decays all counts to now.
 func (t *Tracker) decay(now time.Time) {
 	if now.Equal(t.at) {
 		return
 	}
 	f := math.Exp2(-float64(now.Sub(t.at)) / float64(halfLife))
-	t.at, t.all = now, counts{}
+	t.at, t.total = now, counts{}
 	for _, r := range t.servers {
 		r.scale(f)
-		t.all.add(r.counts)
+		t.total.add(r.counts)
 	}
 }
 
-// others is the sum over the other servers of the one with the counts own. It is summed up
-// anew where nearly all of the sum is that server's own.
+// others returns the sum of the counts of all servers except id, which has the counts own.
+// When nearly all of the total is own, it sums the others anew, as the difference may be
+// only rounding error.
 func (t *Tracker) others(id string, own counts) counts {
-	left := counts{t.all.ok - own.ok, t.all.failed - own.failed}
-	if left.requests() > rounding*t.all.requests() {
-		return left
+	sum := counts{t.total.ok - own.ok, t.total.failed - own.failed}
+	if sum.requests() > roundingError*t.total.requests() {
+		return sum
 	}
-	left = counts{}
+	sum = counts{}
 	for other, r := range t.servers {
 		if other != id {
-			left.add(r.counts)
+			sum.add(r.counts)
 		}
 	}
-	return left
+	return sum
 }
 
-// ExcessFailureRate is the estimated probability that a request fails at a server beyond what is
-// usual in its service, in [0, 1].
+// ExcessFailureRate returns by how much the estimated probability that a request fails at
+// a server exceeds that of the other servers of its service, in [0, 1].
 func (t *Tracker) ExcessFailureRate(id string, now time.Time) float64 {
 	r, ok := t.servers[id]
 	if !ok {
@@ -130,22 +133,23 @@
 	}
 	t.decay(now)
 	others := t.others(id, r.counts)
-	usual := others.failed / (others.requests() + prior)
-	rate := (r.failed + prior*usual) / (r.requests() + prior)
-	return max(rate-usual, 0)
+	baseline := others.failed / (others.requests() + prior)
+	rate := (r.failed + prior*baseline) / (r.requests() + prior)
+	return max(rate-baseline, 0)
 }
 
-// Suspected reports whether a server should get no request that is lost when it fails: it
-// failed several in a row, the last of them a moment ago.
+// Suspected reports whether a server should get no request that can't be retried: it
+// failed suspectStreak requests in a row, the last one within suspectDuration.
 func (t *Tracker) Suspected(id string, now time.Time) bool {
 	r, ok := t.servers[id]
-	return ok && r.streak >= suspectStreak && now.Sub(r.lastFailure) < suspectFor
+	return ok && r.streak >= suspectStreak && now.Sub(r.lastFailure) < suspectDuration
 }
 
 const (
-	// suspectStreak failures in a row happen once in a thousand times by chance at a
+	// suspectStreak failures in a row have a probability of about one in a thousand at a
 	// failure rate of a seventh.
 	suspectStreak = 3
-	// suspectFor is the pause after which a suspect is tried with one request again.
-	suspectFor = 2 * time.Second
+	// suspectDuration is how long after its last failure a suspected server is tried
+	// again, with one request.
+	suspectDuration = 2 * time.Second
 )
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -13,22 +13,23 @@
 
 var start = time.Unix(1000, 0)
 
-// observe notes n requests at each server, a tenth of a second apart.
-func observe(tr *outlier.Tracker, n int, failing map[string]float64) time.Time {
+// observe records n requests at each server, a tenth of a second apart, and returns the
+// time of the last. failureRates holds the failure rate of each server.
+func observe(tr *outlier.Tracker, n int, failureRates map[string]float64) time.Time {
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := start
 	for range n {
 		now = now.Add(100 * time.Millisecond)
 		for _, id := range []string{"a", "b", "c"} {
-			tr.Observe(id, rng.Float64() >= failing[id], now)
+			tr.Observe(id, rng.Float64() >= failureRates[id], now)
 		}
 	}
 	return now
 }
 
-// TestGreyServer replays a server that fails two of five requests while its health check
-// is good, in a service that fails a seventh of all requests anyway.
-func TestGreyServer(t *testing.T) {
+// TestGrayFailure replays a server that fails two of five requests while its health check
+// passes, in a service where every server fails a seventh of its requests.
+func TestGrayFailure(t *testing.T) {
 	tr := outlier.New()
 	now := observe(tr, 60, map[string]float64{"a": 0.4, "b": 0.14, "c": 0.14})
 	assert.Assert(t, tr.ExcessFailureRate("a", now) > 0.15, "%v", tr.ExcessFailureRate("a", now))
@@ -37,7 +38,7 @@
 	}
 }
 
-func TestUsualFailuresAreNoOutlier(t *testing.T) {
+func TestCommonFailureRateIsNoOutlier(t *testing.T) {
 	tr := outlier.New()
 	now := observe(tr, 60, map[string]float64{"a": 0.14, "b": 0.14, "c": 0.14})
 	for _, id := range []string{"a", "b", "c"} {
@@ -75,7 +76,7 @@
 	assert.Equal(t, tr.ExcessFailureRate("a", start), 0.0)
 }
 
-// BenchmarkChoice is what one choice among many servers costs, each asked for its failures.
+// BenchmarkChoice measures one choice among many servers, which reads the failure rate of each.
 func BenchmarkChoice(b *testing.B) {
 	tr := outlier.New()
 	ids := make([]string, 350)
--- a/policy/overload/overload.go
+++ b/policy/overload/overload.go
@@ -1,64 +1,67 @@
-// Package overload decides how many calls a server of a plain service gets.
+// Package overload limits the share of calls that a server of a plain service gets (adaptive
+// admission control).
 //
-// Load pattern: two of three servers are lost while calls arrive a third faster than what is
-// left can answer. Its queue fills and stays full: each call waits behind two dozen others, all
-// answers come too late, and what the server turns away comes back. It goes on after the burst
-// has ended. With fewer calls let in, those that are let in are answered in time; the others
-// learn at once that they were not run, and when to come back.
+// Load pattern: two of three servers are lost while calls arrive a third faster than the rest
+// can answer. The remaining server's queue fills and stays full: each call waits behind two
+// dozen others, all answers miss their latency objective, and rejected calls are retried. This
+// continues after the burst has ended. With fewer calls admitted, those admitted are answered in
+// time; the callers of the others learn at once that their call was not run and when to retry.
 //
-// Many routers share a server, each with less than one call outstanding, so that a number of
-// calls outstanding is no measure for any of them. Each learns a share of its calls instead,
-// by additive increase and multiplicative decrease as congestion control does: answers that
-// come in time raise it, late and refused ones lower it. All routers see the same queue, and so
-// come to about the same share without telling each other. In a replay 87 in a hundred of the
+// Many routers share a server, each with less than one outstanding call, so none of them can
+// limit the number of outstanding calls. Instead each adapts the share of its calls that it
+// sends, by additive increase and multiplicative decrease (AIMD) as in congestion control:
+// timely answers raise the share, late answers and rejections lower it. All routers see the same
+// queue, so their shares converge without coordination. In a replay, 87 in a hundred of the
 // calls that the server can answer are answered in time, 42 without a limit.
 //
-// A Limiter is deterministic, takes time and chance from its caller, and is not safe for
-// concurrent use.
+// A Limiter is deterministic, takes the time and random numbers from its caller, and is not safe
+// for concurrent use.
 package overload
 
 import "time"
 
 const (
-	// most is the share at a server that does well. What is above one is credit: a late
-	// answer now and then, as of every service, turns nobody away.
-	most = 1.3
-	// least keeps a share of calls that tells when the server is well again.
-	least = 0.05
-	// raise and lower are the steps. At a share of two thirds they balance where one in six
-	// answers is late; with half of lower the queue takes twice as long to drain.
-	raise = 0.01
-	lower = 0.08
-	// swift is the step where an answer shows that there is no queue at all: a router that
-	// sends five calls a second has its full share back in two seconds.
-	swift = 0.04
-	// inTime is the share of the objective within which an answer shows no overload: the
-	// rest is for the way to the caller and for calls that take longer than others.
-	inTime = 0.65
-	// queued is by how much longer than at its best a server has to answer before a late
-	// answer is taken for a sign of a queue: some services are slow by themselves.
-	queued = 2.0
-	// idle is the time without an answer in which a share recovers by recovers.
-	idle     = time.Second
-	recovers = 0.2
-	// bestRises lets the best time rise with each answer, so that a server that has become
-	// slower for good is learned anew within some hundred.
-	bestRises = 1.002
+	// maxShare is the share at a healthy server. The part above one is credit, so that the
+	// occasional late answer of any service causes no rejection.
+	maxShare = 1.3
+	// minShare keeps enough calls going to a server to detect its recovery.
+	minShare = 0.05
+	// increase is added to the share, decrease is the factor by which it falls. At a share of
+	// two thirds they balance when one in six answers is late; with half of decrease the queue
+	// takes twice as long to drain.
+	increase = 0.01
+	decrease = 0.08
+	// fastIncrease replaces increase when an answer shows that there is no queue: a router that
+	// sends five calls a second regains its full share in two seconds.
+	fastIncrease = 0.04
+	// timelyFraction is the fraction of the objective within which an answer shows no overload.
+	// The rest allows for the network delay to the caller and for calls that take longer.
+	timelyFraction = 0.65
+	// queueingFactor is the multiple of its fastest answer that a late answer must exceed to
+	// indicate a queue: some services are always slower than their objective.
+	queueingFactor = 2.0
+	// idleTime is the time without an answer after which a share recovers by recoveryRate per
+	// second.
+	idleTime     = time.Second
+	recoveryRate = 0.2
+	// fastestDrift is the factor by which the fastest time rises with each answer, so that it
+	// adapts to a permanently slower server within some hundred answers.
+	fastestDrift = 1.002
 )
 
-// Limiter is what one router learned of the servers of one service.
+// Limiter holds one router's shares of calls for the servers of one service.
 type Limiter struct {
 	servers map[string]*server
 }
 
 type server struct {
 	share float64
-	// best is the shortest time of an answer, in seconds.
-	best float64
-	seen time.Time
+	// fastest is the shortest recent response time, in seconds.
+	fastest float64
+	updated time.Time
 }
 
-// New returns a Limiter that lets everything in.
+// New returns a Limiter that admits every call.
 func New() *Limiter { return &Limiter{servers: map[string]*server{}} }
 
 // Outcome is how a call ended.
@@ -66,60 +69,60 @@
 	Took time.Duration
 	// Objective is the time within which callers expect an answer; zero if there is none.
 	Objective time.Duration
-	// Rejected is set when the server took no more calls.
+	// Rejected is set when the server rejected the call for lack of capacity.
 	Rejected bool
 }
 
-// Observe notes how a call at a server ended.
-func (l *Limiter) Observe(id string, a Outcome, now time.Time) {
+// Observe records the outcome of a call at a server.
+func (l *Limiter) Observe(id string, o Outcome, now time.Time) {
 	s := l.server(id)
-	s.share, s.seen = s.shareAt(now), now
-	took := a.Took.Seconds()
-	if !a.Rejected {
-		s.learn(took)
+	s.share, s.updated = s.shareAt(now), now
+	took := o.Took.Seconds()
+	if !o.Rejected {
+		s.updateFastest(took)
 	}
-	late := a.Objective > 0 && took > inTime*a.Objective.Seconds() && took > queued*s.best
-	if a.Rejected || late {
-		s.share = max(s.share*(1-lower), least)
+	slow := o.Objective > 0 && took > timelyFraction*o.Objective.Seconds() && took > queueingFactor*s.fastest
+	if o.Rejected || slow {
+		s.share = max(s.share*(1-decrease), minShare)
 		return
 	}
-	step := raise
-	if a.Objective > 0 && took < inTime*a.Objective.Seconds()/2 {
-		step = swift
+	step := increase
+	if o.Objective > 0 && took < timelyFraction*o.Objective.Seconds()/2 {
+		step = fastIncrease
 	}
-	s.share = min(s.share+step, most)
+	s.share = min(s.share+step, maxShare)
 }
 
-func (s *server) learn(took float64) {
-	if s.best == 0 {
-		s.best = took
+func (s *server) updateFastest(took float64) {
+	if s.fastest == 0 {
+		s.fastest = took
 	}
-	s.best = min(s.best*bestRises, took)
+	s.fastest = min(s.fastest*fastestDrift, took)
 }
 
-// shareAt is the share at now: that of a server that was not asked recovers.
+// shareAt returns the share at now. The share of an idle server recovers over time.
 func (s *server) shareAt(now time.Time) float64 {
-	pause := now.Sub(s.seen)
-	if pause <= idle {
+	elapsed := now.Sub(s.updated)
+	if elapsed <= idleTime {
 		return s.share
 	}
-	return min(s.share+recovers*pause.Seconds(), most)
+	return min(s.share+recoveryRate*elapsed.Seconds(), maxShare)
 }
 
-// Admits reports whether a call may be sent to a server, with u in [0, 1). Late calls can't be
-// answered within their objective any more: they give way to those that can.
-func (l *Limiter) Admits(id string, late bool, u float64, now time.Time) bool {
+// Admits reports whether a call may be sent to a server, with u a random number in [0, 1).
+// Calls past their objective are admitted less, in favor of those that can still meet it.
+func (l *Limiter) Admits(id string, pastObjective bool, u float64, now time.Time) bool {
 	share := l.server(id).shareAt(now)
-	if late {
+	if pastObjective {
 		share = 2*share - 1
 	}
 	return u < share
 }
 
-// Share is the share of calls that a server is sent, in [0, 1].
+// Share returns the share of calls that a server is sent, in [0, 1].
 func (l *Limiter) Share(id string) float64 { return min(l.server(id).share, 1) }
 
-// Forget drops servers that keep does not want.
+// Forget drops servers for which keep returns false.
 func (l *Limiter) Forget(keep func(id string) bool) {
 	for id := range l.servers {
 		if !keep(id) {
@@ -131,7 +134,7 @@
 func (l *Limiter) server(id string) *server {
 	s, ok := l.servers[id]
 	if !ok {
-		s = &server{share: most}
+		s = &server{share: maxShare}
 		l.servers[id] = s
 	}
 	return s
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -20,8 +20,8 @@
 	slots     = 6
 	queue     = 24
 	routers   = 23
-	// way is the time between router and caller.
-	way = 10 * time.Millisecond
+	// networkDelay is the delay between router and caller.
+	networkDelay = 10 * time.Millisecond
 )
 
 // call is one call at the server.
@@ -30,7 +30,7 @@
 	sent, end time.Time
 }
 
-// byEnd orders calls by their ends.
+// byEnd is a heap of calls by completion time.
 type byEnd []call
 
 func (b byEnd) Len() int           { return len(b) }
@@ -44,77 +44,77 @@
 	return last
 }
 
-// plant is one server before many routers.
-type plant struct {
+// simulation is one server that many routers send calls to.
+type simulation struct {
 	rng      *rand.Rand
 	limiters []*overload.Limiter
 	running  byEnd
-	waiting  []call
-	// inTime and late are the answers in each second, away the calls turned away.
-	inTime, late, away [30]int
+	queued   []call
+	// inTime and late are the numbers of answers in each second, rejected those of rejected calls.
+	inTime, late, rejected [30]int
 }
 
-func newPlant() *plant {
-	p := &plant{rng: rand.New(rand.NewPCG(1, 2))}
+func newSimulation() *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(1, 2))}
 	for range routers {
-		p.limiters = append(p.limiters, overload.New())
+		s.limiters = append(s.limiters, overload.New())
 	}
-	return p
+	return s
 }
 
-// step plays a millisecond with that many calls a second.
-func (p *plant) step(now time.Time, rate float64, limited bool) {
+// step simulates a millisecond at a rate of calls per second.
+func (s *simulation) step(now time.Time, rate float64, limited bool) {
 	second := int(now.Sub(start) / time.Second)
-	for len(p.running) > 0 && !p.running[0].end.After(now) {
-		p.answer(heap.Pop(&p.running).(call), now, second)
+	for len(s.running) > 0 && !s.running[0].end.After(now) {
+		s.complete(heap.Pop(&s.running).(call), now, second)
 	}
-	for len(p.waiting) > 0 && len(p.running) < slots {
-		c := p.waiting[0]
-		p.waiting = p.waiting[1:]
-		p.begin(c, now)
+	for len(s.queued) > 0 && len(s.running) < slots {
+		c := s.queued[0]
+		s.queued = s.queued[1:]
+		s.begin(c, now)
 	}
-	if p.rng.Float64() > rate/1000 {
+	if s.rng.Float64() > rate/1000 {
 		return
 	}
-	c := call{router: p.rng.IntN(routers), sent: now}
-	switch l := p.limiters[c.router]; {
-	case limited && !l.Admits("a", false, p.rng.Float64(), now):
-		p.away[second]++
-	case len(p.waiting) >= queue:
+	c := call{router: s.rng.IntN(routers), sent: now}
+	switch l := s.limiters[c.router]; {
+	case limited && !l.Admits("a", false, s.rng.Float64(), now):
+		s.rejected[second]++
+	case len(s.queued) >= queue:
 		l.Observe("a", overload.Outcome{Objective: objective, Rejected: true}, now)
-		p.away[second]++
+		s.rejected[second]++
 	default:
-		p.waiting = append(p.waiting, c)
+		s.queued = append(s.queued, c)
 	}
 }
 
-func (p *plant) begin(c call, now time.Time) {
-	c.end = now.Add(work/2 + time.Duration(p.rng.Int64N(int64(work))))
-	heap.Push(&p.running, c)
+func (s *simulation) begin(c call, now time.Time) {
+	c.end = now.Add(work/2 + time.Duration(s.rng.Int64N(int64(work))))
+	heap.Push(&s.running, c)
 }
 
-func (p *plant) answer(c call, now time.Time, second int) {
+func (s *simulation) complete(c call, now time.Time, second int) {
 	took := now.Sub(c.sent)
-	p.limiters[c.router].Observe("a", overload.Outcome{Took: took, Objective: objective}, now)
-	if took+way <= objective {
-		p.inTime[second]++
+	s.limiters[c.router].Observe("a", overload.Outcome{Took: took, Objective: objective}, now)
+	if took+networkDelay <= objective {
+		s.inTime[second]++
 	} else {
-		p.late[second]++
+		s.late[second]++
 	}
 }
 
-// play plays 30 s: usual load, then from second 5 to 20 a third more than the server can
-// answer, then usual load again.
-func play(limited bool) *plant {
-	p := newPlant()
+// run simulates 30 s: normal load, then from second 5 to 20 a third more than the server can
+// answer, then normal load again.
+func run(limited bool) *simulation {
+	s := newSimulation()
 	for i := range 30_000 {
 		rate := 120.0
 		if i >= 5000 && i < 20_000 {
 			rate = 267
 		}
-		p.step(start.Add(time.Duration(i)*time.Millisecond), rate, limited)
+		s.step(start.Add(time.Duration(i)*time.Millisecond), rate, limited)
 	}
-	return p
+	return s
 }
 
 func sum(seconds []int) int {
@@ -125,21 +125,22 @@
 	return n
 }
 
-// TestServersAreLost: of the 200 calls a second that the server can answer, most are answered
-// in time from two seconds after the loss on, where without a limit less than half are; before it
-// nobody is turned away, and two seconds after it nobody either.
+// TestServersAreLost guards against a queue that stays full after servers are lost. Of the 200
+// calls a second that the server can answer, most are answered in time from two seconds after
+// the loss, and less than half without a limit; no call is rejected before the loss, and hardly
+// any from two seconds after the load is normal again.
 func TestServersAreLost(t *testing.T) {
-	with, without := play(true), play(false)
-	t.Logf("in time a second %v, turned away %v; without %v, %v", with.inTime, with.away, without.inTime, without.away)
+	limited, unlimited := run(true), run(false)
+	t.Logf("answered in time per second %v, rejected %v; without a limit %v, %v", limited.inTime, limited.rejected, unlimited.inTime, unlimited.rejected)
 	const capacity = 200
-	assert.Assert(t, sum(with.inTime[7:20]) >= 13*capacity*8/10, "%d", sum(with.inTime[7:20]))
-	assert.Assert(t, sum(without.inTime[7:20]) <= 13*capacity/2, "%d", sum(without.inTime[7:20]))
-	assert.Assert(t, sum(with.away[:5]) == 0)
-	assert.Assert(t, sum(with.away[22:]) <= 8, "%v", with.away[22:])
+	assert.Assert(t, sum(limited.inTime[7:20]) >= 13*capacity*8/10, "%d", sum(limited.inTime[7:20]))
+	assert.Assert(t, sum(unlimited.inTime[7:20]) <= 13*capacity/2, "%d", sum(unlimited.inTime[7:20]))
+	assert.Assert(t, sum(limited.rejected[:5]) == 0)
+	assert.Assert(t, sum(limited.rejected[22:]) <= 8, "%v", limited.rejected[22:])
 }
 
-// TestSlowByNature: a service that never answers within its objective is not overloaded.
-func TestSlowByNature(t *testing.T) {
+// TestSlowServiceIsNotOverloaded: a service that never meets its objective keeps its full share.
+func TestSlowServiceIsNotOverloaded(t *testing.T) {
 	l := overload.New()
 	for i := range 200 {
 		l.Observe("a", overload.Outcome{Took: 400 * time.Millisecond, Objective: objective}, start.Add(time.Duration(i)*100*time.Millisecond))
@@ -147,8 +148,9 @@
 	assert.Equal(t, l.Share("a"), 1.0)
 }
 
-// TestLateGivesWay: under overload calls that are late are let in less, and none at half.
-func TestLateGivesWay(t *testing.T) {
+// TestPastObjectiveIsAdmittedLess: under overload, calls past their objective are admitted less,
+// and none at a share of half or below.
+func TestPastObjectiveIsAdmittedLess(t *testing.T) {
 	l := overload.New()
 	for range 12 {
 		l.Observe("a", overload.Outcome{Rejected: true}, start)
@@ -159,8 +161,8 @@
 	assert.Assert(t, !l.Admits("a", true, 0, start))
 }
 
-// TestRecoversUnasked: a server that gets no call is tried again.
-func TestRecoversUnasked(t *testing.T) {
+// TestIdleServerRecovers: a server that got no call for some time is tried again.
+func TestIdleServerRecovers(t *testing.T) {
 	l := overload.New()
 	for i := range 200 {
 		l.Observe("a", overload.Outcome{Rejected: true}, start.Add(time.Duration(i)))
--- a/policy/quarantine/bench_test.go
+++ b/policy/quarantine/bench_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// BenchmarkDecide is a look for decisions after as many ends as a Ledger remembers: a rack that was lost.
+// BenchmarkDecide measures a decision with as many suspects as a Ledger remembers, as after the loss of a rack.
 func BenchmarkDecide(b *testing.B) {
 	l := New()
 	for i := range maxSuspects {
-		sightAll(l, 0, fmt.Sprint("s", i/40), fmt.Sprint(i))
+		observeAll(l, 0, fmt.Sprint("s", i/40), fmt.Sprint(i))
 	}
 	now := at(1)
 	for b.Loop() {
@@ -17,25 +17,25 @@
 	}
 }
 
-// BenchmarkHeld is the look that each request takes while anything is suspect.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkQuarantined measures the check of each request while any is suspect.
+func BenchmarkQuarantined(b *testing.B) {
 	l := New()
-	sightAll(l, 0, "s", "one", "two")
+	observeAll(l, 0, "s", "one", "two")
 	now := at(1)
 	for b.Loop() {
 		l.Quarantined(one, now)
 	}
 }
 
-// BenchmarkSightFull is a sighting of a request while a Ledger remembers as many as it may.
-func BenchmarkSightFull(b *testing.B) {
+// BenchmarkObserveFull measures an observation by a Ledger that remembers as many suspects as it may.
+func BenchmarkObserveFull(b *testing.B) {
 	l := New()
 	for i := range maxSuspects {
-		sightAll(l, float64(i)/1000, "s", fmt.Sprint(i))
+		observeAll(l, float64(i)/1000, "s", fmt.Sprint(i))
 	}
 	i := maxSuspects
 	for b.Loop() {
 		i++
-		sightAll(l, float64(i)/1000, "s", fmt.Sprint(i))
+		observeAll(l, float64(i)/1000, "s", fmt.Sprint(i))
 	}
 }
--- a/policy/quarantine/decide.go
+++ b/policy/quarantine/decide.go
@@ -8,19 +8,19 @@
 	"github.com/hibiscusspur/hibiscusspur/fingerprint"
 )
 
-// Decide begins the holds that are due and returns them, and when to decide again; zero if nothing waits.
+// Decide starts the holds that are due and returns them, and when to decide next; zero if nothing is pending.
 //
-// Of those under which enough servers have ended, the one with the most ends goes first, and of several with as
-// many the one that had generated least when they ended: a request that ends servers does it when they begin to run
-// it, and what ran beside it had been there before. Its ends explain nothing about the others any more.
-func (l *Ledger) Decide(now time.Time) (begun []Hold, again time.Time) {
+// Among the requests under which enough servers have terminated, the one with the most terminations is first. Of several
+// with as many, it is the one that had generated the fewest tokens: a crashing request crashes a server when it begins to
+// run, while the requests beside it had been running before. Its terminations no longer count against the others.
+func (l *Ledger) Decide(now time.Time) (started []Hold, next time.Time) {
 	for {
-		c, ok := l.leader(now)
+		c, ok := l.topCandidate(now)
 		if !ok {
-			return begun, time.Time{}
+			return started, time.Time{}
 		}
 		if due := c.reached.Add(SettleDelay); due.After(now) {
-			return begun, due
+			return started, due
 		}
 		h := Hold{Content: c.content, Duration: FirstHold}
 		if old, ok := l.holds[c.content]; ok {
@@ -28,71 +28,73 @@
 		}
 		h.Until = now.Add(h.Duration)
 		if !l.AddHold(h) {
-			return begun, time.Time{}
+			return started, time.Time{}
 		}
-		begun = append(begun, h)
+		started = append(started, h)
 	}
 }
 
-// candidate is a request under which enough servers have ended.
+// candidate is a request under which enough servers have terminated.
 type candidate struct {
-	content fingerprint.Digest
-	ends    int
-	// generated is what all its runs had generated, reached when the last end came that was needed.
+	content      fingerprint.Digest
+	terminations int
+	// generated is the number of tokens that all its runs had generated, reached the time of the last termination that
+	// was required.
 	generated int
 	reached   time.Time
 }
 
-// leader returns the candidate that is decided first.
-func (l *Ledger) leader(now time.Time) (candidate, bool) {
+// topCandidate returns the candidate to decide first.
+func (l *Ledger) topCandidate(now time.Time) (candidate, bool) {
 	var best candidate
 	for d, x := range l.suspects {
-		if _, was := l.holds[d]; len(x.ends) < MaxTerminations && !was {
-			continue // Nearly all of them: a look at 8,000 suspects takes 0.1 ms.
+		if _, known := l.holds[d]; len(x.terminations) < MaxTerminations && !known {
+			continue // Nearly all suspects stop here, so a scan of 8,000 takes 0.1 ms.
 		}
 		if _, held := l.Quarantined(d, now); held {
 			continue
 		}
-		c, ok := x.candidate(l.explained, l.needs(d, now), l.holds[d].Until)
+		c, ok := x.candidate(l.explained, l.requiredTerminations(d, now), l.holds[d].Until)
 		if !ok {
 			continue
 		}
 		c.content = d
-		if best.ends == 0 || before(c, best) {
+		if best.terminations == 0 || ranksBefore(c, best) {
 			best = c
 		}
 	}
-	return best, best.ends > 0
+	return best, best.terminations > 0
 }
 
-func before(a, b candidate) bool {
-	return cmp.Or(cmp.Compare(b.ends, a.ends), cmp.Compare(a.generated, b.generated), a.reached.Compare(b.reached),
+func ranksBefore(a, b candidate) bool {
+	return cmp.Or(cmp.Compare(b.terminations, a.terminations), cmp.Compare(a.generated, b.generated), a.reached.Compare(b.reached),
 		slices.Compare(a.content[:], b.content[:])) < 0
 }
 
-// needs is the number of ends that begin a hold: one is enough for a request that was held a while ago.
-func (l *Ledger) needs(d fingerprint.Digest, now time.Time) int {
-	if h, ok := l.holds[d]; ok && h.forgotten().After(now) {
+// requiredTerminations returns the number of terminations that start a hold: one is enough while an earlier hold of the
+// request is remembered.
+func (l *Ledger) requiredTerminations(d fingerprint.Digest, now time.Time) int {
+	if h, ok := l.holds[d]; ok && h.expiresAt().After(now) {
 		return 1
 	}
 	return MaxTerminations
 }
 
-// candidate counts the ends that nothing explains, of those after some time.
-func (x *suspect) candidate(explained map[string]time.Time, needs int, after time.Time) (candidate, bool) {
+// candidate counts the terminations after some time that no quarantined request explains.
+func (x *suspect) candidate(explained map[string]time.Time, required int, since time.Time) (candidate, bool) {
 	var c candidate
 	var times []time.Time
-	for _, e := range x.ends {
-		if _, ok := explained[e.server]; !ok && e.at.After(after) {
-			c.ends++
+	for _, e := range x.terminations {
+		if _, ok := explained[e.server]; !ok && e.at.After(since) {
+			c.terminations++
 			c.generated += e.generated
 			times = append(times, e.at)
 		}
 	}
-	if c.ends < needs {
+	if c.terminations < required {
 		return c, false
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	c.reached = times[needs-1]
+	c.reached = times[required-1]
 	return c, true
 }
--- a/policy/quarantine/doc.go
+++ b/policy/quarantine/doc.go
@@ -1,9 +1,9 @@
-// Package quarantine decides which requests are not sent to servers any more, since servers end under them.
+// Package quarantine decides which requests are no longer sent to servers because they crash them (poison requests).
 //
-// Whatever runs at a server when it ends is suspect, and most of it is innocent. A Ledger holds a request back once
-// MaxTerminations servers have ended under it without one having answered it, and takes those ends as explained by it: what
-// else ran there is not suspect for them. A request that a server answered is cleared. A request is known by the
-// digest of what it asks, a server by its start.
+// Every request in progress at a terminated server is suspect, but most are innocent. A Ledger quarantines a request
+// once MaxTerminations servers have terminated under it and none has answered it. It treats those terminations as
+// explained by this request: the other requests there are no longer suspect for them. A request that a server answered
+// is cleared. A request is identified by the digest of its content, a server by its incarnation.
 //
 // All types are pure state machines: events and times go in, decisions come out. None is safe for concurrent use.
 package quarantine
--- a/policy/quarantine/ledger_test.go
+++ b/policy/quarantine/ledger_test.go
@@ -18,11 +18,11 @@
 
 func named(name string) fingerprint.Digest { return fingerprint.Of(fingerprint.Request{Target: name}) }
 
-// suspected reports whether a server has ended under a request.
+// suspected reports whether a server has terminated under a request.
 func (l *Ledger) suspected(d fingerprint.Digest) bool { return l.suspects[d] != nil }
 
-// decided has a Ledger decide at each moment that it asks for until then, and returns what it held.
-func decided(l *Ledger, until time.Time) []Hold {
+// decideUntil calls Decide repeatedly until a time, and returns the holds that it started.
+func decideUntil(l *Ledger, until time.Time) []Hold {
 	var out []Hold
 	for now := start; !now.After(until); now = now.Add(SettleDelay / 3) {
 		begun, _ := l.Decide(now)
@@ -31,16 +31,16 @@
 	return out
 }
 
-func sightAll(l *Ledger, seconds float64, server string, contents ...string) {
+func observeAll(l *Ledger, seconds float64, server string, contents ...string) {
 	for _, c := range contents {
 		l.Observe(Observation{Content: named(c), Server: server}, at(seconds))
 	}
 }
 
-// spells are the ends of model servers on a day when two requests that crash them came again and again: the second
-// of each, and the streams that broke off there, by the tokens of their prompts and those generated. 2233 and 9401
-// are the prompts of the two requests; one stream of somebody else, 2226, was hit twice in a row, and so was 4994.
-var spells = []struct {
+// recorded are the terminations of model servers in an incident in which two crashing requests were sent repeatedly: the
+// second of each, and the streams that broke off there, by the tokens of their prompts and those generated. 2233 and 9401
+// are the prompts of the crashing requests; two unrelated streams, 2226 and 4994, each broke off twice in a row.
+var recorded = []struct {
 	second  float64
 	streams string
 }{
@@ -64,13 +64,14 @@
 	{49.86, "9401:0 2612:22"},
 }
 
-// Servers ended nine times under one request and nine times under another, each sent on whenever it came; 59 streams
-// of others broke off with them. Known by what it asks, each is held a moment after its third end, at 15.7 and
-// 40.6 s, and nothing else is: not even the streams that were hit twice.
-func TestSpellsOfEnds(t *testing.T) {
+// TestRecordedTerminations replays an incident without quarantine: servers terminated nine times under one request and
+// nine times under another, and 59 unrelated streams broke off with them. Identified by its content, each of the two is
+// quarantined shortly after its third termination, at 15.7 and 40.6 s, and no other request is, not even the streams that
+// broke off twice.
+func TestRecordedTerminations(t *testing.T) {
 	l := New()
 	var held []Hold
-	for i, s := range spells {
+	for i, s := range recorded {
 		begun, _ := l.Decide(at(s.second))
 		held = append(held, begun...)
 		for stream := range strings.FieldsSeq(s.streams) {
@@ -83,8 +84,8 @@
 			}
 			l.Observe(Observation{Content: named(prompt), Server: fmt.Sprint("server-", i), Generated: generated}, at(s.second))
 		}
-		more, again := l.Decide(at(s.second).Add(SettleDelay))
-		assert.Assert(t, again.IsZero())
+		more, next := l.Decide(at(s.second).Add(SettleDelay))
+		assert.Assert(t, next.IsZero())
 		held = append(held, more...)
 	}
 	assert.Equal(t, len(held), 2)
@@ -98,94 +99,94 @@
 	}
 }
 
-// TestBesideAtEachEnd: a request of somebody else is in progress at every server that ends, as one that is sent
-// again after each loss, where few servers are left. Of the two the one that had begun just then is held; the
-// ends are explained by it, and the other one is free, also when the same goes on.
-func TestBesideAtEachEnd(t *testing.T) {
+// TestBystanderAtEachTermination guards against the quarantine of an innocent request that is in progress at every
+// terminated server, such as one that is retried after each loss where few servers are left. Of the two requests the one
+// that had only just begun is quarantined; it explains the terminations, and the other stays free when more follow.
+func TestBystanderAtEachTermination(t *testing.T) {
 	l := New()
 	for i := range MaxTerminations {
 		server := fmt.Sprint("s", i)
 		l.Observe(Observation{Content: named("harmless"), Server: server, Generated: 20}, at(float64(i)))
 		l.Observe(Observation{Content: named("deadly"), Server: server}, at(float64(i)+0.1))
 	}
-	held := decided(l, at(10))
+	held := decideUntil(l, at(10))
 	assert.Equal(t, len(held), 1)
 	assert.Equal(t, held[0].Content, named("deadly"))
-	// One more that was under way when it was held.
-	sightAll(l, 10, "s9", "deadly", "harmless")
-	assert.Equal(t, len(decided(l, at(20))), 0)
-	// An operator lets it through. The other one is not held in its place.
+	// One more termination, of a run that had begun before the hold.
+	observeAll(l, 10, "s9", "deadly", "harmless")
+	assert.Equal(t, len(decideUntil(l, at(20))), 0)
+	// An operator releases it. The other one is not quarantined in its place.
 	assert.Assert(t, l.Clear(named("deadly"), at(21)))
-	assert.Equal(t, len(decided(l, at(30))), 0)
+	assert.Equal(t, len(decideUntil(l, at(30))), 0)
 }
 
-// TestToldLate: what ran at the last server is told by several routers, the innocent one first. The decision waits
-// until all have told.
-func TestToldLate(t *testing.T) {
+// TestLateObservations: several routers report the requests at the last server, the innocent one first. The decision is
+// delayed until all have reported.
+func TestLateObservations(t *testing.T) {
 	l := New()
 	for i := range MaxTerminations - 1 {
-		sightAll(l, float64(i), fmt.Sprint("s", i), "harmless", "deadly")
+		observeAll(l, float64(i), fmt.Sprint("s", i), "harmless", "deadly")
 	}
 	l.Observe(Observation{Content: named("harmless"), Server: "last", Generated: 5}, at(5))
-	begun, again := l.Decide(at(5.1))
+	begun, next := l.Decide(at(5.1))
 	assert.Equal(t, len(begun), 0)
-	assert.Equal(t, again, at(5).Add(SettleDelay))
+	assert.Equal(t, next, at(5).Add(SettleDelay))
 	l.Observe(Observation{Content: named("deadly"), Server: "last"}, at(5.2))
-	held := decided(l, at(10))
+	held := decideUntil(l, at(10))
 	assert.Equal(t, len(held), 1)
 	assert.Equal(t, held[0].Content, named("deadly"))
 }
 
-// TestAnswered: a request that a server answered since is not to blame: one that many ask all the time runs at
-// every server that ends.
-func TestAnswered(t *testing.T) {
+// TestAnsweredRequestIsCleared guards against the quarantine of a popular request, which runs at every server that
+// terminates: an answer since the termination clears it.
+func TestAnsweredRequestIsCleared(t *testing.T) {
 	l := New()
 	for i := range 10 {
-		sightAll(l, float64(i), fmt.Sprint("s", i), "popular")
+		observeAll(l, float64(i), fmt.Sprint("s", i), "popular")
 		assert.Assert(t, l.suspected(named("popular")))
 		assert.Assert(t, l.Clear(named("popular"), at(float64(i)+0.5)))
-		assert.Assert(t, !l.Observe(Observation{Content: named("popular"), Server: "told late"}, at(float64(i))), "from before")
+		assert.Assert(t, !l.Observe(Observation{Content: named("popular"), Server: "reported late"}, at(float64(i))), "earlier than the answer")
 	}
-	assert.Equal(t, len(decided(l, at(20))), 0)
+	assert.Equal(t, len(decideUntil(l, at(20))), 0)
 	assert.Assert(t, !l.Active())
 	assert.Assert(t, !l.Clear(named("never seen"), at(20)))
 }
 
-// TestServersEndByThemselves: all servers end twice within some seconds, with no request to blame; what ran there
-// comes again each time.
-func TestServersEndByThemselves(t *testing.T) {
+// TestUnrelatedTerminations: all servers terminate twice within some seconds for a reason other than requests, and the
+// requests there are retried each time. None is quarantined.
+func TestUnrelatedTerminations(t *testing.T) {
 	l := New()
 	for round := range MaxTerminations - 1 {
 		for server := range 20 {
-			sightAll(l, float64(10*round), fmt.Sprint(round, "-", server), fmt.Sprint("a", server), fmt.Sprint("b", server))
+			observeAll(l, float64(10*round), fmt.Sprint(round, "-", server), fmt.Sprint("a", server), fmt.Sprint("b", server))
 		}
 	}
-	assert.Equal(t, len(decided(l, at(60))), 0)
+	assert.Equal(t, len(decideUntil(l, at(60))), 0)
 }
 
-// TestTwoAtOnce: two requests that crash servers come in the same spell and meet at one server: both are held, the
-// second after one end more at most.
-func TestTwoAtOnce(t *testing.T) {
+// TestTwoCrashingRequests: two crashing requests are sent in the same period and meet at one server. Both are quarantined,
+// the second after one more termination at most.
+func TestTwoCrashingRequests(t *testing.T) {
 	l := New()
-	sightAll(l, 0, "s0", "first", "second")
-	sightAll(l, 1, "s1", "first")
-	sightAll(l, 2, "s2", "second")
-	sightAll(l, 3, "s3", "first")
-	assert.Equal(t, len(decided(l, at(4))), 1)
-	sightAll(l, 5, "s5", "second")
-	assert.Equal(t, len(decided(l, at(6))), 0)
-	sightAll(l, 7, "s7", "second")
-	assert.Equal(t, len(decided(l, at(8))), 1)
+	observeAll(l, 0, "s0", "first", "second")
+	observeAll(l, 1, "s1", "first")
+	observeAll(l, 2, "s2", "second")
+	observeAll(l, 3, "s3", "first")
+	assert.Equal(t, len(decideUntil(l, at(4))), 1)
+	observeAll(l, 5, "s5", "second")
+	assert.Equal(t, len(decideUntil(l, at(6))), 0)
+	observeAll(l, 7, "s7", "second")
+	assert.Equal(t, len(decideUntil(l, at(8))), 1)
 }
 
-// TestHoldsEnd: a hold ends, so that a wrong one does not last; one more end begins the next, twice as long. An
-// answer ends it, with all that was known.
-func TestHoldsEnd(t *testing.T) {
+// TestHoldsExpireAndDouble: a hold expires, so that a wrong one does not last. One more termination starts the next,
+// twice as long. An answer ends it and clears the request.
+func TestHoldsExpireAndDouble(t *testing.T) {
 	l := New()
 	for i := range MaxTerminations {
-		sightAll(l, float64(i), fmt.Sprint("s", i), "deadly")
+		observeAll(l, float64(i), fmt.Sprint("s", i), "deadly")
 	}
-	first := decided(l, at(5))
+	first := decideUntil(l, at(5))
 	assert.Equal(t, len(first), 1)
 	assert.Equal(t, first[0].Duration, FirstHold)
 	left, ok := l.Quarantined(named("deadly"), first[0].StartedAt())
@@ -194,10 +195,10 @@
 
 	later := first[0].Until.Add(time.Second)
 	_, ok = l.Quarantined(named("deadly"), later)
-	assert.Assert(t, !ok, "let through")
+	assert.Assert(t, !ok, "expired hold")
 	l.Expire(later)
 	begun, _ := l.Decide(later)
-	assert.Equal(t, len(begun), 0, "not for what it was held for already")
+	assert.Equal(t, len(begun), 0, "not for terminations before the first hold")
 	l.Observe(Observation{Content: named("deadly"), Server: "again"}, later)
 	begun, _ = l.Decide(later.Add(SettleDelay))
 	assert.Equal(t, len(begun), 1)
@@ -206,13 +207,14 @@
 	assert.Assert(t, l.Clear(named("deadly"), later.Add(time.Minute)))
 	_, ok = l.Quarantined(named("deadly"), later.Add(time.Minute))
 	assert.Assert(t, !ok)
-	assert.Assert(t, !l.AddHold(begun[0]), "told on by one that has not heard")
+	assert.Assert(t, !l.AddHold(begun[0]), "forwarded by a router that does not know of the answer")
 	l.Expire(later.Add(time.Hour))
 	assert.Assert(t, !l.Active())
 }
 
-// TestHoldIsForgotten: a request that did nothing for as long again after its hold is as any other.
-func TestHoldIsForgotten(t *testing.T) {
+// TestExpiredHoldIsForgotten: a request under which no server terminated for as long again after its hold counts as any
+// other.
+func TestExpiredHoldIsForgotten(t *testing.T) {
 	l := New()
 	h := Hold{Content: one, Until: start.Add(FirstHold), Duration: FirstHold}
 	assert.Assert(t, l.AddHold(h))
@@ -225,20 +227,20 @@
 	assert.Equal(t, len(begun), 0)
 }
 
-// TestHoldToldAround: routers tell each other of a hold with the time that is left, and each telling takes some
-// time. That must not make it longer and longer.
-func TestHoldToldAround(t *testing.T) {
+// TestExchangedHoldIsNotExtended guards against a hold that grows with each exchange: routers report it to each other with
+// its remaining time, and each report takes some time in transit.
+func TestExchangedHoldIsNotExtended(t *testing.T) {
 	a, b := New(), New()
 	h := Hold{Content: one, Until: start.Add(FirstHold), Duration: FirstHold}
 	assert.Assert(t, a.AddHold(h))
 	const delay = 700 * time.Millisecond
 	now := start
 	for range 100 {
-		for _, way := range [][2]*Ledger{{a, b}, {b, a}} {
-			left, ok := way[0].Quarantined(one, now)
+		for _, pair := range [][2]*Ledger{{a, b}, {b, a}} {
+			left, ok := pair[0].Quarantined(one, now)
 			assert.Assert(t, ok)
 			now = now.Add(delay)
-			way[1].AddHold(Hold{Content: one, Until: now.Add(left), Duration: FirstHold})
+			pair[1].AddHold(Hold{Content: one, Until: now.Add(left), Duration: FirstHold})
 		}
 	}
 	for _, l := range []*Ledger{a, b} {
@@ -246,11 +248,11 @@
 	}
 }
 
-// TestLedgerIsBounded: however many servers end, with however many requests.
+// TestLedgerIsBounded: a Ledger stays bounded however many servers terminate, with however many requests.
 func TestLedgerIsBounded(t *testing.T) {
 	l := New()
 	for i := range maxSuspects + 10 {
-		sightAll(l, float64(i)/1000, "s", fmt.Sprint(i))
+		observeAll(l, float64(i)/1000, "s", fmt.Sprint(i))
 	}
 	assert.Assert(t, len(l.suspects) <= maxSuspects && len(l.suspects) > maxSuspects*8/10, "%d", len(l.suspects))
 	assert.Assert(t, !l.suspected(named("0")), "the oldest")
@@ -261,10 +263,11 @@
 	assert.Equal(t, len(l.Holds(start)), maxHolds)
 }
 
-// TestStormsOfEnds: nine servers with eight streams each, one request that crashes them and comes each second and a
-// half, servers that end by themselves too, and streams that come again three times after a loss. Over all seeds the
-// one is held after at most one end more than it takes, and of the others less than one in a thousand.
-func TestStormsOfEnds(t *testing.T) {
+// TestSimulatedTerminations: nine servers with eight streams each, a crashing request that arrives every second and a
+// half, servers that also terminate for other reasons, and streams that are retried three times after a loss. Over all
+// seeds the crashing request is quarantined after at most one termination more than required, and of the others less than
+// one in a thousand.
+func TestSimulatedTerminations(t *testing.T) {
 	const seeds, streams, others = 50, 8, 9 * 40
 	wrong := 0
 	for seed := range uint64(seeds) {
@@ -272,8 +275,8 @@
 		l := New()
 		running := map[int][]int{}
 		tries := map[int]int{}
-		next, deadlyEnds, starts := 0, 0, 0
-		place := func(server int) {
+		next, crashes, starts := 0, 0, 0
+		refill := func(server int) {
 			for len(running[server]) < streams {
 				running[server] = append(running[server], next)
 				next++
@@ -283,7 +286,7 @@
 			now := at(float64(i) * 1.5)
 			server := rng.IntN(9)
 			for s := range 9 {
-				// Half of what runs is answered meanwhile.
+				// Half of the running streams have been answered meanwhile.
 				kept := running[s][:0]
 				for _, r := range running[s] {
 					if rng.IntN(2) == 0 {
@@ -293,7 +296,7 @@
 					l.Clear(named(fmt.Sprint(r)), now.Add(-time.Millisecond))
 				}
 				running[s] = kept
-				place(s)
+				refill(s)
 			}
 			l.Decide(now)
 			_, held := l.Quarantined(named("deadly"), now)
@@ -304,7 +307,7 @@
 			name := fmt.Sprint("start-", starts)
 			starts++
 			if crash {
-				deadlyEnds++
+				crashes++
 				l.Observe(Observation{Content: named("deadly"), Server: name}, now)
 			}
 			lost := running[server]
@@ -317,9 +320,9 @@
 				}
 			}
 		}
-		assert.Assert(t, deadlyEnds <= MaxTerminations+1, "seed %d: %d ends", seed, deadlyEnds)
+		assert.Assert(t, crashes <= MaxTerminations+1, "seed %d: %d crashes", seed, crashes)
 		wrong += len(l.Holds(at(90))) - 1
 	}
-	t.Logf("%d others held of some %d", wrong, seeds*others)
-	assert.Assert(t, wrong*1000 < seeds*others, "%d others held", wrong)
+	t.Logf("%d other requests quarantined of about %d", wrong, seeds*others)
+	assert.Assert(t, wrong*1000 < seeds*others, "%d other requests quarantined", wrong)
 }
--- a/policy/quarantine/size_test.go
+++ b/policy/quarantine/size_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLedgerIsSmall: a Ledger that remembers as much as it may takes less than a tenth of the 32 MB that a process has
-// for control.
+// TestLedgerIsSmall: a full Ledger takes less than a tenth of the 32 MB of memory that a process has for its control
+// state.
 func TestLedgerIsSmall(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	l := New()
 	for i := range maxSuspects {
-		sightAll(l, 0, fmt.Sprintf("i-%010d@1764720000123", i/40), fmt.Sprint(i))
+		observeAll(l, 0, fmt.Sprintf("i-%010d@1764720000123", i/40), fmt.Sprint(i))
 	}
 	for i := range maxHolds {
 		l.AddHold(Hold{Content: named(fmt.Sprint("held ", i)), Until: start.Add(FirstHold), Duration: FirstHold})
--- a/policy/quarantine/ends_test.go
+++ b/policy/quarantine/terminations_test.go
@@ -15,9 +15,9 @@
 	two   = fingerprint.Of(fingerprint.Request{Target: "/two"})
 )
 
-// TestEnds: attempts that broke count once their server is found to have ended, whichever is learned first,
-// and not when it was found long after, or never.
-func TestEnds(t *testing.T) {
+// TestTerminations: broken attempts count once their server's termination is observed, in either order, but not if it is
+// observed long after, or never.
+func TestTerminations(t *testing.T) {
 	e := NewTerminations()
 	assert.Assert(t, !e.AttemptBroken("a", BrokenAttempt{Content: one, Generated: 7}, start))
 	assert.Assert(t, !e.AttemptBroken("b", BrokenAttempt{Content: two}, start))
@@ -26,24 +26,25 @@
 	assert.Equal(t, got[0].Content, one)
 	assert.Equal(t, got[0].Generated, 7)
 	assert.Equal(t, len(e.ServerTerminated("a", start.Add(time.Second))), 0, "once")
-	assert.Assert(t, e.AttemptBroken("a", BrokenAttempt{Content: two}, start.Add(2*time.Second)), "known to have ended")
+	assert.Assert(t, e.AttemptBroken("a", BrokenAttempt{Content: two}, start.Add(2*time.Second)), "known to have terminated")
 
 	assert.DeepEqual(t, e.Unconfirmed(), []string{"b"})
-	assert.Equal(t, len(e.ServerTerminated("b", start.Add(confirmWithin))), 0, "another cause")
+	assert.Equal(t, len(e.ServerTerminated("b", start.Add(confirmWindow))), 0, "another cause")
 }
 
-func TestEndsExpire(t *testing.T) {
+func TestTerminationsExpire(t *testing.T) {
 	e := NewTerminations()
 	e.AttemptBroken("a", BrokenAttempt{Content: one}, start)
 	e.ServerTerminated("b", start)
-	e.Expire(start.Add(confirmWithin))
+	e.Expire(start.Add(confirmWindow))
 	assert.Equal(t, len(e.Unconfirmed()), 0)
-	e.Expire(start.Add(endedLife))
-	assert.Assert(t, !e.AttemptBroken("b", BrokenAttempt{Content: one}, start.Add(endedLife)))
+	e.Expire(start.Add(terminatedTTL))
+	assert.Assert(t, !e.AttemptBroken("b", BrokenAttempt{Content: one}, start.Add(terminatedTTL)))
 }
 
-// TestEndsStaySmall: requests that end without an answer at a server that lives come all the time, and are not kept.
-func TestEndsStaySmall(t *testing.T) {
+// TestBrokenAttemptsAreBounded guards against a leak: a server that keeps running breaks off attempts again and again, and
+// old ones are dropped.
+func TestBrokenAttemptsAreBounded(t *testing.T) {
 	e := NewTerminations()
 	now := start
 	for range 1000 {
@@ -51,6 +52,6 @@
 		now = now.Add(time.Second)
 		e.Expire(now)
 	}
-	assert.Assert(t, len(e.broken["a"]) <= int(confirmWithin/time.Second))
+	assert.Assert(t, len(e.broken["a"]) <= int(confirmWindow/time.Second))
 	assert.Equal(t, len(e.ServerTerminated("a", now)), 9, "those of the last seconds")
 }
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -1,13 +1,14 @@
-// Package suspicion tells which engines to avoid for a moment, by the failures that all routers saw there.
+// Package suspicion is a failure detector: it decides which engines a router avoids for some seconds, from the failures
+// that all routers observed there.
 //
-// Load pattern: a server loses its power, is cut off, or fails two requests of five, and stays in the list for the
-// seconds until its lease lapses or its health check fails. Dozens of routers send it a request each, and each learns
-// by a failed attempt of its own what the first one knew. Every such attempt costs a repeat of the budget and the time
-// of the request.
+// Load pattern: a server loses power, is partitioned, or fails two requests of five, and stays listed for the seconds
+// until its lease lapses or its health check fails. Dozens of routers each send it a request and learn from a failed
+// attempt of their own what the first one knew. Every such attempt takes a retry from the budget and delays its request.
 //
-// So routers tell each other where requests failed. A doubt fades within seconds, and is only a reason to prefer
-// other engines: where none of them has room, a doubtful one is asked as ever. A router that is itself cut off sees
-// failures everywhere; what it tells is shared out among all that it names, and an own success outweighs it.
+// So routers report failures to each other. A suspicion decays within seconds and only makes a router prefer other
+// engines: when none of them has free capacity, a suspected engine is used as usual. A router that is itself partitioned
+// sees failures everywhere; the weight of its reports is divided among all engines it names, and a local success
+// outweighs them.
 //
 // A Tracker is deterministic, takes the time from its caller, and is not safe for concurrent use.
 package suspicion
@@ -20,136 +21,136 @@
 )
 
 const (
-	// halfLife is the time in which a doubt fades to half: an engine that starts again is ready within a few of them.
+	// halfLife is the half-life of a suspicion: a restarted engine is used again after a few of them.
 	halfLife = 1500 * time.Millisecond
-	// most bounds the doubt at one engine, in failures: many routers tell of the same failure.
-	most = 4.0
-	// succeeded is what of a doubt remains after a request that succeeded here.
-	succeeded = 0.5
-	// tellPause is how long what one router tells of an engine counts once: the requests in progress at an engine
-	// that ends fail together.
-	tellPause = time.Second
+	// maxSuspicion bounds the suspicion of one engine, in failures: many routers report the same outage.
+	maxSuspicion = 4.0
+	// successFactor is what remains of a suspicion after a request of this router succeeded.
+	successFactor = 0.5
+	// reportInterval is the time in which several reports of one router about an engine count once: when an engine
+	// terminates, all requests in progress there fail together.
+	reportInterval = time.Second
 )
 
-// A router avoids an engine while the doubt is above a bound between these, the higher, the more it prefers the
-// engine. So a few routers try an engine first, and if it fails again, the others have heard of it when their turn
-// comes: after one failure they come back in the course of 0.2 to 2.6 seconds.
+// A router avoids an engine while its suspicion exceeds a threshold between these bounds, which grows with the router's
+// affinity for the engine. So a few routers try the engine again first, and if it still fails, the others receive their
+// reports before they try: after one failure the routers return over 0.2 to 2.6 seconds.
 const (
-	boundLeast = 0.3
-	boundMost  = 0.9
+	minThreshold = 0.3
+	maxThreshold = 0.9
 )
 
-// Tracker is what one router knows of failures at engines.
+// Tracker holds one router's suspicions of engines.
 type Tracker struct {
-	// router is the name of this one.
-	router  string
-	engines map[string]*engine
-	tellers map[string]*teller
-	swept   time.Time
+	// router is the name of this router.
+	router    string
+	engines   map[string]*engine
+	reporters map[string]*reporter
+	sweptAt   time.Time
 }
 
 type engine struct {
-	doubt float64
-	at    time.Time
-	bound float64
+	suspicion float64
+	at        time.Time
+	threshold float64
 }
 
-// teller is what another router told lately: when it last told of each engine.
-type teller struct{ told map[string]time.Time }
+// reporter holds when a router last reported each engine.
+type reporter struct{ reported map[string]time.Time }
 
-// New returns an empty tracker of the router of that name.
+// New returns an empty Tracker of the named router.
 func New(router string) *Tracker {
-	return &Tracker{router: router, engines: map[string]*engine{}, tellers: map[string]*teller{}}
+	return &Tracker{router: router, engines: map[string]*engine{}, reporters: map[string]*reporter{}}
 }
 
-// Failed notes a failure seen here. It reports whether that is news for other routers: it was not told of the same
-// engine a moment ago.
-func (t *Tracker) Failed(id string, now time.Time) (news bool) {
-	news, _ = t.tells(t.router, id, now)
-	if news {
+// Failed records a failure of a request of this router. It reports whether to announce it to other routers, which is at
+// most once per reportInterval and engine.
+func (t *Tracker) Failed(id string, now time.Time) (announce bool) {
+	announce, _ = t.recordReport(t.router, id, now)
+	if announce {
 		t.raise(id, 1, now)
 	}
-	return news
+	return announce
 }
 
-// Reported notes that another router saw a request fail at an engine.
+// Reported records that another router reported a failed request at an engine.
 func (t *Tracker) Reported(router, id string, now time.Time) {
-	if news, named := t.tells(router, id, now); news {
-		t.raise(id, 1/float64(named), now)
+	if counts, engines := t.recordReport(router, id, now); counts {
+		t.raise(id, 1/float64(engines), now)
 	}
 }
 
-// tells notes that a router tells of an engine. It reports whether that counts, and how many engines the router has
-// named lately, this one included.
-func (t *Tracker) tells(router, id string, now time.Time) (counts bool, named int) {
+// recordReport records that a router reports an engine. It returns whether the report counts, and how many engines the
+// router has reported within reportInterval, this one included.
+func (t *Tracker) recordReport(router, id string, now time.Time) (counts bool, engines int) {
 	t.sweep(now)
-	r, ok := t.tellers[router]
+	r, ok := t.reporters[router]
 	if !ok {
-		r = &teller{told: map[string]time.Time{}}
-		t.tellers[router] = r
+		r = &reporter{reported: map[string]time.Time{}}
+		t.reporters[router] = r
 	}
-	for other, at := range r.told {
-		if now.Sub(at) >= tellPause {
-			delete(r.told, other)
+	for other, at := range r.reported {
+		if now.Sub(at) >= reportInterval {
+			delete(r.reported, other)
 		}
 	}
-	if _, lately := r.told[id]; lately {
-		return false, len(r.told)
+	if _, recent := r.reported[id]; recent {
+		return false, len(r.reported)
 	}
-	r.told[id] = now
-	return true, len(r.told)
+	r.reported[id] = now
+	return true, len(r.reported)
 }
 
-// Succeeded notes that a request succeeded at an engine.
+// Succeeded records that a request of this router succeeded at an engine.
 func (t *Tracker) Succeeded(id string) {
 	if e, ok := t.engines[id]; ok {
-		e.doubt *= succeeded
+		e.suspicion *= successFactor
 	}
 }
 
-// Suspected reports whether other engines are to be preferred to this one.
+// Suspected reports whether the router should prefer other engines to this one.
 func (t *Tracker) Suspected(id string, now time.Time) bool {
 	e, ok := t.engines[id]
-	return ok && e.faded(now) > e.bound
+	return ok && e.decayed(now) > e.threshold
 }
 
 func (t *Tracker) raise(id string, by float64, now time.Time) {
 	e, ok := t.engines[id]
 	if !ok {
-		e = &engine{bound: boundLeast + (boundMost-boundLeast)*affinity.Of(t.router, id)}
+		e = &engine{threshold: minThreshold + (maxThreshold-minThreshold)*affinity.Of(t.router, id)}
 		t.engines[id] = e
 	}
-	e.doubt, e.at = min(e.faded(now)+by, most), now
+	e.suspicion, e.at = min(e.decayed(now)+by, maxSuspicion), now
 }
 
-func (e *engine) faded(now time.Time) float64 {
-	return e.doubt * math.Exp2(-now.Sub(e.at).Seconds()/halfLife.Seconds())
+func (e *engine) decayed(now time.Time) float64 {
+	return e.suspicion * math.Exp2(-now.Sub(e.at).Seconds()/halfLife.Seconds())
 }
 
-// sweepPause is the pause after which what has faded is dropped.
-const sweepPause = 10 * time.Second
+// sweepInterval is the time between two sweeps.
+const sweepInterval = 10 * time.Second
 
-// sweep drops engines that are in no doubt any more, and routers that told nothing lately.
+// sweep drops engines that no threshold suspects any more, and routers without a recent report.
 func (t *Tracker) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepPause {
+	if now.Sub(t.sweptAt) < sweepInterval {
 		return
 	}
-	t.swept = now
+	t.sweptAt = now
 	for id, e := range t.engines {
-		if e.faded(now) < boundLeast {
+		if e.decayed(now) < minThreshold {
 			delete(t.engines, id)
 		}
 	}
-	for router, r := range t.tellers {
+	for router, r := range t.reporters {
 		if !r.recent(now) {
-			delete(t.tellers, router)
+			delete(t.reporters, router)
 		}
 	}
 }
 
-func (r *teller) recent(now time.Time) bool {
-	for _, at := range r.told {
-		if now.Sub(at) < tellPause {
+func (r *reporter) recent(now time.Time) bool {
+	for _, at := range r.reported {
+		if now.Sub(at) < reportInterval {
 			return true
 		}
 	}
--- a/policy/suspicion/suspicion_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -11,19 +11,18 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/suspicion"
 )
 
-// start is when the tests begin.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestOneFailureIsForgottenWithinSeconds(t *testing.T) {
-	d := suspicion.New("r")
-	assert.Check(t, !d.Suspected("e", start))
-	d.Reported("other", "e", start)
-	assert.Check(t, d.Suspected("e", start.Add(100*time.Millisecond)))
-	assert.Check(t, !d.Suspected("e", start.Add(3*time.Second)))
-	assert.Check(t, !d.Suspected("f", start))
+	tr := suspicion.New("r")
+	assert.Check(t, !tr.Suspected("e", start))
+	tr.Reported("other", "e", start)
+	assert.Check(t, tr.Suspected("e", start.Add(100*time.Millisecond)))
+	assert.Check(t, !tr.Suspected("e", start.Add(3*time.Second)))
+	assert.Check(t, !tr.Suspected("f", start))
 }
 
-func TestWhatOneRouterTellsOfAnEngineCountsOnceASecond(t *testing.T) {
+func TestReportsOfOneRouterCountOncePerSecond(t *testing.T) {
 	once, often := suspicion.New("r"), suspicion.New("r")
 	once.Reported("other", "e", start)
 	for range 30 {
@@ -35,92 +34,93 @@
 	}
 }
 
-func TestFailuresAreNewsOnceASecond(t *testing.T) {
-	d := suspicion.New("r")
-	assert.Check(t, d.Failed("e", start))
-	assert.Check(t, !d.Failed("e", start.Add(500*time.Millisecond)))
-	assert.Check(t, d.Failed("f", start.Add(500*time.Millisecond)))
-	assert.Check(t, d.Failed("e", start.Add(time.Second)))
+func TestFailuresAreAnnouncedOncePerSecond(t *testing.T) {
+	tr := suspicion.New("r")
+	assert.Check(t, tr.Failed("e", start))
+	assert.Check(t, !tr.Failed("e", start.Add(500*time.Millisecond)))
+	assert.Check(t, tr.Failed("f", start.Add(500*time.Millisecond)))
+	assert.Check(t, tr.Failed("e", start.Add(time.Second)))
 }
 
-func TestSuccessesOutweighWhatIsTold(t *testing.T) {
-	d := suspicion.New("r")
-	d.Reported("other", "e", start)
-	d.Succeeded("e")
-	d.Succeeded("e")
-	assert.Check(t, !d.Suspected("e", start))
+func TestSuccessesOutweighReports(t *testing.T) {
+	tr := suspicion.New("r")
+	tr.Reported("other", "e", start)
+	tr.Succeeded("e")
+	tr.Succeeded("e")
+	assert.Check(t, !tr.Suspected("e", start))
 }
 
-// TestRoutersThatAreCutOffAreNotBelieved is a router that can reach no engine any more and says so of all. The others
-// can, and go on using all.
-func TestRoutersThatAreCutOffAreNotBelieved(t *testing.T) {
-	d := suspicion.New("r")
+// TestReportsOfPartitionedRouterAreDiscounted guards against one router that reaches no engine and reports all of them:
+// the other routers, which do reach them, continue to use them.
+func TestReportsOfPartitionedRouterAreDiscounted(t *testing.T) {
+	tr := suspicion.New("r")
 	for s := range 10 {
 		for e := range 20 {
-			d.Reported("cut off", fmt.Sprint("e", e), start.Add(time.Duration(s)*time.Second))
+			tr.Reported("cut off", fmt.Sprint("e", e), start.Add(time.Duration(s)*time.Second))
 		}
 	}
-	in := 0
+	suspected := 0
 	for e := range 20 {
-		if d.Suspected(fmt.Sprint("e", e), start.Add(9*time.Second+300*time.Millisecond)) {
-			in++
+		if tr.Suspected(fmt.Sprint("e", e), start.Add(9*time.Second+300*time.Millisecond)) {
+			suspected++
 		}
 	}
-	// The first few that it names in a second may be in doubt.
-	assert.Check(t, in <= 3, "%d of 20 engines in doubt", in)
+	// The first few engines that it reports in a second may be suspected.
+	assert.Check(t, suspected <= 3, "%d of 20 engines suspected", suspected)
 }
 
-// play is a replay: routers send requests to engines drawn by chance of those that they don't doubt, and tell each
-// other of failures, which takes a while to be noticed and to come. It returns the attempts that failed, and the share
-// of all requests that went to the engine at fault.
-type play struct {
+// simulation has routers send requests to random engines that they don't suspect and, with sharing, report failures to
+// each other. Detecting a failure and receiving a report take time. run returns the number of failed attempts and of all
+// requests sent to the faulty engine.
+type simulation struct {
 	routers, engines int
-	// fails is the chance that a request fails at the first engine, from the first second to the end.
-	fails float64
-	end   time.Duration
-	told  bool
+	// failureRate is the probability that a request fails at the first engine, after the first second.
+	failureRate float64
+	duration    time.Duration
+	sharing     bool
 }
 
 const (
 	step = time.Millisecond
-	// noticed is when a router knows that an attempt has failed, heard when the others do.
-	noticed, heard = 60 * time.Millisecond, 65 * time.Millisecond
-	// perStep is the requests that come in each step.
+	// failureDetected is how long after an attempt began its router detects the failure, failureReported when the
+	// others receive the report.
+	failureDetected, failureReported = 60 * time.Millisecond, 65 * time.Millisecond
+	// perStep is the number of requests that arrive in each step.
 	perStep = 1
 )
 
-func (p play) run(seed uint64) (failed int, sent int) {
+func (s simulation) run(seed uint64) (failed int, sent int) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var routers []*suspicion.Tracker
-	for i := range p.routers {
+	for i := range s.routers {
 		routers = append(routers, suspicion.New(fmt.Sprint("r", i)))
 	}
-	type ending struct {
+	type result struct {
 		router int
 		at     time.Duration
 		ok     bool
 	}
-	var endings []ending
-	for now := time.Duration(0); now < p.end; now += step {
+	var results []result
+	for now := time.Duration(0); now < s.duration; now += step {
 		at := start.Add(now)
 		for range perStep {
-			from := r.IntN(p.routers)
-			to := p.choose(routers[from], r, at)
+			from := r.IntN(s.routers)
+			to := s.choose(routers[from], r, at)
 			if to != 0 {
 				continue
 			}
 			sent++
-			endings = append(endings, ending{router: from, at: now, ok: now < time.Second || r.Float64() >= p.fails})
+			results = append(results, result{router: from, at: now, ok: now < time.Second || r.Float64() >= s.failureRate})
 		}
-		for _, e := range endings {
-			if e.ok && e.at+noticed == now {
+		for _, e := range results {
+			if e.ok && e.at+failureDetected == now {
 				routers[e.router].Succeeded("e0")
 			}
-			if !e.ok && e.at+noticed == now {
+			if !e.ok && e.at+failureDetected == now {
 				failed++
 				routers[e.router].Failed("e0", at)
 			}
-			if !e.ok && e.at+heard == now && p.told {
+			if !e.ok && e.at+failureReported == now && s.sharing {
 				for i, other := range routers {
 					if i != e.router {
 						other.Reported(fmt.Sprint("r", e.router), "e0", at)
@@ -132,56 +132,57 @@
 	return failed, sent
 }
 
-func (p play) choose(d *suspicion.Tracker, r *rand.Rand, now time.Time) int {
+func (s simulation) choose(tr *suspicion.Tracker, r *rand.Rand, now time.Time) int {
 	for {
-		if e := r.IntN(p.engines); !d.Suspected(fmt.Sprint("e", e), now) {
+		if e := r.IntN(s.engines); !tr.Suspected(fmt.Sprint("e", e), now) {
 			return e
 		}
 	}
 }
 
-// TestDoubtsReplayed replays an engine that is gone and still listed for four seconds, and one that fails two requests
-// of five, at 30 routers that learn of it each for itself and from each other.
-func TestDoubtsReplayed(t *testing.T) {
+// TestSharedReportsReduceFailures replays an engine that is gone but listed for four more seconds, and one that fails two
+// requests of five, with 30 routers that learn of it from their own failures alone and from each other's reports.
+func TestSharedReportsReduceFailures(t *testing.T) {
 	cases := []struct {
 		name string
-		play play
-		// least is by how many times fewer attempts fail if routers tell each other.
-		least float64
+		sim  simulation
+		// minRatio is the factor by which sharing has to reduce the failed attempts.
+		minRatio float64
 	}{
-		{"gone", play{routers: 30, engines: 20, fails: 1, end: 5 * time.Second}, 2},
-		{"failing", play{routers: 30, engines: 20, fails: 0.4, end: 11 * time.Second}, 2},
+		{"gone", simulation{routers: 30, engines: 20, failureRate: 1, duration: 5 * time.Second}, 2},
+		{"failing", simulation{routers: 30, engines: 20, failureRate: 0.4, duration: 11 * time.Second}, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			alone, together := 0, 0
+			unshared, shared := 0, 0
 			for seed := range uint64(5) {
-				p := c.play
-				n, _ := p.run(seed)
-				alone += n
-				p.told = true
-				n, sent := p.run(seed)
-				together += n
-				t.Logf("seed %d: %d sent there", seed, sent)
+				s := c.sim
+				n, _ := s.run(seed)
+				unshared += n
+				s.sharing = true
+				n, sent := s.run(seed)
+				shared += n
+				t.Logf("seed %d: %d sent to the faulty engine", seed, sent)
 			}
-			t.Logf("failed attempts: %d alone, %d together", alone, together)
-			assert.Check(t, float64(alone) >= c.least*float64(together))
+			t.Logf("failed attempts: %d without reports, %d with", unshared, shared)
+			assert.Check(t, float64(unshared) >= c.minRatio*float64(shared))
 		})
 	}
 }
 
-// TestEnginesThatAreWellAgainAreUsed is an engine that failed for a second; two seconds later it gets its share.
-func TestEnginesThatAreWellAgainAreUsed(t *testing.T) {
-	var in int
+// TestRecoveredEnginesAreUsed guards against a recovered engine that stays avoided: after all routers failed there at
+// once, none suspects it six seconds later.
+func TestRecoveredEnginesAreUsed(t *testing.T) {
+	var suspected int
 	for r := range 30 {
-		d := suspicion.New(fmt.Sprint("r", r))
+		tr := suspicion.New(fmt.Sprint("r", r))
 		for other := range 29 {
-			d.Reported(fmt.Sprint("other", other), "e", start)
+			tr.Reported(fmt.Sprint("other", other), "e", start)
 		}
-		// Doubts have a bound: as many failures as there are routers say no more than a few.
-		if d.Suspected("e", start.Add(6*time.Second)) {
-			in++
+		// Suspicion is bounded: reports from every router count no more than a few failures.
+		if tr.Suspected("e", start.Add(6*time.Second)) {
+			suspected++
 		}
 	}
-	assert.Check(t, in == 0, "%d routers still doubt", in)
+	assert.Check(t, suspected == 0, "%d routers still suspect it", suspected)
 }
