--- a/policy/freshness/model_test.go
+++ b/policy/freshness/model_test.go
@@ -19,7 +19,8 @@
 
 // query is a query of a gateway and its answer.
 type query struct {
-	// sent is set while the query is outstanding, peer if it went to the other gateway instead of the store.
+	// sent is set while the query is outstanding, peer if it went to the other gateway instead of the store, answered
+	// once its answer is made.
 	sent, peer, answered bool
 	at                   int8
 	// version is the applied version in the answer, provedVersion the one that the answer proves, with a proof of
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -1,5 +1,5 @@
-// Package outlier detects servers that fail more often than the others of their service
-// (outlier detection).
+// Package outlier implements outlier detection: it finds servers that fail more often than
+// the others of their service.
 //
 // Load pattern: a seventh of the servers fail two of five requests, or hang, while their
 // health checks pass, so only the outcomes of requests show it. Some services fail a
--- a/policy/quarantine/decide.go
+++ b/policy/quarantine/decide.go
@@ -12,7 +12,8 @@
 //
 // Among the requests under which enough servers have terminated, the one with the most terminations is first. Of several
 // with as many, it is the one that had generated the fewest tokens: a crashing request crashes a server when it begins to
-// run, while the requests beside it had been running before. Its terminations no longer count against the others.
+// run, while the requests beside it had been running before. The
+// terminations under the selected request no longer count against the others.
 func (l *Ledger) Decide(now time.Time) (started []Hold, next time.Time) {
 	for {
 		c, ok := l.topCandidate(now)
@@ -74,7 +75,7 @@
 // requiredTerminations returns the number of terminations that start a hold: one is enough while an earlier hold of the
 // request is remembered.
 func (l *Ledger) requiredTerminations(d fingerprint.Digest, now time.Time) int {
-	if h, ok := l.holds[d]; ok && h.expiresAt().After(now) {
+	if h, ok := l.holds[d]; ok && h.forgottenAt().After(now) {
 		return 1
 	}
 	return MaxTerminations
--- a/policy/quarantine/ledger.go
+++ b/policy/quarantine/ledger.go
@@ -17,8 +17,8 @@
 	SettleDelay = 300 * time.Millisecond
 	// ObservationTTL is how long a termination counts against the requests that ran at the server.
 	ObservationTTL = 10 * time.Minute
-	// FirstHold is the duration of a request's first hold. It bounds the harm of a wrong decision to the caller; after a
-	// right one, a server with its requests, a dozen streams, is lost once in that time.
+	// FirstHold is the duration of a request's first hold. It bounds what a wrong decision costs the caller. After a right
+	// one, a server with its requests, a dozen streams, is lost once in that time.
 	FirstHold = 10 * time.Minute
 	// MaxHold bounds the duration of a hold: each one that proves right lasts twice as long as the one before.
 	MaxHold = 24 * time.Hour
@@ -39,7 +39,7 @@
 // Hold is the decision to quarantine a request: to send it to no server for some time.
 type Hold struct {
 	Content fingerprint.Digest
-	// Until is when the hold ends. A termination within as long a time after it starts the next hold at once.
+	// Until is when the hold ends. A single termination within Duration after it starts the next hold.
 	Until time.Time
 	// Duration is the whole length of the hold.
 	Duration time.Duration
@@ -48,8 +48,8 @@
 // StartedAt returns when the hold was decided.
 func (h Hold) StartedAt() time.Time { return h.Until.Add(-h.Duration) }
 
-// expiresAt returns when the hold is forgotten.
-func (h Hold) expiresAt() time.Time { return h.Until.Add(h.Duration) }
+// forgottenAt returns when the hold is forgotten: until then one termination starts the next hold.
+func (h Hold) forgottenAt() time.Time { return h.Until.Add(h.Duration) }
 
 // Ledger holds the observed terminations of servers, the suspect requests and the holds.
 type Ledger struct {
@@ -78,7 +78,7 @@
 	return slices.ContainsFunc(x.terminations, func(e termination) bool { return e.server == server })
 }
 
-// forget drops the terminations for which expired returns true.
+// forget drops the terminations for which drop returns true.
 func (x *suspect) forget(drop func(termination) bool) {
 	x.terminations = slices.DeleteFunc(x.terminations, drop)
 }
@@ -208,7 +208,7 @@
 	return out
 }
 
-// Expire drops observations older than ObservationTTL and holds that have expired.
+// Expire drops observations older than ObservationTTL and holds past their forgottenAt.
 func (l *Ledger) Expire(now time.Time) {
 	for d, x := range l.suspects {
 		x.forget(func(e termination) bool { return now.Sub(e.at) >= ObservationTTL })
@@ -216,7 +216,7 @@
 			delete(l.suspects, d)
 		}
 	}
-	maps.DeleteFunc(l.holds, func(_ fingerprint.Digest, h Hold) bool { return !h.expiresAt().After(now) })
+	maps.DeleteFunc(l.holds, func(_ fingerprint.Digest, h Hold) bool { return !h.forgottenAt().After(now) })
 	maps.DeleteFunc(l.explained, func(_ string, at time.Time) bool { return now.Sub(at) >= ObservationTTL })
 	maps.DeleteFunc(l.cleared, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= ObservationTTL })
 }
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -55,7 +55,7 @@
 	threshold float64
 }
 
-// reporter holds when a router last reported each engine.
+// reporter holds when a router reported each engine, within reportInterval.
 type reporter struct{ reported map[string]time.Time }
 
 // New returns an empty Tracker of the named router.
--- a/policy/suspicion/suspicion_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -112,18 +112,18 @@
 			sent++
 			results = append(results, result{router: from, at: now, ok: now < time.Second || r.Float64() >= s.failureRate})
 		}
-		for _, e := range results {
-			if e.ok && e.at+failureDetected == now {
-				routers[e.router].Succeeded("e0")
+		for _, res := range results {
+			if res.ok && res.at+failureDetected == now {
+				routers[res.router].Succeeded("e0")
 			}
-			if !e.ok && e.at+failureDetected == now {
+			if !res.ok && res.at+failureDetected == now {
 				failed++
-				routers[e.router].Failed("e0", at)
+				routers[res.router].Failed("e0", at)
 			}
-			if !e.ok && e.at+failureReported == now && s.sharing {
+			if !res.ok && res.at+failureReported == now && s.sharing {
 				for i, other := range routers {
-					if i != e.router {
-						other.Reported(fmt.Sprint("r", e.router), "e0", at)
+					if i != res.router {
+						other.Reported(fmt.Sprint("r", res.router), "e0", at)
 					}
 				}
 			}
