--- a/policy/quarantine/decide.go
+++ b/policy/quarantine/decide.go
@@ -52,7 +52,7 @@
 		if _, known := l.holds[d]; len(x.terminations) < MaxTerminations && !known {
 			continue // Nearly all suspects stop here, so a scan of 8,000 takes 0.1 ms.
 		}
-		if _, held := l.Quarantined(d, now); held {
+		if _, quarantined := l.Quarantined(d, now); quarantined {
 			continue
 		}
 		c, ok := x.candidate(l.explained, l.requiredTerminations(d, now), l.holds[d].Until)
--- a/policy/quarantine/ledger.go
+++ b/policy/quarantine/ledger.go
@@ -116,7 +116,7 @@
 	}
 	x.terminations = append(x.terminations, termination{server: o.Server, at: at, generated: o.Generated})
 	x.lastTermination = later(x.lastTermination, at)
-	if _, held := l.Quarantined(o.Content, at); held {
+	if _, quarantined := l.Quarantined(o.Content, at); quarantined {
 		l.explained[o.Server] = at
 	}
 	return true
--- a/policy/quarantine/ledger_test.go
+++ b/policy/quarantine/ledger_test.go
@@ -25,8 +25,8 @@
 func decideUntil(l *Ledger, until time.Time) []Hold {
 	var out []Hold
 	for now := start; !now.After(until); now = now.Add(SettleDelay / 3) {
-		begun, _ := l.Decide(now)
-		out = append(out, begun...)
+		started, _ := l.Decide(now)
+		out = append(out, started...)
 	}
 	return out
 }
@@ -70,10 +70,10 @@
 // broke off twice.
 func TestRecordedTerminations(t *testing.T) {
 	l := New()
-	var held []Hold
+	var holds []Hold
 	for i, s := range recorded {
-		begun, _ := l.Decide(at(s.second))
-		held = append(held, begun...)
+		started, _ := l.Decide(at(s.second))
+		holds = append(holds, started...)
 		for stream := range strings.FieldsSeq(s.streams) {
 			var prompt string
 			var generated int
@@ -86,15 +86,15 @@
 		}
 		more, next := l.Decide(at(s.second).Add(SettleDelay))
 		assert.Assert(t, next.IsZero())
-		held = append(held, more...)
+		holds = append(holds, more...)
 	}
-	assert.Equal(t, len(held), 2)
+	assert.Equal(t, len(holds), 2)
 	for i, want := range []struct {
 		prompt string
 		third  float64
 	}{{"2233", 15.39}, {"9401", 40.25}} {
-		assert.Equal(t, held[i].Content, named(want.prompt))
-		assert.Equal(t, held[i].StartedAt(), at(want.third).Add(SettleDelay))
+		assert.Equal(t, holds[i].Content, named(want.prompt))
+		assert.Equal(t, holds[i].StartedAt(), at(want.third).Add(SettleDelay))
 		assert.Equal(t, len(l.TerminatedServers(named(want.prompt))), MaxTerminations)
 	}
 }
@@ -109,9 +109,9 @@
 		l.Observe(Observation{Content: named("harmless"), Server: server, Generated: 20}, at(float64(i)))
 		l.Observe(Observation{Content: named("deadly"), Server: server}, at(float64(i)+0.1))
 	}
-	held := decideUntil(l, at(10))
-	assert.Equal(t, len(held), 1)
-	assert.Equal(t, held[0].Content, named("deadly"))
+	holds := decideUntil(l, at(10))
+	assert.Equal(t, len(holds), 1)
+	assert.Equal(t, holds[0].Content, named("deadly"))
 	// One more termination, of a run that had begun before the hold.
 	observeAll(l, 10, "s9", "deadly", "harmless")
 	assert.Equal(t, len(decideUntil(l, at(20))), 0)
@@ -128,13 +128,13 @@
 		observeAll(l, float64(i), fmt.Sprint("s", i), "harmless", "deadly")
 	}
 	l.Observe(Observation{Content: named("harmless"), Server: "last", Generated: 5}, at(5))
-	begun, next := l.Decide(at(5.1))
-	assert.Equal(t, len(begun), 0)
+	started, next := l.Decide(at(5.1))
+	assert.Equal(t, len(started), 0)
 	assert.Equal(t, next, at(5).Add(SettleDelay))
 	l.Observe(Observation{Content: named("deadly"), Server: "last"}, at(5.2))
-	held := decideUntil(l, at(10))
-	assert.Equal(t, len(held), 1)
-	assert.Equal(t, held[0].Content, named("deadly"))
+	holds := decideUntil(l, at(10))
+	assert.Equal(t, len(holds), 1)
+	assert.Equal(t, holds[0].Content, named("deadly"))
 }
 
 // TestAnsweredRequestIsCleared guards against the quarantine of a popular request, which runs at every server that
@@ -197,17 +197,17 @@
 	_, ok = l.Quarantined(named("deadly"), later)
 	assert.Assert(t, !ok, "expired hold")
 	l.Expire(later)
-	begun, _ := l.Decide(later)
-	assert.Equal(t, len(begun), 0, "not for terminations before the first hold")
+	started, _ := l.Decide(later)
+	assert.Equal(t, len(started), 0, "not for terminations before the first hold")
 	l.Observe(Observation{Content: named("deadly"), Server: "again"}, later)
-	begun, _ = l.Decide(later.Add(SettleDelay))
-	assert.Equal(t, len(begun), 1)
-	assert.Equal(t, begun[0].Duration, 2*FirstHold)
+	started, _ = l.Decide(later.Add(SettleDelay))
+	assert.Equal(t, len(started), 1)
+	assert.Equal(t, started[0].Duration, 2*FirstHold)
 
 	assert.Assert(t, l.Clear(named("deadly"), later.Add(time.Minute)))
 	_, ok = l.Quarantined(named("deadly"), later.Add(time.Minute))
 	assert.Assert(t, !ok)
-	assert.Assert(t, !l.AddHold(begun[0]), "forwarded by a router that does not know of the answer")
+	assert.Assert(t, !l.AddHold(started[0]), "forwarded by a router that does not know of the answer")
 	l.Expire(later.Add(time.Hour))
 	assert.Assert(t, !l.Active())
 }
@@ -223,8 +223,8 @@
 	l.Expire(now)
 	assert.Assert(t, !l.Active())
 	l.Observe(Observation{Content: one, Server: "s"}, now)
-	begun, _ := l.Decide(now.Add(SettleDelay))
-	assert.Equal(t, len(begun), 0)
+	started, _ := l.Decide(now.Add(SettleDelay))
+	assert.Equal(t, len(started), 0)
 }
 
 // TestExchangedHoldIsNotExtended guards against a hold that grows with each exchange: routers report it to each other with
@@ -299,9 +299,9 @@
 				refill(s)
 			}
 			l.Decide(now)
-			_, held := l.Quarantined(named("deadly"), now)
-			crash := !held
-			if held && rng.IntN(4) > 0 {
+			_, quarantined := l.Quarantined(named("deadly"), now)
+			crash := !quarantined
+			if quarantined && rng.IntN(4) > 0 {
 				continue
 			}
 			name := fmt.Sprint("start-", starts)
