--- a/forward/cooldowns.go
+++ b/forward/cooldowns.go
@@ -15,7 +15,7 @@
 	count atomic.Int64
 
 	mu      sync.Mutex
-	tracker *cooldown.Rests
+	tracker *cooldown.Cooldowns
 }
 
 func newCooldowns() *cooldowns { return &cooldowns{tracker: cooldown.New()} }
@@ -24,7 +24,7 @@
 func (c *cooldowns) requested(id string, period time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tracker.Asked(id, period, time.Now())
+	c.tracker.Record(id, period, time.Now())
 	c.count.Store(int64(c.tracker.Len()))
 }
 
@@ -35,7 +35,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tracker.Left(id, time.Now())
+	return c.tracker.Remaining(id, time.Now())
 }
 
 // forget drops expired cooldowns, and servers that known does not report.
--- a/forward/terminations.go
+++ b/forward/terminations.go
@@ -84,11 +84,11 @@
 // recordInterrupted records that a request was in progress at a server that may have terminated. A server that cut the
 // connection is probed at once: its registry entry expires seconds later, and until then no request may be sent there.
 func (f *Forwarder) recordInterrupted(j *job, s registry.Server, cut bool) {
-	b := quarantine.Broken{Content: j.digest(), Generated: j.generated - j.generatedBefore}
+	b := quarantine.BrokenAttempt{Content: j.digest(), Generated: j.generated - j.generatedBefore}
 	terminated, probe := f.interrupted.add(s.ID, b, cut)
 	switch {
 	case terminated:
-		f.reportTermination(s.ID, "", []quarantine.Broken{b})
+		f.reportTermination(s.ID, "", []quarantine.BrokenAttempt{b})
 	case f.attempts.hasTerminated(s.ID):
 		f.serverTerminated(s.ID, signRestarted)
 	case probe:
@@ -109,14 +109,14 @@
 
 // reportTermination reports the requests that were in progress at a terminated server; how is empty if the termination
 // was recorded before.
-func (f *Forwarder) reportTermination(id string, how terminationSign, broken []quarantine.Broken) {
+func (f *Forwarder) reportTermination(id string, how terminationSign, broken []quarantine.BrokenAttempt) {
 	f.Metrics.Counter(metrics.RequestsBroken).Inc(int64(len(broken)))
 	f.Guard.ServerTerminated(id, broken)
 	event.ServerEnded.Log(f.Log).Str("server", id).Str("how", string(how)).Int("requests", len(broken)).
 		Strs("contents", digestsOf(broken)).Msg("")
 }
 
-func digestsOf(broken []quarantine.Broken) []string {
+func digestsOf(broken []quarantine.BrokenAttempt) []string {
 	var out []string
 	for _, b := range broken[:min(len(broken), maxLoggedDigests)] {
 		out = append(out, b.Content.String())
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -170,11 +170,11 @@
 
 // penalty is the cost of choosing an engine apart from its backlog.
 func (p *Pool) penalty(s registry.Server, zone string, now time.Time) time.Duration {
-	cost := time.Duration(float64(p.cfg.Failure) * p.outliers.Failing(s.ID, now))
+	cost := time.Duration(float64(p.cfg.Failure) * p.outliers.ExcessFailureRate(s.ID, now))
 	if s.Zone != zone {
 		cost += p.cfg.CrossZone
 	}
-	if p.outliers.Suspect(s.ID, now) {
+	if p.outliers.Suspected(s.ID, now) {
 		cost += p.cfg.Failure
 	}
 	return cost
