--- a/forward/prefill.go
+++ b/forward/prefill.go
@@ -62,9 +62,9 @@
 func (f *Forwarder) choosePrefill(j *job, l *lease, tried []string) (prefillpool.Choice, bool) {
 	servers := f.View.Servers(j.service)
 	s := f.service(j.service)
-	ask := prefillpool.Ask{
-		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, Crowd: s.engines.slotLoad(l.server.ID), Exclude: tried,
-		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.suspicions.suspected, Closed: f.unavailable,
+	ask := prefillpool.Request{
+		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, SlotLoad: s.engines.slotLoad(l.server.ID), Exclude: tried,
+		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.suspicions.suspected, Unavailable: f.unavailable,
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +74,7 @@
 // runPrefill sends the prompt to one prefill engine.
 func (f *Forwarder) runPrefill(ctx context.Context, j *job, c prefillpool.Choice) (Export, error) {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, c.Limit)
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	ctx, end := f.attempts.begin(ctx, c.Server.ID)
 	defer end()
@@ -94,7 +94,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.prefillPool.Begin(c.Server.ID, j.meta.PromptTokens)
-	s.engines.recordPrefill(c.Server.ID, s.prefillPool.OwnAt(c.Server.ID))
+	s.engines.recordPrefill(c.Server.ID, s.prefillPool.OwnLoad(c.Server.ID))
 }
 
 func (f *Forwarder) prefillEnds(j *job, c prefillpool.Choice, ok bool, took time.Duration) {
@@ -102,7 +102,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.prefillPool.End(c, j.meta.PromptTokens, ok, took, time.Now())
-	s.engines.recordPrefill(c.Server.ID, s.prefillPool.OwnAt(c.Server.ID))
+	s.engines.recordPrefill(c.Server.ID, s.prefillPool.OwnLoad(c.Server.ID))
 }
 
 func (f *Forwarder) requestExport(ctx context.Context, j *job, s registry.Server) (Export, error) {
@@ -160,5 +160,5 @@
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.prefillPool.Shun(c.ID, time.Now())
+	s.prefillPool.BackOff(c.ID, time.Now())
 }
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -75,7 +75,7 @@
 // allUnavailable reports whether there are untried decode engines but each has signalled that it takes nothing for
 // longer than the request can wait.
 func (r *stream) allUnavailable() (why outcome.Reason, unavailable bool) {
-	left := time.Until(r.waiter.Until)
+	left := time.Until(r.waiter.GiveUpAt)
 	for _, s := range r.f.View.Servers(r.j.service) {
 		if s.Stage != registry.Decode || slices.Contains(r.tried, s.ID) {
 			continue
@@ -96,10 +96,10 @@
 }
 
 // newWaiter returns the request's entry in the wait queue.
-func (j *job) newWaiter(terms waitqueue.Terms) *waitqueue.Waiter {
+func (j *job) newWaiter(terms waitqueue.Policy) *waitqueue.Waiter {
 	return &waitqueue.Waiter{
 		Need: j.memoryNeed(), Arrived: j.arrived, Late: j.retried, Priority: j.priority(),
-		Until: terms.Until(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.retried),
+		GiveUpAt: terms.GiveUpAt(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.retried),
 	}
 }
 
@@ -142,7 +142,7 @@
 // yields reports whether a request leaves the engine that has just granted its memory, because other requests were
 // placed there in the meantime. Nothing of the request has been sent yet.
 func (r *stream) yields(l *lease, now time.Time) bool {
-	if r.yieldCount >= maxYields || r.waiter.Until.Sub(now) < minYieldTime || !r.f.service(r.j.service).engines.saturated(l.server.ID) {
+	if r.yieldCount >= maxYields || r.waiter.GiveUpAt.Sub(now) < minYieldTime || !r.f.service(r.j.service).engines.saturated(l.server.ID) {
 		return false
 	}
 	r.yieldCount++
@@ -268,7 +268,7 @@
 			continue
 		}
 		for id, l := range loads {
-			s.prefillPool.SetOthers(id, l.Tokens)
+			s.prefillPool.SetPeerLoad(id, l.Tokens)
 		}
 	}
 }
@@ -293,9 +293,9 @@
 	}
 	terms, left := f.service(j.service).engines.terms, j.left(time.Now())
 	if cooldown := f.serviceCooldown(j.service); cooldown > 0 {
-		return terms.ComeBackIn(cooldown, left, rand.Float64())
+		return terms.RetryAfterWait(cooldown, left, rand.Float64())
 	}
-	return terms.ComeBack(left, rand.Float64())
+	return terms.RetryAfter(left, rand.Float64())
 }
 
 // serviceCooldown is how long all servers of a service that answer requests stay in a cooldown; zero if one is not.
--- a/forward/suspicions.go
+++ b/forward/suspicions.go
@@ -35,7 +35,7 @@
 func (s *suspicions) reported(from, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tracker.Told(from, id, time.Now())
+	s.tracker.Reported(from, id, time.Now())
 }
 
 func (s *suspicions) succeeded(id string) {
@@ -47,7 +47,7 @@
 func (s *suspicions) suspected(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Doubtful(id, time.Now())
+	return s.tracker.Suspected(id, time.Now())
 }
 
 func (s *suspicions) takeUpdates() []string {
--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -53,7 +53,7 @@
 func (p *proofs) recordVersion(version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ledger.InForce(version)
+	p.ledger.Applied(version)
 	p.notifyAll()
 }
 
@@ -64,7 +64,7 @@
 	if version >= p.version {
 		p.version, p.row = version, row
 	}
-	p.ledger.Prove(freshness.Proof{Version: version, At: requested})
+	p.ledger.AddProof(freshness.Proof{Version: version, At: requested})
 	p.notifyAll()
 }
 
@@ -72,7 +72,7 @@
 func (p *proofs) recordProof(proof freshness.Proof) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ledger.Prove(proof)
+	p.ledger.AddProof(proof)
 	p.notifyAll()
 }
 
@@ -109,7 +109,7 @@
 // provedForUnknownKey reports whether the configuration is recent enough to reject a key as unknown. If not, it waits
 // up to proofWait for a proof.
 func (p *proofs) provedForUnknownKey(ctx context.Context) bool {
-	return p.waitFor(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownAfter })
+	return p.waitFor(ctx, func(age time.Duration, known bool) bool { return known && age < freshness.UnknownKeyMaxAge })
 }
 
 // waitFor reports whether enough is proved, now or within proofWait.
--- a/policy/quarantine/ledger_test.go
+++ b/policy/quarantine/ledger_test.go
@@ -18,29 +18,29 @@
 
 func named(name string) fingerprint.Digest { return fingerprint.Of(fingerprint.Request{Target: name}) }
 
-// suspected reports whether a server has ended under a request.
+// suspected reports whether a server has terminated under a request.
 func (l *Ledger) suspected(d fingerprint.Digest) bool { return l.suspects[d] != nil }
 
-// decided has a Ledger decide at each moment that it asks for until then, and returns what it held.
-func decided(l *Ledger, until time.Time) []Hold {
+// decideUntil calls Decide repeatedly until a time, and returns the holds that it started.
+func decideUntil(l *Ledger, until time.Time) []Hold {
 	var out []Hold
-	for now := start; !now.After(until); now = now.Add(Settle / 3) {
-		begun, _ := l.Decide(now)
-		out = append(out, begun...)
+	for now := start; !now.After(until); now = now.Add(SettleDelay / 3) {
+		started, _ := l.Decide(now)
+		out = append(out, started...)
 	}
 	return out
 }
 
-func sightAll(l *Ledger, seconds float64, server string, contents ...string) {
+func observeAll(l *Ledger, seconds float64, server string, contents ...string) {
 	for _, c := range contents {
-		l.Sight(Sighting{Content: named(c), Server: server}, at(seconds))
+		l.Observe(Observation{Content: named(c), Server: server}, at(seconds))
 	}
 }
 
-// spells are the ends of model servers on a day when two requests that crash them came again and again: the second
-// of each, and the streams that broke off there, by the tokens of their prompts and those generated. 2233 and 9401
-// are the prompts of the two requests; one stream of somebody else, 2226, was hit twice in a row, and so was 4994.
-var spells = []struct {
+// recorded are the terminations of model servers in an incident in which two crashing requests were sent repeatedly: the
+// second of each, and the streams that broke off there, by the tokens of their prompts and those generated. 2233 and 9401
+// are the prompts of the crashing requests; two unrelated streams, 2226 and 4994, each broke off twice in a row.
+var recorded = []struct {
 	second  float64
 	streams string
 }{
@@ -64,181 +64,183 @@
 	{49.86, "9401:0 2612:22"},
 }
 
-// Servers ended nine times under one request and nine times under another, each sent on whenever it came; 59 streams
-// of others broke off with them. Known by what it asks, each is held a moment after its third end, at 15.7 and
-// 40.6 s, and nothing else is: not even the streams that were hit twice.
-func TestSpellsOfEnds(t *testing.T) {
+// TestRecordedTerminations replays an incident without quarantine: servers terminated nine times under one request and
+// nine times under another, and 59 unrelated streams broke off with them. Identified by its content, each of the two is
+// quarantined shortly after its third termination, at 15.7 and 40.6 s, and no other request is, not even the streams that
+// broke off twice.
+func TestRecordedTerminations(t *testing.T) {
 	l := New()
-	var held []Hold
-	for i, s := range spells {
-		begun, _ := l.Decide(at(s.second))
-		held = append(held, begun...)
+	var holds []Hold
+	for i, s := range recorded {
+		started, _ := l.Decide(at(s.second))
+		holds = append(holds, started...)
 		for stream := range strings.FieldsSeq(s.streams) {
 			var prompt string
 			var generated int
 			_, err := fmt.Sscanf(strings.Replace(stream, ":", " ", 1), "%s %d", &prompt, &generated)
 			assert.NilError(t, err)
-			if _, ok := l.Held(named(prompt), at(s.second)); ok {
+			if _, ok := l.Quarantined(named(prompt), at(s.second)); ok {
 				continue
 			}
-			l.Sight(Sighting{Content: named(prompt), Server: fmt.Sprint("server-", i), Generated: generated}, at(s.second))
+			l.Observe(Observation{Content: named(prompt), Server: fmt.Sprint("server-", i), Generated: generated}, at(s.second))
 		}
-		more, again := l.Decide(at(s.second).Add(Settle))
-		assert.Assert(t, again.IsZero())
-		held = append(held, more...)
+		more, next := l.Decide(at(s.second).Add(SettleDelay))
+		assert.Assert(t, next.IsZero())
+		holds = append(holds, more...)
 	}
-	assert.Equal(t, len(held), 2)
+	assert.Equal(t, len(holds), 2)
 	for i, want := range []struct {
 		prompt string
 		third  float64
 	}{{"2233", 15.39}, {"9401", 40.25}} {
-		assert.Equal(t, held[i].Content, named(want.prompt))
-		assert.Equal(t, held[i].Begun(), at(want.third).Add(Settle))
-		assert.Equal(t, len(l.Ends(named(want.prompt))), MostEnds)
+		assert.Equal(t, holds[i].Content, named(want.prompt))
+		assert.Equal(t, holds[i].StartedAt(), at(want.third).Add(SettleDelay))
+		assert.Equal(t, len(l.TerminatedServers(named(want.prompt))), MaxTerminations)
 	}
 }
 
-// TestBesideAtEachEnd: a request of somebody else is in progress at every server that ends, as one that is sent
-// again after each loss, where few servers are left. Of the two the one that had begun just then is held; the
-// ends are explained by it, and the other one is free, also when the same goes on.
-func TestBesideAtEachEnd(t *testing.T) {
+// TestBystanderAtEachTermination guards against the quarantine of an innocent request that is in progress at every
+// terminated server, such as one that is retried after each loss where few servers are left. Of the two requests the one
+// that had only just begun is quarantined; it explains the terminations, and the other stays free when more follow.
+func TestBystanderAtEachTermination(t *testing.T) {
 	l := New()
-	for i := range MostEnds {
+	for i := range MaxTerminations {
 		server := fmt.Sprint("s", i)
-		l.Sight(Sighting{Content: named("harmless"), Server: server, Generated: 20}, at(float64(i)))
-		l.Sight(Sighting{Content: named("deadly"), Server: server}, at(float64(i)+0.1))
+		l.Observe(Observation{Content: named("harmless"), Server: server, Generated: 20}, at(float64(i)))
+		l.Observe(Observation{Content: named("deadly"), Server: server}, at(float64(i)+0.1))
 	}
-	held := decided(l, at(10))
-	assert.Equal(t, len(held), 1)
-	assert.Equal(t, held[0].Content, named("deadly"))
-	// One more that was under way when it was held.
-	sightAll(l, 10, "s9", "deadly", "harmless")
-	assert.Equal(t, len(decided(l, at(20))), 0)
-	// An operator lets it through. The other one is not held in its place.
+	holds := decideUntil(l, at(10))
+	assert.Equal(t, len(holds), 1)
+	assert.Equal(t, holds[0].Content, named("deadly"))
+	// One more termination, of a run that had begun before the hold.
+	observeAll(l, 10, "s9", "deadly", "harmless")
+	assert.Equal(t, len(decideUntil(l, at(20))), 0)
+	// An operator releases it. The other one is not quarantined in its place.
 	assert.Assert(t, l.Clear(named("deadly"), at(21)))
-	assert.Equal(t, len(decided(l, at(30))), 0)
+	assert.Equal(t, len(decideUntil(l, at(30))), 0)
 }
 
-// TestToldLate: what ran at the last server is told by several routers, the innocent one first. The decision waits
-// until all have told.
-func TestToldLate(t *testing.T) {
+// TestLateObservations: several routers report the requests at the last server, the innocent one first. The decision is
+// delayed until all have reported.
+func TestLateObservations(t *testing.T) {
 	l := New()
-	for i := range MostEnds - 1 {
-		sightAll(l, float64(i), fmt.Sprint("s", i), "harmless", "deadly")
+	for i := range MaxTerminations - 1 {
+		observeAll(l, float64(i), fmt.Sprint("s", i), "harmless", "deadly")
 	}
-	l.Sight(Sighting{Content: named("harmless"), Server: "last", Generated: 5}, at(5))
-	begun, again := l.Decide(at(5.1))
-	assert.Equal(t, len(begun), 0)
-	assert.Equal(t, again, at(5).Add(Settle))
-	l.Sight(Sighting{Content: named("deadly"), Server: "last"}, at(5.2))
-	held := decided(l, at(10))
-	assert.Equal(t, len(held), 1)
-	assert.Equal(t, held[0].Content, named("deadly"))
+	l.Observe(Observation{Content: named("harmless"), Server: "last", Generated: 5}, at(5))
+	started, next := l.Decide(at(5.1))
+	assert.Equal(t, len(started), 0)
+	assert.Equal(t, next, at(5).Add(SettleDelay))
+	l.Observe(Observation{Content: named("deadly"), Server: "last"}, at(5.2))
+	holds := decideUntil(l, at(10))
+	assert.Equal(t, len(holds), 1)
+	assert.Equal(t, holds[0].Content, named("deadly"))
 }
 
-// TestAnswered: a request that a server answered since is not to blame: one that many ask all the time runs at
-// every server that ends.
-func TestAnswered(t *testing.T) {
+// TestAnsweredRequestIsCleared guards against the quarantine of a popular request, which runs at every server that
+// terminates: an answer since the termination clears it.
+func TestAnsweredRequestIsCleared(t *testing.T) {
 	l := New()
 	for i := range 10 {
-		sightAll(l, float64(i), fmt.Sprint("s", i), "popular")
+		observeAll(l, float64(i), fmt.Sprint("s", i), "popular")
 		assert.Assert(t, l.suspected(named("popular")))
 		assert.Assert(t, l.Clear(named("popular"), at(float64(i)+0.5)))
-		assert.Assert(t, !l.Sight(Sighting{Content: named("popular"), Server: "told late"}, at(float64(i))), "from before")
+		assert.Assert(t, !l.Observe(Observation{Content: named("popular"), Server: "reported late"}, at(float64(i))), "earlier than the answer")
 	}
-	assert.Equal(t, len(decided(l, at(20))), 0)
-	assert.Assert(t, !l.Watches())
+	assert.Equal(t, len(decideUntil(l, at(20))), 0)
+	assert.Assert(t, !l.Active())
 	assert.Assert(t, !l.Clear(named("never seen"), at(20)))
 }
 
-// TestServersEndByThemselves: all servers end twice within some seconds, with no request to blame; what ran there
-// comes again each time.
-func TestServersEndByThemselves(t *testing.T) {
+// TestUnrelatedTerminations: all servers terminate twice within some seconds for a reason other than requests, and the
+// requests there are retried each time. None is quarantined.
+func TestUnrelatedTerminations(t *testing.T) {
 	l := New()
-	for round := range MostEnds - 1 {
+	for round := range MaxTerminations - 1 {
 		for server := range 20 {
-			sightAll(l, float64(10*round), fmt.Sprint(round, "-", server), fmt.Sprint("a", server), fmt.Sprint("b", server))
+			observeAll(l, float64(10*round), fmt.Sprint(round, "-", server), fmt.Sprint("a", server), fmt.Sprint("b", server))
 		}
 	}
-	assert.Equal(t, len(decided(l, at(60))), 0)
+	assert.Equal(t, len(decideUntil(l, at(60))), 0)
 }
 
-// TestTwoAtOnce: two requests that crash servers come in the same spell and meet at one server: both are held, the
-// second after one end more at most.
-func TestTwoAtOnce(t *testing.T) {
+// TestTwoCrashingRequests: two crashing requests are sent in the same period and meet at one server. Both are quarantined,
+// the second after one more termination at most.
+func TestTwoCrashingRequests(t *testing.T) {
 	l := New()
-	sightAll(l, 0, "s0", "first", "second")
-	sightAll(l, 1, "s1", "first")
-	sightAll(l, 2, "s2", "second")
-	sightAll(l, 3, "s3", "first")
-	assert.Equal(t, len(decided(l, at(4))), 1)
-	sightAll(l, 5, "s5", "second")
-	assert.Equal(t, len(decided(l, at(6))), 0)
-	sightAll(l, 7, "s7", "second")
-	assert.Equal(t, len(decided(l, at(8))), 1)
+	observeAll(l, 0, "s0", "first", "second")
+	observeAll(l, 1, "s1", "first")
+	observeAll(l, 2, "s2", "second")
+	observeAll(l, 3, "s3", "first")
+	assert.Equal(t, len(decideUntil(l, at(4))), 1)
+	observeAll(l, 5, "s5", "second")
+	assert.Equal(t, len(decideUntil(l, at(6))), 0)
+	observeAll(l, 7, "s7", "second")
+	assert.Equal(t, len(decideUntil(l, at(8))), 1)
 }
 
-// TestHoldsEnd: a hold ends, so that a wrong one does not last; one more end begins the next, twice as long. An
-// answer ends it, with all that was known.
-func TestHoldsEnd(t *testing.T) {
+// TestHoldsExpireAndDouble: a hold expires, so that a wrong one does not last. One more termination starts the next,
+// twice as long. An answer ends it and clears the request.
+func TestHoldsExpireAndDouble(t *testing.T) {
 	l := New()
-	for i := range MostEnds {
-		sightAll(l, float64(i), fmt.Sprint("s", i), "deadly")
+	for i := range MaxTerminations {
+		observeAll(l, float64(i), fmt.Sprint("s", i), "deadly")
 	}
-	first := decided(l, at(5))
+	first := decideUntil(l, at(5))
 	assert.Equal(t, len(first), 1)
-	assert.Equal(t, first[0].For, FirstHold)
-	left, ok := l.Held(named("deadly"), first[0].Begun())
+	assert.Equal(t, first[0].Duration, FirstHold)
+	left, ok := l.Quarantined(named("deadly"), first[0].StartedAt())
 	assert.Assert(t, ok)
 	assert.Equal(t, left, FirstHold)
 
 	later := first[0].Until.Add(time.Second)
-	_, ok = l.Held(named("deadly"), later)
-	assert.Assert(t, !ok, "let through")
+	_, ok = l.Quarantined(named("deadly"), later)
+	assert.Assert(t, !ok, "expired hold")
 	l.Expire(later)
-	begun, _ := l.Decide(later)
-	assert.Equal(t, len(begun), 0, "not for what it was held for already")
-	l.Sight(Sighting{Content: named("deadly"), Server: "again"}, later)
-	begun, _ = l.Decide(later.Add(Settle))
-	assert.Equal(t, len(begun), 1)
-	assert.Equal(t, begun[0].For, 2*FirstHold)
+	started, _ := l.Decide(later)
+	assert.Equal(t, len(started), 0, "not for terminations before the first hold")
+	l.Observe(Observation{Content: named("deadly"), Server: "again"}, later)
+	started, _ = l.Decide(later.Add(SettleDelay))
+	assert.Equal(t, len(started), 1)
+	assert.Equal(t, started[0].Duration, 2*FirstHold)
 
 	assert.Assert(t, l.Clear(named("deadly"), later.Add(time.Minute)))
-	_, ok = l.Held(named("deadly"), later.Add(time.Minute))
+	_, ok = l.Quarantined(named("deadly"), later.Add(time.Minute))
 	assert.Assert(t, !ok)
-	assert.Assert(t, !l.Hold(begun[0]), "told on by one that has not heard")
+	assert.Assert(t, !l.AddHold(started[0]), "forwarded by a router that does not know of the answer")
 	l.Expire(later.Add(time.Hour))
-	assert.Assert(t, !l.Watches())
+	assert.Assert(t, !l.Active())
 }
 
-// TestHoldIsForgotten: a request that did nothing for as long again after its hold is as any other.
-func TestHoldIsForgotten(t *testing.T) {
+// TestExpiredHoldIsForgotten: a request under which no server terminated for as long again after its hold counts as any
+// other.
+func TestExpiredHoldIsForgotten(t *testing.T) {
 	l := New()
-	h := Hold{Content: one, Until: start.Add(FirstHold), For: FirstHold}
-	assert.Assert(t, l.Hold(h))
-	assert.Assert(t, l.Watches())
+	h := Hold{Content: one, Until: start.Add(FirstHold), Duration: FirstHold}
+	assert.Assert(t, l.AddHold(h))
+	assert.Assert(t, l.Active())
 	now := h.Until.Add(FirstHold)
 	l.Expire(now)
-	assert.Assert(t, !l.Watches())
-	l.Sight(Sighting{Content: one, Server: "s"}, now)
-	begun, _ := l.Decide(now.Add(Settle))
-	assert.Equal(t, len(begun), 0)
+	assert.Assert(t, !l.Active())
+	l.Observe(Observation{Content: one, Server: "s"}, now)
+	started, _ := l.Decide(now.Add(SettleDelay))
+	assert.Equal(t, len(started), 0)
 }
 
-// TestHoldToldAround: routers tell each other of a hold with the time that is left, and each telling takes some
-// time. That must not make it longer and longer.
-func TestHoldToldAround(t *testing.T) {
+// TestExchangedHoldIsNotExtended guards against a hold that grows with each exchange: routers report it to each other with
+// its remaining time, and each report takes some time in transit.
+func TestExchangedHoldIsNotExtended(t *testing.T) {
 	a, b := New(), New()
-	h := Hold{Content: one, Until: start.Add(FirstHold), For: FirstHold}
-	assert.Assert(t, a.Hold(h))
+	h := Hold{Content: one, Until: start.Add(FirstHold), Duration: FirstHold}
+	assert.Assert(t, a.AddHold(h))
 	const delay = 700 * time.Millisecond
 	now := start
 	for range 100 {
-		for _, way := range [][2]*Ledger{{a, b}, {b, a}} {
-			left, ok := way[0].Held(one, now)
+		for _, pair := range [][2]*Ledger{{a, b}, {b, a}} {
+			left, ok := pair[0].Quarantined(one, now)
 			assert.Assert(t, ok)
 			now = now.Add(delay)
-			way[1].Hold(Hold{Content: one, Until: now.Add(left), For: FirstHold})
+			pair[1].AddHold(Hold{Content: one, Until: now.Add(left), Duration: FirstHold})
 		}
 	}
 	for _, l := range []*Ledger{a, b} {
@@ -246,25 +248,26 @@
 	}
 }
 
-// TestLedgerIsBounded: however many servers end, with however many requests.
+// TestLedgerIsBounded: a Ledger stays bounded however many servers terminate, with however many requests.
 func TestLedgerIsBounded(t *testing.T) {
 	l := New()
 	for i := range maxSuspects + 10 {
-		sightAll(l, float64(i)/1000, "s", fmt.Sprint(i))
+		observeAll(l, float64(i)/1000, "s", fmt.Sprint(i))
 	}
 	assert.Assert(t, len(l.suspects) <= maxSuspects && len(l.suspects) > maxSuspects*8/10, "%d", len(l.suspects))
 	assert.Assert(t, !l.suspected(named("0")), "the oldest")
 	assert.Assert(t, l.suspected(named(fmt.Sprint(maxSuspects/2))) && l.suspected(named(fmt.Sprint(maxSuspects+9))), "not the newer ones")
 	for i := range maxHolds + 10 {
-		l.Hold(Hold{Content: named(fmt.Sprint(i)), Until: start.Add(FirstHold), For: FirstHold})
+		l.AddHold(Hold{Content: named(fmt.Sprint(i)), Until: start.Add(FirstHold), Duration: FirstHold})
 	}
 	assert.Equal(t, len(l.Holds(start)), maxHolds)
 }
 
-// TestStormsOfEnds: nine servers with eight streams each, one request that crashes them and comes each second and a
-// half, servers that end by themselves too, and streams that come again three times after a loss. Over all seeds the
-// one is held after at most one end more than it takes, and of the others less than one in a thousand.
-func TestStormsOfEnds(t *testing.T) {
+// TestSimulatedTerminations: nine servers with eight streams each, a crashing request that arrives every second and a
+// half, servers that also terminate for other reasons, and streams that are retried three times after a loss. Over all
+// seeds the crashing request is quarantined after at most one termination more than required, and of the others less than
+// one in a thousand.
+func TestSimulatedTerminations(t *testing.T) {
 	const seeds, streams, others = 50, 8, 9 * 40
 	wrong := 0
 	for seed := range uint64(seeds) {
@@ -272,8 +275,8 @@
 		l := New()
 		running := map[int][]int{}
 		tries := map[int]int{}
-		next, deadlyEnds, starts := 0, 0, 0
-		place := func(server int) {
+		next, crashes, starts := 0, 0, 0
+		refill := func(server int) {
 			for len(running[server]) < streams {
 				running[server] = append(running[server], next)
 				next++
@@ -283,7 +286,7 @@
 			now := at(float64(i) * 1.5)
 			server := rng.IntN(9)
 			for s := range 9 {
-				// Half of what runs is answered meanwhile.
+				// Half of the running streams have been answered meanwhile.
 				kept := running[s][:0]
 				for _, r := range running[s] {
 					if rng.IntN(2) == 0 {
@@ -293,33 +296,33 @@
 					l.Clear(named(fmt.Sprint(r)), now.Add(-time.Millisecond))
 				}
 				running[s] = kept
-				place(s)
+				refill(s)
 			}
 			l.Decide(now)
-			_, held := l.Held(named("deadly"), now)
-			crash := !held
-			if held && rng.IntN(4) > 0 {
+			_, quarantined := l.Quarantined(named("deadly"), now)
+			crash := !quarantined
+			if quarantined && rng.IntN(4) > 0 {
 				continue
 			}
 			name := fmt.Sprint("start-", starts)
 			starts++
 			if crash {
-				deadlyEnds++
-				l.Sight(Sighting{Content: named("deadly"), Server: name}, now)
+				crashes++
+				l.Observe(Observation{Content: named("deadly"), Server: name}, now)
 			}
 			lost := running[server]
 			running[server] = nil
 			for _, r := range lost {
-				l.Sight(Sighting{Content: named(fmt.Sprint(r)), Server: name, Generated: 1 + rng.IntN(500)}, now)
+				l.Observe(Observation{Content: named(fmt.Sprint(r)), Server: name, Generated: 1 + rng.IntN(500)}, now)
 				if tries[r]++; tries[r] <= 3 {
 					other := (server + 1 + rng.IntN(8)) % 9
 					running[other] = append(running[other], r)
 				}
 			}
 		}
-		assert.Assert(t, deadlyEnds <= MostEnds+1, "seed %d: %d ends", seed, deadlyEnds)
+		assert.Assert(t, crashes <= MaxTerminations+1, "seed %d: %d crashes", seed, crashes)
 		wrong += len(l.Holds(at(90))) - 1
 	}
-	t.Logf("%d others held of some %d", wrong, seeds*others)
-	assert.Assert(t, wrong*1000 < seeds*others, "%d others held", wrong)
+	t.Logf("%d other requests quarantined of about %d", wrong, seeds*others)
+	assert.Assert(t, wrong*1000 < seeds*others, "%d other requests quarantined", wrong)
 }
