--- a/cmd/hibiscusspur/gateway.go
+++ b/cmd/hibiscusspur/gateway.go
@@ -70,7 +70,7 @@
 	}
 	l, batch := event.NewBatched("gateway", set.VM, log.InfoLevel)
 	defer batch.Flush()
-	pool := upstream.New(upstream.Options{Dial: serverDial})
+	pool := upstream.New(upstream.Options{DialTimeout: serverDial})
 	store := platform.NewStore(upstream.New(upstream.Options{}), set.Store, storeTimeout)
 	engines := platform.NewEngines(pool, engineTimeout)
 	s := gateway.New(gatewaySettings(set, off), gateway.Deps{
--- a/cmd/hibiscusspur/held_test.go
+++ b/cmd/hibiscusspur/held_test.go
@@ -32,7 +32,7 @@
 	}
 	out, _, err = execute(heldCmd(), "list", "--store", s.Addr(), "-o", "json")
 	assert.NilError(t, err)
-	var list []holdback.Kept
+	var list []holdback.StoredHold
 	assert.NilError(t, json.Unmarshal([]byte(out), &list))
 	assert.Equal(t, len(list), 2)
 
@@ -40,7 +40,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, s.Count(holdback.TableName), 1)
 	_, _, err = execute(heldCmd(), "release", key, "--store", s.Addr())
-	assert.ErrorIs(t, err, holdback.ErrNotHeld)
+	assert.ErrorIs(t, err, holdback.ErrNotQuarantined)
 }
 
 // TestHeldInput: bad input names the flag or argument.
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -32,7 +32,7 @@
 func (s *Service) startsEnded(ended []registry.Server) {
 	for _, e := range ended {
 		requests := s.fwd.End(e.ID)
-		s.pool.Drop(e.Addr)
+		s.pool.CloseIdle(e.Addr)
 		s.met.Counter(metrics.StartsEnded).Inc(1)
 		event.ServerRestarted.Log(s.log).Str("server", e.Instance()).Int64("born", e.Born).Int("requests", requests).Msg("")
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -91,7 +91,7 @@
 
 // readManifest reads the whole table when none was read or the history was lost, and
 // waits for a change otherwise.
-func (s *Service) readManifest(ctx context.Context, version int64, known bool) (route.Reading, error) {
+func (s *Service) readManifest(ctx context.Context, version int64, known bool) (route.StoredTable, error) {
 	if !known {
 		return s.store.Manifest(ctx)
 	}
@@ -116,12 +116,12 @@
 }
 
 // takeReading takes what the store answered to a question that was sent at asked.
-func (s *Service) takeReading(r route.Reading, asked time.Duration) {
+func (s *Service) takeReading(r route.StoredTable, asked time.Duration) {
 	if r.Table == nil {
 		return
 	}
 	s.takeTable(r.Table, r.Encoded, fromStore)
-	s.proofs.read(r.Table.Version, r.Row, asked)
+	s.proofs.read(r.Table.Version, r.RowVersion, asked)
 }
 
 // takeTable puts a table in force unless a newer one is, and has the other gateways told.
@@ -156,7 +156,7 @@
 			continue
 		}
 		failures = 0
-		reading = reading.RequireStarts(s.view.latestStart)
+		reading = reading.RequireStartTimes(s.view.latestStart)
 		faults.note(s, reading.Faults)
 		s.view.noteRead(time.Now())
 		if s.view.applyServers(version, reading.List(), time.Now()) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,13 +35,13 @@
 // their context ends.
 type Store interface {
 	// Servers returns the list of backend servers and its version.
-	Servers(ctx context.Context) (registry.Reading, int64, error)
+	Servers(ctx context.Context) (registry.Snapshot, int64, error)
 	// Manifest reads the route table in force.
-	Manifest(ctx context.Context) (route.Reading, error)
+	Manifest(ctx context.Context) (route.StoredTable, error)
 	// DecodeManifest decodes a route table that another gateway read.
 	DecodeManifest(encoded []byte) (*route.Table, error)
 	// NextManifest waits for a table newer than a version of the store; the reading has none if none came.
-	NextManifest(ctx context.Context, version int64, wait time.Duration) (route.Reading, error)
+	NextManifest(ctx context.Context, version int64, wait time.Duration) (route.StoredTable, error)
 	// ConfirmManifest reports whether the table that was read in this row is still in force.
 	ConfirmManifest(ctx context.Context, row int64) (bool, error)
 }
--- a/gateway/proofs_test.go
+++ b/gateway/proofs_test.go
@@ -104,16 +104,16 @@
 	return &route.Table{Version: version, Tenants: tenants}
 }
 
-func (o *storeOf) Manifest(ctx context.Context) (route.Reading, error) {
+func (o *storeOf) Manifest(ctx context.Context) (route.StoredTable, error) {
 	if err := o.call(ctx); err != nil {
-		return route.Reading{}, err
+		return route.StoredTable{}, err
 	}
 	o.s.mu.Lock()
 	defer o.s.mu.Unlock()
-	return route.Reading{Table: tableOf(o.s.version), Encoded: []byte(fmt.Sprint(o.s.version)), Version: o.s.version, Row: o.s.version}, nil
+	return route.StoredTable{Table: tableOf(o.s.version), Encoded: []byte(fmt.Sprint(o.s.version)), Version: o.s.version, RowVersion: o.s.version}, nil
 }
 
-func (o *storeOf) NextManifest(ctx context.Context, after int64, wait time.Duration) (route.Reading, error) {
+func (o *storeOf) NextManifest(ctx context.Context, after int64, wait time.Duration) (route.StoredTable, error) {
 	o.s.mu.Lock()
 	version, changed := o.s.version, o.s.changed
 	o.s.mu.Unlock()
@@ -121,9 +121,9 @@
 		select {
 		case <-changed:
 		case <-time.After(wait):
-			return route.Reading{Version: after}, ctx.Err()
+			return route.StoredTable{Version: after}, ctx.Err()
 		case <-ctx.Done():
-			return route.Reading{}, ctx.Err()
+			return route.StoredTable{}, ctx.Err()
 		}
 	}
 	return o.Manifest(ctx)
--- a/gateway/readers_test.go
+++ b/gateway/readers_test.go
@@ -21,9 +21,9 @@
 }
 
 // Servers implements Store.
-func (s *countingStore) Servers(context.Context) (registry.Reading, int64, error) {
+func (s *countingStore) Servers(context.Context) (registry.Snapshot, int64, error) {
 	s.readings.Add(1)
-	return registry.Reading{Servers: []registry.Server{{ID: "i-1", Service: "llm", Addr: "10.1.0.1:1", Zone: "z", Slots: 1}}}, 7, nil
+	return registry.Snapshot{Servers: []registry.Server{{ID: "i-1", Service: "llm", Addr: "10.1.0.1:1", Zone: "z", Slots: 1}}}, 7, nil
 }
 
 // TestTwoReadForAll: however many gateways there are, two of them read the list of servers from the store, and all
--- a/gateway/serverlist.go
+++ b/gateway/serverlist.go
@@ -18,7 +18,7 @@
 func (v *view) apply(version int64, list []registry.Server, now time.Time) (changed bool, ended []registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	defer func() { ended = v.registry.TakeEnded() }()
+	defer func() { ended = v.registry.TakeTerminated() }()
 	before := v.registry.List()
 	if !v.registry.Apply(version, list, now) {
 		return false, nil
@@ -38,14 +38,14 @@
 
 // idOf is the ID of a start that another gateway told by its tag.
 func (v *view) idOf(instance string, tag uint32) string {
-	return registry.Tagged(instance, tag, v.latestStart(instance))
+	return registry.ResolveTag(instance, tag, v.latestStart(instance))
 }
 
 // latestStart is the latest known start of an instance; zero if none is known.
 func (v *view) latestStart(instance string) int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.registry.Latest(instance)
+	return v.registry.LatestStart(instance)
 }
 
 // toldServers takes what another gateway told, and reports whether it changed anything.
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -34,7 +34,7 @@
 	})
 	s.work.Go(func() {
 		dep := &dependency{s: s, what: "holds kept"}
-		s.guard.Keep(ctx, s.holds, s.readsForAll, dep.note, wait)
+		s.guard.Persist(ctx, s.holds, s.readsForAll, dep.note, wait)
 	})
 }
 
@@ -45,7 +45,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.guard.News():
+		case <-s.guard.Updates():
 		}
 		pause(ctx, tellInterval)
 		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
--- a/holdback/keep.go
+++ b/holdback/keep.go
@@ -171,10 +171,10 @@
 	return nil
 }
 
-// Keep writes holds to the table and removes those that have ended, until ctx ends. Reads reports whether this process
+// Persist writes holds to the table and removes those that have ended, until ctx ends. Reads reports whether this process
 // is one of the few that read the store for all: they keep what the gateway that decided did not. It calls note with
 // the result of each call, and pause after one that failed, with the number of those that failed in a row.
-func (g *Guard) Keep(ctx context.Context, t store.Table, reads func() bool, note func(error), pause func(failures int)) {
+func (g *Guard) Persist(ctx context.Context, t store.Table, reads func() bool, note func(error), pause func(failures int)) {
 	timer := time.NewTicker(keepRetry)
 	defer timer.Stop()
 	failures := 0
--- a/holdback/kept.go
+++ b/holdback/kept.go
@@ -11,11 +11,11 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// ErrNotHeld means that no hold of a request is kept.
-var ErrNotHeld = errors.New("no such request is held back")
+// ErrNotQuarantined means that no hold of a request is kept.
+var ErrNotQuarantined = errors.New("no such request is held back")
 
-// Kept is a hold as it is kept, for operators.
-type Kept struct {
+// StoredHold is a hold as it is kept, for operators.
+type StoredHold struct {
 	// Content is the key of the row: the digest of the request.
 	Content string `json:"content"`
 	Row
@@ -24,7 +24,7 @@
 }
 
 // Until is when the hold ends.
-func (k Kept) Until() time.Time {
+func (k StoredHold) Until() time.Time {
 	return k.Begun.Add(time.Duration(k.ForSeconds * float64(time.Second)))
 }
 
@@ -32,8 +32,8 @@
 const listPage = 500
 
 // List returns the holds of a table, those that have ended and not been removed included.
-func List(ctx context.Context, t store.Table) ([]Kept, error) {
-	var out []Kept
+func List(ctx context.Context, t store.Table) ([]StoredHold, error) {
+	var out []StoredHold
 	after := ""
 	for {
 		rows, err := t.List(ctx, "", after, listPage)
@@ -50,15 +50,15 @@
 	}
 }
 
-func keptOf(r store.Row) Kept {
-	k := Kept{Content: r.Key}
+func keptOf(r store.Row) StoredHold {
+	k := StoredHold{Content: r.Key}
 	if err := json.Unmarshal(r.Value, &k.Row); err != nil {
-		return Kept{Content: r.Key, Fault: err.Error()}
+		return StoredHold{Content: r.Key, Fault: err.Error()}
 	}
 	return k
 }
 
-// Release removes the hold of a request, so that all gateways let it through. ErrNotHeld means that there is none.
+// Release removes the hold of a request, so that all gateways let it through. ErrNotQuarantined means that there is none.
 func Release(ctx context.Context, t store.Table, digest string) error {
 	d, err := fingerprint.Parse(digest)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	row, err := t.Get(ctx, d.String())
 	if errors.Is(err, store.ErrNotFound) {
-		return fmt.Errorf("%w: %s", ErrNotHeld, d)
+		return fmt.Errorf("%w: %s", ErrNotQuarantined, d)
 	}
 	if err != nil {
 		return err
--- a/holdback/kept_test.go
+++ b/holdback/kept_test.go
@@ -33,6 +33,6 @@
 		assert.DeepEqual(t, k.Servers, []string{"a", "b", "c"})
 	}
 	assert.NilError(t, Release(t.Context(), table, deadly.String()))
-	assert.ErrorIs(t, Release(t.Context(), table, deadly.String()), ErrNotHeld)
+	assert.ErrorIs(t, Release(t.Context(), table, deadly.String()), ErrNotQuarantined)
 	assert.ErrorContains(t, Release(t.Context(), table, "other"), "digest of a request")
 }
--- a/holdback/tell.go
+++ b/holdback/tell.go
@@ -18,8 +18,8 @@
 	toldHolds     = 50
 )
 
-// News is sent to when Recent has something new to tell.
-func (g *Guard) News() <-chan struct{} { return g.news }
+// Updates is sent to when Recent has something new to tell.
+func (g *Guard) Updates() <-chan struct{} { return g.news }
 
 // Recent is what began here within some time.
 func (g *Guard) Recent(within time.Duration) *peer.Suspects {
--- a/registry/incarnation.go
+++ b/registry/incarnation.go
@@ -43,9 +43,9 @@
 // unknownMark begins the start of an ID that was told by a tag that no known start has.
 const unknownMark = "~"
 
-// Tagged is the ID of the start that a tag names, if latest is the latest known start of the instance. Another
+// ResolveTag is the ID of the start that a tag names, if latest is the latest known start of the instance. Another
 // start, which has ended or is not known yet, has an ID of its own that no server has.
-func Tagged(instance string, tag uint32, latest int64) string {
+func ResolveTag(instance string, tag uint32, latest int64) string {
 	known := Incarnation{Instance: instance, Born: latest}
 	if tag == 0 || tag == known.Tag() {
 		return known.ID()
--- a/registry/incarnation_test.go
+++ b/registry/incarnation_test.go
@@ -31,14 +31,14 @@
 func TestTags(t *testing.T) {
 	const born = 1764720000123
 	start := registry.Incarnation{Instance: "i-1", Born: born}
-	assert.Equal(t, registry.Tagged("i-1", start.Tag(), born), start.ID())
-	assert.Equal(t, registry.Tagged("i-1", 0, born), start.ID(), "a process that tells no starts")
-	assert.Equal(t, registry.Tagged("i-1", 0, 0), "i-1")
+	assert.Equal(t, registry.ResolveTag("i-1", start.Tag(), born), start.ID())
+	assert.Equal(t, registry.ResolveTag("i-1", 0, born), start.ID(), "a process that tells no starts")
+	assert.Equal(t, registry.ResolveTag("i-1", 0, 0), "i-1")
 	for later := int64(1); later < 16_000; later++ {
 		next := registry.Incarnation{Instance: "i-1", Born: born + later}
 		assert.Assert(t, next.Tag() != start.Tag() && next.Tag() != 0 && next.Tag() < 1<<14, "%d", later)
 	}
-	other := registry.Tagged("i-1", start.Tag()+1, born)
+	other := registry.ResolveTag("i-1", start.Tag()+1, born)
 	assert.Assert(t, other != start.ID())
 	assert.Equal(t, registry.Server{ID: other}.Instance(), "i-1")
 }
@@ -58,10 +58,10 @@
 	assert.Equal(t, usable(r), "")
 	r.Apply(20, []registry.Server{started(2)}, at(10))
 	assert.Equal(t, usable(r), "a@2", "what the earlier start said does not hold for it")
-	ended := r.TakeEnded()
+	ended := r.TakeTerminated()
 	assert.Equal(t, len(ended), 1)
 	assert.Equal(t, ended[0].ID, "a@1")
-	assert.Equal(t, len(r.TakeEnded()), 0, "once")
+	assert.Equal(t, len(r.TakeTerminated()), 0, "once")
 	r.Apply(30, []registry.Server{started(1)}, at(10.1))
 	assert.Equal(t, usable(r), "a@2", "an entry of the earlier one that comes late changes nothing")
 	r.Apply(40, []registry.Server{started(2)}, at(11))
@@ -121,7 +121,7 @@
 			return 0
 		}, []registry.Fault{fault}},
 	} {
-		got := registry.Reading{Servers: c.list}.RequireStarts(c.latest)
+		got := registry.Snapshot{Servers: c.list}.RequireStartTimes(c.latest)
 		assert.DeepEqual(t, got.Faults, c.faults)
 		assert.Equal(t, len(got.Servers), len(c.list)-len(c.faults), c.what)
 		assert.Equal(t, len(got.List()), len(c.list), c.what)
@@ -234,14 +234,14 @@
 func (w *starts) check(t *testing.T, path []string) {
 	for i, p := range w.processes {
 		at := fmt.Sprintf("process %d after %s", i, strings.Join(path, ", "))
-		assert.Assert(t, p.Latest("a") >= p.latest, "fell back: %s", at)
+		assert.Assert(t, p.LatestStart("a") >= p.latest, "fell back: %s", at)
 		for _, s := range p.Usable("svc") {
-			assert.Assert(t, s.Born == 0 || s.Born == p.Latest("a"), "%s is used: %s", s.ID, at)
+			assert.Assert(t, s.Born == 0 || s.Born == p.LatestStart("a"), "%s is used: %s", s.ID, at)
 			assert.Assert(t, !p.left[s.Born] || s.Born == 0, "%s has left: %s", s.ID, at)
 			assert.Assert(t, !p.ended[s.ID], "%s has ended: %s", s.ID, at)
 		}
-		for _, s := range p.TakeEnded() {
-			assert.Assert(t, s.Born < p.Latest("a"), "%s has not ended: %s", s.ID, at)
+		for _, s := range p.TakeTerminated() {
+			assert.Assert(t, s.Born < p.LatestStart("a"), "%s has not ended: %s", s.ID, at)
 			assert.Assert(t, !p.ended[s.ID], "%s ended twice: %s", s.ID, at)
 			p.ended[s.ID] = true
 		}
--- a/registry/reading.go
+++ b/registry/reading.go
@@ -35,17 +35,17 @@
 	Field, Found string
 }
 
-// Reading is the platform's list as it was read at one moment.
-type Reading struct {
+// Snapshot is the platform's list as it was read at one moment.
+type Snapshot struct {
 	Servers []Server
 	// Faults are the entries that can't be used.
 	Faults []Fault
 }
 
-// RequireStarts makes a fault of each entry that lacks its start, where the platform tells starts: if
+// RequireStartTimes makes a fault of each entry that lacks its start, where the platform tells starts: if
 // the instance, by latest, or most of the others have one. On a platform that tells none, an
 // instance counts as one start.
-func (r Reading) RequireStarts(latest func(instance string) int64) Reading {
+func (r Snapshot) RequireStartTimes(latest func(instance string) int64) Snapshot {
 	told := 0
 	for _, s := range r.Servers {
 		if s.Born != 0 {
@@ -53,7 +53,7 @@
 		}
 	}
 	most := told > len(r.Servers)/2
-	out := Reading{Faults: slices.Clone(r.Faults)}
+	out := Snapshot{Faults: slices.Clone(r.Faults)}
 	for _, s := range r.Servers {
 		if s.Born == 0 && (most || latest(s.Instance()) != 0) {
 			out.Faults = append(out.Faults, Fault{Instance: s.Instance(), Reason: FaultMissing, Field: FieldBorn})
@@ -65,7 +65,7 @@
 }
 
 // List is the reading as a snapshot for a Registry.
-func (r Reading) List() []Server {
+func (r Snapshot) List() []Server {
 	out := slices.Clone(r.Servers)
 	for _, f := range r.Faults {
 		out = append(out, Server{ID: f.Instance, Unusable: true})
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -85,7 +85,7 @@
 	gone map[string]struct{}
 	// latest is the latest known start of each instance that says when it started.
 	latest map[string]int64
-	// ended are incarnations that were followed by a later one since TakeEnded.
+	// ended are incarnations that were followed by a later one since TakeTerminated.
 	ended []Server
 	// lastRead is when a snapshot was last taken, and recovered when reading worked
 	// again after an outage.
@@ -175,16 +175,16 @@
 	}
 }
 
-// TakeEnded returns the incarnations that were followed by a later one since the last call: what ran
+// TakeTerminated returns the incarnations that were followed by a later one since the last call: what ran
 // there has ended without an answer.
-func (r *Registry) TakeEnded() []Server {
+func (r *Registry) TakeTerminated() []Server {
 	ended := r.ended
 	r.ended = nil
 	return ended
 }
 
-// Latest is the latest known start of an instance; zero if none is known.
-func (r *Registry) Latest(instance string) int64 { return r.latest[instance] }
+// LatestStart is the latest known start of an instance; zero if none is known.
+func (r *Registry) LatestStart(instance string) int64 { return r.latest[instance] }
 
 // Touch notes that another process has read the store at now and found the list
 // unchanged.
--- a/route/route.go
+++ b/route/route.go
@@ -135,14 +135,14 @@
 	names  map[string]struct{}
 }
 
-// Reading is a table as it was read from the platform's store.
-type Reading struct {
+// StoredTable is a table as it was read from the platform's store.
+type StoredTable struct {
 	// Table is nil if nothing has changed.
 	Table *Table
 	// Encoded is the table for other gateways; it holds no keys.
 	Encoded []byte
-	// Version is that of the store, Row that of the row in which the table lies.
-	Version, Row int64
+	// Version is that of the store, RowVersion that of the row in which the table lies.
+	Version, RowVersion int64
 }
 
 // hostRoutes are the routes of one host.
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -21,7 +21,7 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		p := upstream.New(upstream.Options{Connect: silent, Dial: bound})
+		p := upstream.New(upstream.Options{Connect: silent, DialTimeout: bound})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		before := time.Now()
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -23,30 +23,30 @@
 
 // Options tune a Pool. Zero fields take the defaults.
 type Options struct {
-	// Dial bounds a connection attempt.
-	Dial time.Duration
-	// Unacked is how long sent bytes may stay unacknowledged before the connection is
+	// DialTimeout bounds a connection attempt.
+	DialTimeout time.Duration
+	// UnackedTimeout is how long sent bytes may stay unacknowledged before the connection is
 	// given up: it finds hosts that are gone and connections that went silent.
-	Unacked time.Duration
-	// Idle is how long an unused connection is kept.
-	Idle time.Duration
-	// MaxIdle bounds the unused connections to one server.
-	MaxIdle int
+	UnackedTimeout time.Duration
+	// IdleTimeout is how long an unused connection is kept.
+	IdleTimeout time.Duration
+	// MaxIdlePerServer bounds the unused connections to one server.
+	MaxIdlePerServer int
 	// Connect opens a connection; TCP if it is nil.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Defaults of Options.
 const (
-	// DefaultDial is several round trips between zones plus the second within which
+	// DefaultDialTimeout is several round trips between zones plus the second within which
 	// a lost opening packet is sent again.
-	DefaultDial = 1200 * time.Millisecond
-	// DefaultUnacked is below the shortest timeout of a lookup.
-	DefaultUnacked = 1500 * time.Millisecond
-	// DefaultIdle bounds what is kept for a server that states no idle timeout; whether it
+	DefaultDialTimeout = 1200 * time.Millisecond
+	// DefaultUnackedTimeout is below the shortest timeout of a lookup.
+	DefaultUnackedTimeout = 1500 * time.Millisecond
+	// DefaultIdleTimeout bounds what is kept for a server that states no idle timeout; whether it
 	// has closed the connection is looked at before each use.
-	DefaultIdle    = 20 * time.Second
-	DefaultMaxIdle = 32
+	DefaultIdleTimeout      = 20 * time.Second
+	DefaultMaxIdlePerServer = 32
 )
 
 // Pool keeps connections to servers. It is safe for concurrent use.
@@ -65,17 +65,17 @@
 
 // New returns an empty pool.
 func New(o Options) *Pool {
-	if o.Dial == 0 {
-		o.Dial = DefaultDial
+	if o.DialTimeout == 0 {
+		o.DialTimeout = DefaultDialTimeout
 	}
-	if o.Unacked == 0 {
-		o.Unacked = DefaultUnacked
+	if o.UnackedTimeout == 0 {
+		o.UnackedTimeout = DefaultUnackedTimeout
 	}
-	if o.Idle == 0 {
-		o.Idle = DefaultIdle
+	if o.IdleTimeout == 0 {
+		o.IdleTimeout = DefaultIdleTimeout
 	}
-	if o.MaxIdle == 0 {
-		o.MaxIdle = DefaultMaxIdle
+	if o.MaxIdlePerServer == 0 {
+		o.MaxIdlePerServer = DefaultMaxIdlePerServer
 	}
 	p := &Pool{opts: o, idle: make(map[string][]*idleConn)}
 	if o.Connect == nil {
@@ -89,7 +89,7 @@
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
 	var opt error
 	err := raw.Control(func(fd uintptr) {
-		opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.opts.Unacked.Milliseconds()))
+		opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.opts.UnackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -111,12 +111,12 @@
 		if c == nil {
 			break
 		}
-		if now.Sub(c.since) < p.opts.Idle && c.sound(now) {
+		if now.Sub(c.since) < p.opts.IdleTimeout && c.sound(now) {
 			return c.conn, nil
 		}
 		_ = c.Close()
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.opts.Dial)
+	ctx, cancel := context.WithTimeout(ctx, p.opts.DialTimeout)
 	defer cancel()
 	c, err := p.opts.Connect(ctx, "tcp", addr)
 	if err != nil {
@@ -157,15 +157,15 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.addr]) >= p.opts.MaxIdle {
+	if len(p.idle[c.addr]) >= p.opts.MaxIdlePerServer {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.addr] = append(p.idle[c.addr], &idleConn{conn: c, since: now})
 }
 
-// Drop closes the unused connections to one server, which has ended or started again.
-func (p *Pool) Drop(addr string) {
+// CloseIdle closes the unused connections to one server, which has ended or started again.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
@@ -184,7 +184,7 @@
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if keep(addr) && now.Sub(c.since) < p.opts.Idle {
+			if keep(addr) && now.Sub(c.since) < p.opts.IdleTimeout {
 				kept = append(kept, c)
 				continue
 			}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -276,7 +276,7 @@
 
 func TestSweep(t *testing.T) {
 	addr, conns := serve(t, say(ok, ok))
-	p := upstream.New(upstream.Options{Idle: time.Hour})
+	p := upstream.New(upstream.Options{IdleTimeout: time.Hour})
 	_, err := do(t.Context(), p, addr, request())
 	assert.NilError(t, err)
 	p.Sweep(func(string) bool { return true })
