--- a/registry/incarnation.go
+++ b/registry/incarnation.go
@@ -5,57 +5,58 @@
 	"strings"
 )
 
-// Incarnation is one start of one server. A server may start again under the instance name that it
-// had; it then holds and knows nothing of before.
+// Incarnation is one run of a server process. A server may restart under the same instance name; it
+// then has no state from before.
 type Incarnation struct {
 	// Instance is the name under which the server registers itself.
 	Instance string
-	// Born is when it started, as it says itself, in Unix milliseconds; zero if it does not say so. It
-	// is compared with others of the same instance only, never with a clock of ours.
+	// Born is the start time that the server itself reports, in Unix milliseconds; zero if it reports none.
+	// It is compared only with start times of the same instance, never with a local clock.
 	Born int64
 }
 
-// bornMark separates instance and start in an ID. Names of instances don't contain it.
-const bornMark = "@"
+// startSeparator separates the instance from the start time in an ID. Instance names don't contain it.
+const startSeparator = "@"
 
-// ID names the incarnation. Whatever is learned, placed or told of a server is kept under it, so
-// that nothing of one start is credited to the next.
+// ID names the incarnation. All state, placements and reports of a server use it as their key, so
+// that nothing of one incarnation is attributed to the next.
 func (i Incarnation) ID() string {
 	if i.Born == 0 {
 		return i.Instance
 	}
-	return i.Instance + bornMark + strconv.FormatInt(i.Born, 10)
+	return i.Instance + startSeparator + strconv.FormatInt(i.Born, 10)
 }
 
-// tags is the number of tags, so that one takes two bytes on the wire.
-const tags = 1<<14 - 1
+// numTags is the number of distinct tags; a tag takes two bytes on the wire.
+const numTags = 1<<14 - 1
 
-// Tag tells starts of one instance apart in messages of which each byte counts: 3 % more bytes for a
-// placement, where a whole start takes 10 %. It is zero if the start is not known. Two starts of an
-// instance have the same tag only if they are a multiple of 16.383 s apart; what is told lapses long before.
+// Tag is a short form of the start time that distinguishes the incarnations of one instance in messages whose
+// size matters: it adds 3 % to a placement, where the full start time adds 10 %. It is zero if the start time is
+// unknown. Two incarnations of an instance have the same tag only if they started a multiple of 16.383 s apart;
+// reports expire long before that.
 func (i Incarnation) Tag() uint32 {
 	if i.Born == 0 {
 		return 0
 	}
-	return uint32(i.Born%tags) + 1
+	return uint32(i.Born%numTags) + 1
 }
 
-// unknownMark begins the start of an ID that was told by a tag that no known start has.
-const unknownMark = "~"
+// unknownStartPrefix precedes the tag in the ID of an incarnation whose start time is not known.
+const unknownStartPrefix = "~"
 
-// ResolveTag is the ID of the start that a tag names, if latest is the latest known start of the instance. Another
-// start, which has ended or is not known yet, has an ID of its own that no server has.
+// ResolveTag returns the ID of the incarnation that a tag names, given the latest known start time of the instance.
+// For any other incarnation, terminated or not known yet, it returns a distinct ID that no server has.
 func ResolveTag(instance string, tag uint32, latest int64) string {
 	known := Incarnation{Instance: instance, Born: latest}
 	if tag == 0 || tag == known.Tag() {
 		return known.ID()
 	}
-	return instance + bornMark + unknownMark + strconv.FormatUint(uint64(tag), 10)
+	return instance + startSeparator + unknownStartPrefix + strconv.FormatUint(uint64(tag), 10)
 }
 
-// ParseID is the incarnation that an ID names.
+// ParseID returns the incarnation that an ID names.
 func ParseID(id string) Incarnation {
-	instance, born, ok := strings.Cut(id, bornMark)
+	instance, born, ok := strings.Cut(id, startSeparator)
 	if !ok {
 		return Incarnation{Instance: id}
 	}
@@ -66,15 +67,15 @@
 	return Incarnation{Instance: instance, Born: at}
 }
 
-// maxInstance is the longest key of a row in the platform's store, in bytes.
-const maxInstance = 200
+// maxInstanceLen is the maximum length of a row key in the platform's store, in bytes.
+const maxInstanceLen = 200
 
-// ValidInstance reports whether name can be an instance: it goes into headers, logs and IDs.
+// ValidInstance reports whether name is a valid instance name: it is used in headers, logs and IDs.
 func ValidInstance(name string) bool {
-	if name == "" || len(name) > maxInstance {
+	if name == "" || len(name) > maxInstanceLen {
 		return false
 	}
 	return strings.IndexFunc(name, func(c rune) bool {
-		return c <= ' ' || c > '~' || strings.ContainsRune(bornMark+`"/,;:\`, c)
+		return c <= ' ' || c > '~' || strings.ContainsRune(startSeparator+`"/,;:\`, c)
 	}) < 0
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,11 +1,11 @@
-// Package registry keeps what a process believes about the servers of all services.
+// Package registry holds a process's local view of the backend servers of all services.
 //
-// It is a pure state machine: snapshots of the platform's list and observations of
-// requests go in with the time, and a view comes out. A server is known by its
-// incarnation, never by its address, since addresses are used again. What is known of
-// a leaving server is never forgotten while the process lives: a list that is
-// older than that knowledge can't bring the server back. A later start of an instance
-// ends the earlier ones at once, and nothing brings those back either.
+// It is a pure state machine: its inputs are snapshots of the platform's server list,
+// observations made by requests, and the time. A server is identified by its
+// incarnation, never by its address, since addresses are reused. That a server is
+// leaving is remembered for the lifetime of the process, so that an older list
+// can't make the server usable again. A later incarnation of an instance supersedes
+// the earlier ones at once and permanently.
 package registry
 
 import (
@@ -20,9 +20,9 @@
 type Stage uint8
 
 const (
-	// Whole servers run requests from beginning to end: plain services.
+	// Whole servers process a request completely: those of plain services.
 	Whole Stage = iota
-	// Prefill engines read prompts and export the KV cache.
+	// Prefill engines prefill prompts and export the KV cache.
 	Prefill
 	// Decode engines generate tokens.
 	Decode
@@ -40,98 +40,98 @@
 	}
 }
 
-// Server is one entry of the platform's list.
+// Server is one entry of the platform's server list.
 type Server struct {
-	// ID is that of the incarnation: one start of one server.
+	// ID is Incarnation.ID.
 	ID string
-	// Born is that of the incarnation.
+	// Born is Incarnation.Born.
 	Born    int64
 	Service string
 	// Addr is "ip:port".
 	Addr, Zone string
 	Slots      int
 	Stage      Stage
-	// Leaving is set once the server has said that it stops.
+	// Leaving is set once the server has announced that it shuts down.
 	Leaving bool
-	// Unusable is set while the server's entry can't be trusted. It gets no new work; what runs
-	// there goes on.
+	// Unusable is set while the server's entry is invalid. The server gets no new requests; running
+	// ones continue.
 	Unusable bool
 }
 
 // Instance is the name under which the server registers itself.
 func (s Server) Instance() string {
-	instance, _, _ := strings.Cut(s.ID, bornMark)
+	instance, _, _ := strings.Cut(s.ID, startSeparator)
 	return instance
 }
 
-// Valid reports whether s can be a server, whoever told of it.
+// Valid reports whether s is a well-formed server entry, whatever its source.
 func (s Server) Valid() bool {
 	_, err := netip.ParseAddrPort(s.Addr)
 	return ValidInstance(s.Instance()) && err == nil && s.Service != "" && s.Stage <= Decode && s.Slots >= 0 && s.Born >= 0
 }
 
-// Grace is how long a server that is missing from the list counts as known after the
-// list became readable again. Entries that lapsed during an outage are back within
-// about two seconds; one that is missing after that is gone.
+// Grace is how long after an outage of the list a server that is missing from it stays
+// usable. Entries that expired during an outage are renewed within about two seconds; a
+// server that is still missing then is removed.
 const Grace = 2 * time.Second
 
-// Registry is the state. It is not safe for concurrent use.
+// Registry is the local view of all servers. It is not safe for concurrent use.
 type Registry struct {
-	// version of the newest snapshot.
+	// version is that of the newest snapshot applied.
 	version int64
 	servers map[string]*entry
-	// gone holds incarnations that have said that they leave, so that no later
-	// snapshot brings them back as ready.
-	gone map[string]struct{}
-	// latest is the latest known start of each instance that says when it started.
+	// leaving holds the incarnations that have announced a shutdown, so that no later
+	// snapshot makes them usable again.
+	leaving map[string]struct{}
+	// latest is the latest known start time of each instance that reports one.
 	latest map[string]int64
-	// ended are incarnations that were followed by a later one since TakeTerminated.
-	ended []Server
-	// lastRead is when a snapshot was last taken, and recovered when reading worked
-	// again after an outage.
-	lastRead, recovered time.Time
+	// terminated holds the incarnations superseded since the last TakeTerminated.
+	terminated []Server
+	// lastRead is when the list was last read successfully, and recoveredAt when that
+	// first succeeded after the last outage.
+	lastRead, recoveredAt time.Time
 }
 
 type entry struct {
 	Server
-	// missing is since when snapshots lack the server; zero while it is listed.
-	missing time.Time
+	// missingSince is when snapshots began to lack the server; zero while it is listed.
+	missingSince time.Time
 }
 
 // New returns an empty registry.
 func New() *Registry {
-	return &Registry{servers: map[string]*entry{}, gone: map[string]struct{}{}, latest: map[string]int64{}}
+	return &Registry{servers: map[string]*entry{}, leaving: map[string]struct{}{}, latest: map[string]int64{}}
 }
 
-// outageGap is the time without a snapshot from which entries may have lapsed
-// because their servers could not renew them: heartbeats come every 1.2 s and lapse
-// after three of them.
+// outageGap is the time without a snapshot that counts as an outage, in which entries may
+// have expired because servers could not renew them: heartbeats are sent every 1.2 s, and
+// an entry expires after three missed ones.
 const outageGap = 3 * time.Second
 
-// Version is that of the newest snapshot applied.
+// Version returns the version of the newest snapshot applied.
 func (r *Registry) Version() int64 { return r.version }
 
-// Apply takes a snapshot of the whole list, read from the store at version. One that is
-// older than the newest applied is ignored, and Apply returns false.
+// Apply applies a snapshot of the complete list, read from the store at version. It ignores
+// a snapshot older than the newest one applied and returns false.
 func (r *Registry) Apply(version int64, list []Server, now time.Time) bool {
 	if version < r.version {
 		return false
 	}
 	if !r.lastRead.IsZero() && now.Sub(r.lastRead) > outageGap {
-		r.recovered = now
+		r.recoveredAt = now
 	}
 	r.version, r.lastRead = version, now
 	seen := make(map[string]struct{}, len(list))
 	for _, s := range list {
-		r.noteStart(s)
+		r.recordStart(s)
 	}
 	for _, s := range list {
 		if latest := r.latest[s.Instance()]; s.Born == 0 && latest > 0 && !s.Unusable {
-			// Told by a process that does not tell starts: it means the one that is listed.
+			// From a process that does not report start times: the latest incarnation is meant.
 			s.ID, s.Born = Incarnation{Instance: s.Instance(), Born: latest}.ID(), latest
 		}
 		if s.Born < r.latest[s.Instance()] {
-			r.distrust(s, seen)
+			r.handleOutdated(s, seen)
 			continue
 		}
 		seen[s.ID] = struct{}{}
@@ -139,15 +139,15 @@
 	}
 	for id, e := range r.servers {
 		if _, ok := seen[id]; !ok {
-			r.lapse(id, e, now)
+			r.handleMissing(id, e, now)
 		}
 	}
 	return true
 }
 
-// noteStart notes a start that is later than those known of its instance. The earlier ones have
-// ended.
-func (r *Registry) noteStart(s Server) {
+// recordStart records the start time of s if it is the latest of its instance, and removes the earlier
+// incarnations as terminated.
+func (r *Registry) recordStart(s Server) {
 	instance := s.Instance()
 	if s.Born <= r.latest[instance] {
 		return
@@ -156,14 +156,14 @@
 	for id, e := range r.servers {
 		if e.Born < s.Born && e.Instance() == instance {
 			delete(r.servers, id)
-			r.ended = append(r.ended, e.Server)
+			r.terminated = append(r.terminated, e.Server)
 		}
 	}
 }
 
-// distrust handles an entry of an instance that is not of its latest known start. An entry that can't
-// be read keeps the latest start listed, without new work; an earlier start changes nothing.
-func (r *Registry) distrust(s Server, seen map[string]struct{}) {
+// handleOutdated handles an entry that is not of the latest known incarnation of its instance. The latest one
+// stays listed: without new requests if the entry is invalid, unchanged if it is of an earlier incarnation.
+func (r *Registry) handleOutdated(s Server, seen map[string]struct{}) {
 	id := Incarnation{Instance: s.Instance(), Born: r.latest[s.Instance()]}.ID()
 	e, ok := r.servers[id]
 	if !ok {
@@ -171,27 +171,27 @@
 	}
 	seen[id] = struct{}{}
 	if s.Unusable {
-		e.Unusable, e.missing = true, time.Time{}
+		e.Unusable, e.missingSince = true, time.Time{}
 	}
 }
 
-// TakeTerminated returns the incarnations that were followed by a later one since the last call: what ran
-// there has ended without an answer.
+// TakeTerminated returns the incarnations superseded by a later one since the last call: the requests that
+// ran there were lost without a response.
 func (r *Registry) TakeTerminated() []Server {
-	ended := r.ended
-	r.ended = nil
-	return ended
+	terminated := r.terminated
+	r.terminated = nil
+	return terminated
 }
 
-// LatestStart is the latest known start of an instance; zero if none is known.
+// LatestStart returns the latest known start time of an instance; zero if none is known.
 func (r *Registry) LatestStart(instance string) int64 { return r.latest[instance] }
 
-// Touch notes that another process has read the store at now and found the list
+// Touch records that another process has read the store at now and found the list
 // unchanged.
 func (r *Registry) Touch(now time.Time) { r.lastRead = now }
 
 func (r *Registry) update(s Server) {
-	if _, gone := r.gone[s.ID]; gone {
+	if _, marked := r.leaving[s.ID]; marked {
 		s.Leaving = true
 	}
 	e, ok := r.servers[s.ID]
@@ -203,34 +203,34 @@
 		r.servers[s.ID] = e
 	}
 	if s.Unusable && ok {
-		// What the last entry that could be read said still holds of what runs there.
+		// The last valid entry still describes the server for the requests that run there.
 		leaving := s.Leaving
 		s = e.Server
 		s.Unusable, s.Leaving = true, s.Leaving || leaving
 	}
 	s.Leaving = s.Leaving || e.Leaving
 	if s.Leaving {
-		r.gone[s.ID] = struct{}{}
+		r.leaving[s.ID] = struct{}{}
 	}
-	e.Server, e.missing = s, time.Time{}
+	e.Server, e.missingSince = s, time.Time{}
 }
 
-// lapse handles a server that the list lacks. Outside the grace after an outage it is
-// gone at once.
-func (r *Registry) lapse(id string, e *entry, now time.Time) {
-	if e.missing.IsZero() {
-		e.missing = now
+// handleMissing handles a server that the list lacks: except within Grace after an outage, it is
+// removed at once.
+func (r *Registry) handleMissing(id string, e *entry, now time.Time) {
+	if e.missingSince.IsZero() {
+		e.missingSince = now
 	}
-	if !r.recovered.IsZero() && now.Sub(r.recovered) < Grace && !e.Leaving {
+	if !r.recoveredAt.IsZero() && now.Sub(r.recoveredAt) < Grace && !e.Leaving {
 		return
 	}
 	delete(r.servers, id)
 }
 
-// MarkLeaving notes that a server stops, for instance because it answered so. It returns false if that was known, or if
-// the server is not listed: then it is remembered for when it is.
+// MarkLeaving records that a server shuts down, for instance because a response said so. It returns false if that was
+// known, or if the server is not listed; the record then applies once the server is listed.
 func (r *Registry) MarkLeaving(id string) bool {
-	r.gone[id] = struct{}{}
+	r.leaving[id] = struct{}{}
 	e, ok := r.servers[id]
 	if !ok || e.Leaving {
 		return false
@@ -239,19 +239,19 @@
 	return true
 }
 
-// Leaving reports whether a server has said that it stops, whether it is listed or not.
+// Leaving reports whether a server is known to shut down, whether it is listed or not.
 func (r *Registry) Leaving(id string) bool {
-	_, gone := r.gone[id]
-	return gone
+	_, leaving := r.leaving[id]
+	return leaving
 }
 
-// Usable returns the servers of a service that may get new work, ordered by ID. Of two at one
-// address, the one that started later is there.
+// Usable returns the servers of a service that may get new requests, ordered by ID. Of several at one
+// address, it returns the one with the latest start time, since that one now has the address.
 func (r *Registry) Usable(service string) []Server {
-	at := r.startedAt()
+	latest := r.latestStartByAddr()
 	var out []Server
 	for _, e := range r.servers {
-		if e.Service == service && e.usable() && e.Born >= at[e.Addr] {
+		if e.Service == service && e.usable() && e.Born >= latest[e.Addr] {
 			out = append(out, e.Server)
 		}
 	}
@@ -259,20 +259,20 @@
 	return out
 }
 
-// startedAt is the latest start at each address, of servers that may get work.
-func (r *Registry) startedAt() map[string]int64 {
-	at := make(map[string]int64, len(r.servers))
+// latestStartByAddr returns the latest start time at each address, of servers that may get new requests.
+func (r *Registry) latestStartByAddr() map[string]int64 {
+	latest := make(map[string]int64, len(r.servers))
 	for _, e := range r.servers {
 		if e.usable() {
-			at[e.Addr] = max(at[e.Addr], e.Born)
+			latest[e.Addr] = max(latest[e.Addr], e.Born)
 		}
 	}
-	return at
+	return latest
 }
 
 func (e *entry) usable() bool { return !e.Leaving && !e.Unusable }
 
-// Get returns the server of an ID.
+// Get returns the server with an ID.
 func (r *Registry) Get(id string) (Server, bool) {
 	e, ok := r.servers[id]
 	if !ok {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -31,7 +31,7 @@
 	return ids
 }
 
-// snapshot is one reading of the list.
+// snapshot is one read of the server list, and the usable servers expected after it.
 type snapshot struct {
 	at      float64
 	version int64
@@ -45,7 +45,7 @@
 		name  string
 		steps []snapshot
 	}{
-		{"comes and goes", []snapshot{
+		{"server appears and disappears", []snapshot{
 			{0, 1, []registry.Server{a, b}, "ab"},
 			{1, 2, []registry.Server{b}, "b"},
 			{2, 3, []registry.Server{a, b}, "ab"},
@@ -54,25 +54,25 @@
 			{0, 5, []registry.Server{a, b}, "ab"},
 			{1, 4, []registry.Server{c}, "ab"},
 		}},
-		{"leaving gets no work and never comes back", []snapshot{
+		{"leaving server gets no requests and never becomes usable again", []snapshot{
 			{0, 1, []registry.Server{a, b}, "ab"},
 			{1, 2, []registry.Server{leaving("a"), b}, "b"},
 			{2, 3, []registry.Server{a, b}, "b"},
 			{3, 4, []registry.Server{b}, "b"},
 			{4, 5, []registry.Server{a, b}, "b"},
 		}},
-		{"an address used again is another server", []snapshot{
+		{"a reused address is another server", []snapshot{
 			{0, 1, []registry.Server{leaving("a")}, ""},
 			{1, 2, []registry.Server{b}, "b"},
 		}},
-		{"entries that lapsed in an outage count for two seconds more", []snapshot{
+		{"entries that expired in an outage stay for two seconds", []snapshot{
 			{0, 1, []registry.Server{a, b}, "ab"},
 			{10, 2, []registry.Server{b}, "ab"},
 			{11, 3, []registry.Server{b}, "ab"},
 			{12.1, 4, []registry.Server{b}, "b"},
 			{13, 5, []registry.Server{a, b}, "ab"},
 		}},
-		{"the grace is not for servers that were leaving", []snapshot{
+		{"no grace for servers that were leaving", []snapshot{
 			{0, 1, []registry.Server{leaving("a"), b}, "b"},
 			{10, 2, []registry.Server{b}, "b"},
 		}},
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestTouchStandsForReading(t *testing.T) {
+func TestTouchCountsAsRead(t *testing.T) {
 	r := registry.New()
 	r.Apply(1, []registry.Server{server("a"), server("b")}, at(0))
 	for s := 1.0; s < 10; s++ {
@@ -105,5 +105,5 @@
 	assert.Assert(t, !r.MarkLeaving("unknown"))
 	assert.Equal(t, usable(r), "")
 	r.Apply(2, []registry.Server{server("a")}, at(1))
-	assert.Equal(t, usable(r), "", "a later snapshot does not bring it back")
+	assert.Equal(t, usable(r), "", "a later snapshot does not make it usable again")
 }
