--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -22,8 +22,8 @@
 
 // Sources of holds in the log, beside the names of gateways.
 const (
-	fromHere  = "here"
-	fromStore = "store"
+	sourceLocal = "here"
+	sourceStore = "store"
 )
 
 // Guard is what one process knows of requests under which servers ended. It is safe for concurrent use.
@@ -32,23 +32,23 @@
 	met *metrics.Set
 	// off is set when nothing is to be held back.
 	off bool
-	// news is sent to when Recent has something new to tell, unkept when a hold is to be kept or dropped.
-	news, unkept chan struct{}
+	// updates is sent to when Recent has something new to tell, persistDue when a hold is to be kept or dropped.
+	updates, persistDue chan struct{}
 
 	mu     sync.Mutex
 	ledger *quarantine.Ledger
-	// sightings, releases and holds are what began here a moment ago, to be told.
-	sightings []sighting
-	releases  map[fingerprint.Digest]time.Time
-	holds     map[fingerprint.Digest]time.Time
-	// deciding is set while a timer will look for decisions.
-	deciding bool
-	// kept are the holds in the store, and those that are to be removed from there.
-	kept map[fingerprint.Digest]keptHold
-	drop map[fingerprint.Digest]time.Time
+	// observations, releases and holds are what began here a moment ago, to be told.
+	observations []observation
+	releases     map[fingerprint.Digest]time.Time
+	localHolds   map[fingerprint.Digest]time.Time
+	// decisionScheduled is set while a timer will look for decisions.
+	decisionScheduled bool
+	// stored are the holds in the store, and those that are to be removed from there.
+	stored   map[fingerprint.Digest]storeState
+	removals map[fingerprint.Digest]time.Time
 }
 
-type sighting struct {
+type observation struct {
 	quarantine.Sighting
 	at time.Time
 }
@@ -56,15 +56,15 @@
 // New returns a Guard; with off it holds nothing back.
 func New(l *log.Logger, m *metrics.Set, off bool) *Guard {
 	g := &Guard{
-		log: l, met: m, off: off, news: make(chan struct{}, 1), unkept: make(chan struct{}, 1), ledger: quarantine.New(),
-		releases: map[fingerprint.Digest]time.Time{}, holds: map[fingerprint.Digest]time.Time{},
-		kept: map[fingerprint.Digest]keptHold{}, drop: map[fingerprint.Digest]time.Time{},
+		log: l, met: m, off: off, updates: make(chan struct{}, 1), persistDue: make(chan struct{}, 1), ledger: quarantine.New(),
+		releases: map[fingerprint.Digest]time.Time{}, localHolds: map[fingerprint.Digest]time.Time{},
+		stored: map[fingerprint.Digest]storeState{}, removals: map[fingerprint.Digest]time.Time{},
 	}
-	m.GaugeFunc(metrics.RequestsHeld, g.count)
+	m.GaugeFunc(metrics.RequestsHeld, g.numHolds)
 	return g
 }
 
-func (g *Guard) count() int64 {
+func (g *Guard) numHolds() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return int64(len(g.ledger.Holds(time.Now())))
@@ -95,10 +95,10 @@
 	for _, b := range broken {
 		s := quarantine.Sighting{Content: b.Content, Server: server, Generated: b.Generated}
 		if g.ledger.Sight(s, now) {
-			g.sightings = append(g.sightings, sighting{s, now})
+			g.observations = append(g.observations, observation{s, now})
 		}
 	}
-	wake(g.news)
+	notify(g.updates)
 	g.decide()
 }
 
@@ -112,11 +112,11 @@
 		return
 	}
 	g.releases[d] = now
-	wake(g.news)
+	notify(g.updates)
 	if held {
-		g.released(d, fromHere)
-		g.drop[d] = now
-		wake(g.unkept)
+		g.logRelease(d, sourceLocal)
+		g.removals[d] = now
+		notify(g.persistDue)
 	}
 }
 
@@ -126,55 +126,55 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.ledger.Expire(now)
-	g.forgetTold(now, toldFor)
-	maps.DeleteFunc(g.drop, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
+	g.expireUpdates(now, updateTTL)
+	maps.DeleteFunc(g.removals, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
 }
 
-// toldFor is how long what began here is kept to be told, whatever the pace of reports.
-const toldFor = time.Minute
+// updateTTL is how long what began here is kept to be told, whatever the pace of reports.
+const updateTTL = time.Minute
 
 // decide begins the holds that are due. The caller holds mu.
 func (g *Guard) decide() {
 	begun, again := g.ledger.Decide(time.Now())
 	for _, h := range begun {
 		g.met.Counter(metrics.Holds).Inc(1)
-		g.holds[h.Content] = h.Begun()
-		delete(g.drop, h.Content)
-		g.noteHeld(h, fromHere)
+		g.localHolds[h.Content] = h.Begun()
+		delete(g.removals, h.Content)
+		g.logHold(h, sourceLocal)
 	}
 	if len(begun) > 0 {
-		wake(g.news)
+		notify(g.updates)
 	}
-	if again.IsZero() || g.deciding {
+	if again.IsZero() || g.decisionScheduled {
 		return
 	}
-	g.deciding = true
+	g.decisionScheduled = true
 	time.AfterFunc(time.Until(again), func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.deciding = false
+		g.decisionScheduled = false
 		g.decide()
 	})
 }
 
-// noteHeld logs a hold that has become known here. The caller holds mu.
-func (g *Guard) noteHeld(h quarantine.Hold, from string) {
+// logHold logs a hold that has become known here. The caller holds mu.
+func (g *Guard) logHold(h quarantine.Hold, from string) {
 	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.Ends(h.Content)).
 		Dur("left", time.Until(h.Until)).Dur("for", h.For).Str("from", from).Msg("")
-	wake(g.unkept)
+	notify(g.persistDue)
 }
 
-func (g *Guard) released(d fingerprint.Digest, from string) {
+func (g *Guard) logRelease(d fingerprint.Digest, from string) {
 	event.RequestReleased.Log(g.log).Str("content", d.String()).Str("from", from).Msg("")
 }
 
-// sawEnd reports whether a request of this process was in progress at one of the ends. The caller holds mu.
-func (g *Guard) sawEnd(d fingerprint.Digest) bool {
-	return slices.ContainsFunc(g.sightings, func(s sighting) bool { return s.Content == d })
+// observedLocally reports whether a request of this process was in progress at one of the ends. The caller holds mu.
+func (g *Guard) observedLocally(d fingerprint.Digest) bool {
+	return slices.ContainsFunc(g.observations, func(s observation) bool { return s.Content == d })
 }
 
-// wake sends to a channel with room for one unless it is full.
-func wake(c chan struct{}) {
+// notify sends to a channel with room for one unless it is full.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	deadly   = fingerprint.Of(fingerprint.Request{Target: "/deadly"})
+	crashing = fingerprint.Of(fingerprint.Request{Target: "/deadly"})
 	harmless = fingerprint.Of(fingerprint.Request{Target: "/harmless"})
 )
 
@@ -29,8 +29,8 @@
 	return New(&log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.NewSet(), off)
 }
 
-// tell hands what each guard has to tell to all others.
-func tell(list ...*Guard) {
+// exchangeReports hands what each guard has to exchangeReports to all others.
+func exchangeReports(list ...*Guard) {
 	for _, from := range list {
 		for _, to := range list {
 			if from != to {
@@ -40,80 +40,80 @@
 	}
 }
 
-func held(g *Guard, d fingerprint.Digest) bool {
+func quarantined(g *Guard, d fingerprint.Digest) bool {
 	_, ok := g.Held(d)
 	return ok
 }
 
-// TestSeenApart: each end of a server is seen by another gateway, with a request of somebody else beside it.
-func TestSeenApart(t *testing.T) {
+// TestTerminationsObservedByDifferentGateways: each end of a server is seen by another gateway, with a request of somebody else beside it.
+func TestTerminationsObservedByDifferentGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := []*Guard{newGuard(false), newGuard(false), newGuard(false)}
 		for i, g := range list {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}, {Content: harmless, Generated: 9}})
-			tell(list...)
+			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}, {Content: harmless, Generated: 9}})
+			exchangeReports(list...)
 			time.Sleep(time.Second)
 		}
 		for _, g := range list {
-			assert.Assert(t, held(g, deadly))
-			assert.Assert(t, !held(g, harmless))
+			assert.Assert(t, quarantined(g, crashing))
+			assert.Assert(t, !quarantined(g, harmless))
 		}
 		// One whose datagrams and reports were lost meanwhile hears of the hold later.
-		late := newGuard(false)
+		recovered := newGuard(false)
 		time.Sleep(2 * time.Minute)
-		late.Take(list[0].Report(time.Minute), "g1")
-		assert.Assert(t, held(late, deadly))
+		recovered.Take(list[0].Report(time.Minute), "g1")
+		assert.Assert(t, quarantined(recovered, crashing))
 		// A server answers it after all at one gateway.
-		late.Answered(deadly)
-		tell(append(list, late)...)
-		for _, g := range append(list, late) {
-			assert.Assert(t, !held(g, deadly))
+		recovered.Answered(crashing)
+		exchangeReports(append(list, recovered)...)
+		for _, g := range append(list, recovered) {
+			assert.Assert(t, !quarantined(g, crashing))
 		}
 	})
 }
 
-// TestSwitchedOff: nothing is held, whatever is seen or told.
-func TestSwitchedOff(t *testing.T) {
+// TestNothingIsQuarantinedWhenOff: nothing is held, whatever is seen or told.
+func TestNothingIsQuarantinedWhenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(true)
 		for i := range quarantine.MostEnds {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
 		}
-		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
+		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
 		time.Sleep(time.Second)
 		assert.Assert(t, !g.Watches())
 	})
 }
 
-// TestToldNonsense: messages that no gateway sends change nothing.
-func TestToldNonsense(t *testing.T) {
+// TestInvalidReportsAreIgnored: messages that no gateway sends change nothing.
+func TestInvalidReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
 		g.Take(nil, "g2")
 		g.Take(&peer.Suspects{
 			Sightings: []*peer.Sighting{{Content: []byte("short")}, {}},
 			Holds: []*peer.Hold{
-				{Content: deadly[:], LeftMs: 1000}, {Content: deadly[:], LeftMs: 2000, ForMs: 1000},
-				{Content: append(deadly[:], 1), LeftMs: 1000, ForMs: 1000},
+				{Content: crashing[:], LeftMs: 1000}, {Content: crashing[:], LeftMs: 2000, ForMs: 1000},
+				{Content: append(crashing[:], 1), LeftMs: 1000, ForMs: 1000},
 			},
 			Releases: []*peer.Release{{}},
 		}, "g2")
 		assert.Assert(t, !g.Watches())
-		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: deadly[:], LeftMs: 1 << 60, ForMs: 1 << 60}}}, "g2")
-		left, _ := g.Held(deadly)
+		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1 << 60, ForMs: 1 << 60}}}, "g2")
+		left, _ := g.Held(crashing)
 		assert.Assert(t, left <= quarantine.MaxHold)
 	})
 }
 
-// TestReportsAreSmall: many ends with many requests each still make a message that fits a datagram.
-func TestReportsAreSmall(t *testing.T) {
+// TestReportFitsADatagram: many ends with many requests each still make a message that fits a datagram.
+func TestReportFitsADatagram(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
 		for i := range 300 {
 			g.Ended(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
 		}
 		r := g.Report(time.Minute)
-		assert.Equal(t, len(r.GetSightings()), toldSightings)
+		assert.Equal(t, len(r.GetSightings()), maxObservationsPerReport)
 		time.Sleep(time.Minute)
 		assert.Equal(t, len(g.Report(time.Minute).GetSightings()), 0)
 	})
@@ -136,55 +136,55 @@
 	return nil, nil, 0, ctx.Err()
 }
 
-// read takes the whole table once.
-func read(t *testing.T, g *Guard, table Table) {
+// syncFrom takes the whole table once.
+func syncFrom(t *testing.T, g *Guard, table Table) {
 	t.Helper()
 	_, err := g.follow(t.Context(), table, 0, false)
 	assert.NilError(t, err)
 }
 
-// keep makes the changes of the table that are due once, and returns their number.
-func keep(t *testing.T, g *Guard, table store.Table, reads bool) int {
+// persist makes the changes of the table that are due once, and returns their number.
+func persist(t *testing.T, g *Guard, table store.Table, readsForAll bool) int {
 	t.Helper()
-	due := g.changes(time.Now(), reads)
+	due := g.pendingChanges(time.Now(), readsForAll)
 	for _, c := range due {
 		assert.NilError(t, table.Commit(t.Context(), c.Txn))
-		g.wrote(c)
+		g.committed(c)
 	}
 	return len(due)
 }
 
-// TestKept: the gateways that saw a server end keep the hold, the others leave it to them; a reader keeps it when they
+// TestHoldIsPersistedOnce: the gateways that saw a server end keep the hold, the others leave it to them; a reader keeps it when they
 // did not, and removes it long after its end.
-func TestKept(t *testing.T) {
+func TestHoldIsPersistedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
-		saw, reader, other := newGuard(false), newGuard(false), newGuard(false)
+		observer, storeReader, other := newGuard(false), newGuard(false), newGuard(false)
 		for i := range quarantine.MostEnds {
-			saw.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+			observer.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
 		}
 		time.Sleep(quarantine.Settle)
 		synctest.Wait()
-		tell(saw, reader, other)
-		assert.Equal(t, keep(t, other, table, false), 0)
-		assert.Equal(t, keep(t, reader, table, true), 0, "the one that saw it goes first")
-		time.Sleep(keepFor)
-		assert.Equal(t, keep(t, other, table, false), 0)
-		assert.Equal(t, keep(t, reader, table, true), 1)
-		assert.Equal(t, keep(t, reader, table, true), 0, "once")
-		read(t, saw, table)
-		assert.Equal(t, keep(t, saw, table, false), 0, "it is there")
+		exchangeReports(observer, storeReader, other)
+		assert.Equal(t, persist(t, other, table, false), 0)
+		assert.Equal(t, persist(t, storeReader, table, true), 0, "the one that saw it goes first")
+		time.Sleep(persistDelay)
+		assert.Equal(t, persist(t, other, table, false), 0)
+		assert.Equal(t, persist(t, storeReader, table, true), 1)
+		assert.Equal(t, persist(t, storeReader, table, true), 0, "once")
+		syncFrom(t, observer, table)
+		assert.Equal(t, persist(t, observer, table, false), 0, "it is there")
 
 		started := newGuard(false)
 		time.Sleep(time.Minute)
-		read(t, started, table)
-		left, ok := started.Held(deadly)
+		syncFrom(t, started, table)
+		left, ok := started.Held(crashing)
 		assert.Assert(t, ok)
-		assert.Equal(t, left, quarantine.FirstHold-time.Minute-keepFor)
+		assert.Equal(t, left, quarantine.FirstHold-time.Minute-persistDelay)
 
 		time.Sleep(2 * quarantine.FirstHold)
-		read(t, reader, table)
-		assert.Equal(t, keep(t, reader, table, true), 1, "removed")
+		syncFrom(t, storeReader, table)
+		assert.Equal(t, persist(t, storeReader, table, true), 1, "removed")
 		rows, _, err := table.All(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, len(rows), 0)
@@ -198,17 +198,17 @@
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		g := newGuard(false)
 		for i := range quarantine.MostEnds {
-			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: deadly}})
+			g.Ended(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
 		}
 		time.Sleep(quarantine.Settle)
 		synctest.Wait()
 		empty := &rowTable{Table: memory.New(memory.Options{}).Table()}
-		assert.Equal(t, keep(t, g, table, false), 1)
-		read(t, g, empty)
-		assert.Assert(t, held(g, deadly))
-		read(t, g, table)
-		read(t, g, empty)
-		assert.Assert(t, !held(g, deadly))
+		assert.Equal(t, persist(t, g, table, false), 1)
+		syncFrom(t, g, empty)
+		assert.Assert(t, quarantined(g, crashing))
+		syncFrom(t, g, table)
+		syncFrom(t, g, empty)
+		assert.Assert(t, !quarantined(g, crashing))
 		assert.Equal(t, len(g.Report(time.Minute).GetReleases()), 1, "and tells the others")
 	})
 }
@@ -222,7 +222,7 @@
 		row := func(seconds float64, version uint64) store.Row {
 			data, err := json.Marshal(Row{Begun: begun, ForSeconds: seconds})
 			assert.NilError(t, err)
-			return store.Row{Key: deadly.String(), Value: data, Version: version}
+			return store.Row{Key: crashing.String(), Value: data, Version: version}
 		}
 		table := &rowTable{Table: memory.New(memory.Options{}).Table(), rows: []store.Row{row(1200, 90)}, version: 90}
 		version, err := g.follow(t.Context(), table, 0, false)
@@ -231,19 +231,19 @@
 			version, err = g.follow(t.Context(), &rowTable{Table: memory.New(memory.Options{}).Table(), rows: stale, version: 60}, version, false)
 			assert.NilError(t, err)
 			assert.Equal(t, version, int64(90), "goes on from what is known")
-			left, ok := g.Held(deadly)
+			left, ok := g.Held(crashing)
 			assert.Assert(t, ok)
 			assert.Equal(t, left, 1200*time.Second)
 		}
 		_, err = g.follow(t.Context(), &rowTable{Table: memory.New(memory.Options{}).Table(), version: 91}, version, false)
 		assert.NilError(t, err)
-		assert.Assert(t, !held(g, deadly), "removed since")
+		assert.Assert(t, !quarantined(g, crashing), "removed since")
 	})
 }
 
-// TestRowsOfOthers: rows that are none are left out, the others hold; a time of day that is wrong makes no hold longer
+// TestInvalidRowsAreIgnored: rows that are none are left out, the others hold; a time of day that is wrong makes no hold longer
 // than it says.
-func TestRowsOfOthers(t *testing.T) {
+func TestInvalidRowsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		row := func(begun time.Time, seconds float64) []byte {
 			data, err := json.Marshal(Row{Begun: begun, ForSeconds: seconds})
@@ -257,11 +257,11 @@
 			{Key: harmless.String(), Value: []byte("{"), Version: 2},
 			{Key: fingerprint.Of(fingerprint.Request{Target: "long"}).String(), Value: row(now, 1e9), Version: 3},
 			{Key: fingerprint.Of(fingerprint.Request{Target: "negative"}).String(), Value: row(now, -1), Version: 4},
-			{Key: deadly.String(), Value: row(now.Add(time.Hour), 60), Version: 5},
+			{Key: crashing.String(), Value: row(now.Add(time.Hour), 60), Version: 5},
 		}}
-		read(t, g, table)
+		syncFrom(t, g, table)
 		assert.Equal(t, len(g.ledger.Holds(now)), 1)
-		left, _ := g.Held(deadly)
+		left, _ := g.Held(crashing)
 		assert.Equal(t, left, time.Minute)
 	})
 }
--- a/holdback/keep.go
+++ b/holdback/persist.go
@@ -26,14 +26,14 @@
 }
 
 const (
-	// feedWait is how long the store may wait for a change. Holds reach gateways from each other; the store is for
+	// changesTimeout is how long the store may wait for a change. Holds reach gateways from each other; the store is for
 	// those that hear none.
-	feedWait = 15 * time.Second
-	// keepRetry is the pause after a hold that could not be kept.
-	keepRetry = 500 * time.Millisecond
-	// keepFor is the time after which a hold that another gateway decided and has not kept is kept by a reader: time
+	changesTimeout = 15 * time.Second
+	// persistRetry is the pause after a hold that could not be kept.
+	persistRetry = 500 * time.Millisecond
+	// persistDelay is the time after which a hold that another gateway decided and has not kept is kept by a reader: time
 	// for the write and for the change to come round.
-	keepFor = 2 * time.Second
+	persistDelay = 2 * time.Second
 )
 
 // Row is how a hold is kept.
@@ -45,52 +45,52 @@
 	Servers []string `json:"servers"`
 }
 
-// keptHold is a hold in the store.
-type keptHold struct {
+// storeState is a hold in the store.
+type storeState struct {
 	// version is that of its row; zero until it was read.
 	version uint64
-	// whole is the whole time of the hold.
-	whole time.Duration
-	// forgotten is when its row may go.
-	forgotten time.Time
+	// duration is the duration time of the hold.
+	duration time.Duration
+	// removeAfter is when its row may go.
+	removeAfter time.Time
 }
 
 // hold is the hold of a row. It is kept by the time of day, since no other clock outlasts a process; times of day
 // of VMs differ by seconds, and a hold lasts no longer than it says whatever they are.
 func (r Row) hold(d fingerprint.Digest, now time.Time) (quarantine.Hold, error) {
-	whole := time.Duration(r.ForSeconds * float64(time.Second))
-	if whole <= 0 || whole > quarantine.MaxHold {
+	duration := time.Duration(r.ForSeconds * float64(time.Second))
+	if duration <= 0 || duration > quarantine.MaxHold {
 		return quarantine.Hold{}, errors.New("for_s is out of range")
 	}
-	left := min(r.Begun.Add(whole).Sub(now.Round(0)), whole)
-	return quarantine.Hold{Content: d, Until: now.Add(left), For: whole}, nil
+	left := min(r.Begun.Add(duration).Sub(now.Round(0)), duration)
+	return quarantine.Hold{Content: d, Until: now.Add(left), For: duration}, nil
 }
 
 // Follow takes the holds of the table until ctx ends. It calls pause after a call that failed, with the number of those
 // that failed in a row.
-func (g *Guard) Follow(ctx context.Context, t Table, note func(error), pause func(failures int)) {
-	version, known, failures := int64(0), false, 0
+func (g *Guard) Follow(ctx context.Context, t Table, report func(error), backOff func(failures int)) {
+	version, synced, failures := int64(0), false, 0
 	for ctx.Err() == nil {
-		next, err := g.follow(ctx, t, version, known)
+		next, err := g.follow(ctx, t, version, synced)
 		if ctx.Err() != nil {
 			return
 		}
-		note(err)
-		known = err == nil
+		report(err)
+		synced = err == nil
 		if err != nil {
 			failures++
-			pause(failures)
+			backOff(failures)
 			continue
 		}
 		version, failures = next, 0
 	}
 }
 
-func (g *Guard) follow(ctx context.Context, t Table, version int64, known bool) (int64, error) {
-	if known {
-		rows, removed, next, err := t.Changes(ctx, version, feedWait)
+func (g *Guard) follow(ctx context.Context, t Table, version int64, synced bool) (int64, error) {
+	if synced {
+		rows, removed, next, err := t.Changes(ctx, version, changesTimeout)
 		if err == nil {
-			g.takeRows(rows, removed)
+			g.applyRows(rows, removed)
 		}
 		return next, err
 	}
@@ -100,36 +100,36 @@
 	}
 	if next < version {
 		// A store that has lost its history may answer with what held seconds ago: a row that it lacks is not gone.
-		g.takeRows(rows, nil)
+		g.applyRows(rows, nil)
 		return version, nil
 	}
-	g.takeRows(rows, g.missing(rows))
+	g.applyRows(rows, g.missingKeys(rows))
 	return next, nil
 }
 
-// missing are the keys of holds that were in the table and are not among all its rows.
-func (g *Guard) missing(rows []store.Row) []string {
-	there := make(map[string]bool, len(rows))
+// missingKeys are the keys of holds that were in the table and are not among all its rows.
+func (g *Guard) missingKeys(rows []store.Row) []string {
+	present := make(map[string]bool, len(rows))
 	for _, r := range rows {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []string
-	for d, k := range g.kept {
-		if k.version > 0 && !there[d.String()] {
+	for d, k := range g.stored {
+		if k.version > 0 && !present[d.String()] {
 			out = append(out, d.String())
 		}
 	}
 	return out
 }
 
-func (g *Guard) takeRows(rows []store.Row, removed []string) {
+func (g *Guard) applyRows(rows []store.Row, removed []string) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range rows {
-		if err := g.takeRow(r, now); err != nil {
+		if err := g.applyRow(r, now); err != nil {
 			event.HoldInvalid.Log(g.log).Str("key", r.Key).Err(err).Msg("")
 		}
 	}
@@ -138,17 +138,17 @@
 		if err != nil {
 			continue // It was not taken either.
 		}
-		delete(g.kept, d)
-		delete(g.drop, d)
-		if g.takeRelease(d, now, fromStore) {
+		delete(g.stored, d)
+		delete(g.removals, d)
+		if g.applyRelease(d, now, sourceStore) {
 			g.releases[d] = now
-			wake(g.news)
+			notify(g.updates)
 		}
 	}
 }
 
-// takeRow takes one row. The caller holds mu.
-func (g *Guard) takeRow(r store.Row, now time.Time) error {
+// applyRow takes one row. The caller holds mu.
+func (g *Guard) applyRow(r store.Row, now time.Time) error {
 	d, err := fingerprint.Parse(r.Key)
 	if err != nil {
 		return err
@@ -161,12 +161,12 @@
 	if err != nil {
 		return err
 	}
-	if r.Version < g.kept[d].version {
+	if r.Version < g.stored[d].version {
 		return nil // What it was before.
 	}
-	g.kept[d] = keptHold{version: r.Version, whole: h.For, forgotten: h.Until.Add(h.For)}
+	g.stored[d] = storeState{version: r.Version, duration: h.For, removeAfter: h.Until.Add(h.For)}
 	if !g.off {
-		g.takeHold(h, fromStore)
+		g.applyHold(h, sourceStore)
 	}
 	return nil
 }
@@ -174,29 +174,29 @@
 // Persist writes holds to the table and removes those that have ended, until ctx ends. Reads reports whether this process
 // is one of the few that read the store for all: they keep what the gateway that decided did not. It calls note with
 // the result of each call, and pause after one that failed, with the number of those that failed in a row.
-func (g *Guard) Persist(ctx context.Context, t store.Table, reads func() bool, note func(error), pause func(failures int)) {
-	timer := time.NewTicker(keepRetry)
+func (g *Guard) Persist(ctx context.Context, t store.Table, readsForAll func() bool, report func(error), backOff func(failures int)) {
+	timer := time.NewTicker(persistRetry)
 	defer timer.Stop()
 	failures := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.unkept:
+		case <-g.persistDue:
 		case <-timer.C:
 		}
-		for _, c := range g.changes(time.Now(), reads()) {
+		for _, c := range g.pendingChanges(time.Now(), readsForAll()) {
 			err := g.commit(ctx, t, c)
 			if ctx.Err() != nil {
 				return
 			}
-			note(err)
+			report(err)
 			if err == nil {
 				failures = 0
 				continue
 			}
 			failures++
-			pause(failures)
+			backOff(failures)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		g.wrote(c)
+		g.committed(c)
 		return nil
 	case errors.As(err, &conflict):
 		return nil
@@ -224,23 +224,23 @@
 	hold    quarantine.Hold
 }
 
-// changes are the changes of the table that this process is to make.
-func (g *Guard) changes(now time.Time, reads bool) []change {
+// pendingChanges are the pendingChanges of the table that this process is to make.
+func (g *Guard) pendingChanges(now time.Time, readsForAll bool) []change {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []change
 	for _, h := range g.ledger.Holds(now) {
-		k := g.kept[h.Content]
-		mine := g.sawEnd(h.Content)
-		_, drops := g.drop[h.Content]
-		if k.whole >= h.For || drops || (!mine && (!reads || now.Sub(h.Begun()) < keepFor)) {
+		k := g.stored[h.Content]
+		observed := g.observedLocally(h.Content)
+		_, removing := g.removals[h.Content]
+		if k.duration >= h.For || removing || (!observed && (!readsForAll || now.Sub(h.Begun()) < persistDelay)) {
 			continue
 		}
-		out = append(out, g.write(h, k.version))
+		out = append(out, g.writeHold(h, k.version))
 	}
-	for d, k := range g.kept {
-		_, drops := g.drop[d]
-		if k.version > 0 && (drops || (reads && !k.forgotten.After(now))) {
+	for d, k := range g.stored {
+		_, drops := g.removals[d]
+		if k.version > 0 && (drops || (readsForAll && !k.removeAfter.After(now))) {
 			out = append(out, change{content: d, Txn: store.Txn{
 				Checks: []store.Check{{Key: d.String(), Version: k.version}},
 				Writes: []store.Write{{Key: d.String(), Delete: true}},
@@ -250,8 +250,8 @@
 	return out
 }
 
-// write is the change that keeps a hold. The caller holds mu.
-func (g *Guard) write(h quarantine.Hold, version uint64) change {
+// writeHold is the change that keeps a hold. The caller holds mu.
+func (g *Guard) writeHold(h quarantine.Hold, version uint64) change {
 	value, err := json.Marshal(Row{Begun: h.Begun().UTC(), ForSeconds: h.For.Seconds(), Servers: g.ledger.Ends(h.Content)})
 	if err != nil {
 		panic(err) // A Row can always be encoded.
@@ -262,16 +262,16 @@
 	}}
 }
 
-// wrote notes that a change was made; the version of the row comes with the next changes of the table.
-func (g *Guard) wrote(c change) {
+// committed notes that a change was made; the version of the row comes with the next changes of the table.
+func (g *Guard) committed(c change) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c.hold.For == 0 {
-		delete(g.kept, c.content)
-		delete(g.drop, c.content)
+		delete(g.stored, c.content)
+		delete(g.removals, c.content)
 		return
 	}
-	k := g.kept[c.content]
-	k.whole, k.forgotten = c.hold.For, c.hold.Until.Add(c.hold.For)
-	g.kept[c.content] = k
+	k := g.stored[c.content]
+	k.duration, k.removeAfter = c.hold.For, c.hold.Until.Add(c.hold.For)
+	g.stored[c.content] = k
 }
--- /dev/null
+++ b/holdback/report.go
@@ -0,0 +1,140 @@
+package holdback
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/hibiscusspur/hibiscusspur/fingerprint"
+	"github.com/hibiscusspur/hibiscusspur/peer"
+	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
+)
+
+// Bounds of what one message tells, the newest: 60 sightings of 55 bytes, 50 holds of 30 and as many releases, 6 kB, so
+// that it fits a datagram, and reports to dozens of gateways come through a link of 10 Mbit/s. What is left out is told by
+// the gateways that it began at, or is in the store.
+const (
+	maxObservationsPerReport = 60
+	maxHoldsPerReport        = 50
+)
+
+// Updates is sent to when Recent has something new to tell.
+func (g *Guard) Updates() <-chan struct{} { return g.updates }
+
+// Recent is what began here within some time.
+func (g *Guard) Recent(within time.Duration) *peer.Suspects {
+	now := time.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.encode(now, within, slices.DeleteFunc(g.ledger.Holds(now), func(h quarantine.Hold) bool {
+		at, ok := g.localHolds[h.Content]
+		return !ok || now.Sub(at) >= within
+	}))
+}
+
+// Report is what every gateway has to hear: what began here within some time, and all holds.
+func (g *Guard) Report(within time.Duration) *peer.Suspects {
+	now := time.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.ledger.Watches() && len(g.releases) == 0 {
+		return nil
+	}
+	return g.encode(now, within, g.ledger.Holds(now))
+}
+
+// expireUpdates drops what was told for long enough. The caller holds mu.
+func (g *Guard) expireUpdates(now time.Time, within time.Duration) {
+	g.observations = slices.DeleteFunc(g.observations, func(s observation) bool { return now.Sub(s.at) >= within })
+	expired := func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= within }
+	maps.DeleteFunc(g.releases, expired)
+	maps.DeleteFunc(g.localHolds, expired)
+}
+
+// encode encodes what began here within some time, and holds. The caller holds mu.
+func (g *Guard) encode(now time.Time, within time.Duration, holds []quarantine.Hold) *peer.Suspects {
+	out := &peer.Suspects{}
+	for _, s := range slices.Backward(g.observations) {
+		if now.Sub(s.at) >= within || len(out.Sightings) == maxObservationsPerReport {
+			break
+		}
+		out.Sightings = append(out.Sightings, &peer.Sighting{
+			Content: s.Content[:], Server: s.Server, Generated: uint32(s.Generated), AgeMs: ageMillis(s.at, now),
+		})
+	}
+	for _, h := range holds[:min(len(holds), maxHoldsPerReport)] {
+		left := h.Until.Sub(now)
+		out.Holds = append(out.Holds, &peer.Hold{
+			Content: h.Content[:], LeftMs: uint64(left.Milliseconds()), ForMs: uint64(h.For.Milliseconds()),
+		})
+	}
+	for d, at := range g.releases {
+		if now.Sub(at) < within && len(out.Releases) < maxHoldsPerReport {
+			out.Releases = append(out.Releases, &peer.Release{Content: d[:], AgeMs: ageMillis(at, now)})
+		}
+	}
+	return out
+}
+
+func ageMillis(at, now time.Time) uint32 { return uint32(now.Sub(at).Milliseconds()) }
+
+// Take takes what another gateway told.
+func (g *Guard) Take(in *peer.Suspects, from string) {
+	if in == nil || g.off {
+		return
+	}
+	now := time.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, r := range in.GetReleases() {
+		if d, ok := parseDigest(r.GetContent()); ok {
+			g.applyRelease(d, now.Add(-boundedMillis(uint64(r.GetAgeMs()))), from)
+		}
+	}
+	for _, h := range in.GetHolds() {
+		if d, ok := parseDigest(h.GetContent()); ok {
+			g.applyHold(quarantine.Hold{Content: d, Until: now.Add(boundedMillis(h.GetLeftMs())), For: boundedMillis(h.GetForMs())}, from)
+		}
+	}
+	changed := false
+	for _, s := range in.GetSightings() {
+		if d, ok := parseDigest(s.GetContent()); ok {
+			observed := quarantine.Sighting{Content: d, Server: s.GetServer(), Generated: int(s.GetGenerated())}
+			changed = g.ledger.Sight(observed, now.Add(-boundedMillis(uint64(s.GetAgeMs())))) || changed
+		}
+	}
+	// Reports repeat what was told, and a look at 8,000 suspects takes a tenth of a millisecond.
+	if changed {
+		g.decide()
+	}
+}
+
+// applyHold takes a hold that was decided elsewhere, unless it is impossible. The caller holds mu.
+func (g *Guard) applyHold(h quarantine.Hold, from string) {
+	if h.For <= 0 || h.For > quarantine.MaxHold || h.Begun().After(time.Now()) {
+		return
+	}
+	if g.ledger.Hold(h) && h.Until.After(time.Now()) {
+		g.logHold(h, from)
+	}
+}
+
+// applyRelease takes a release from elsewhere, and reports whether it changed anything. The caller holds mu.
+func (g *Guard) applyRelease(d fingerprint.Digest, at time.Time, from string) bool {
+	_, held := g.ledger.Held(d, time.Now())
+	changed := g.ledger.Clear(d, at)
+	if _, still := g.ledger.Held(d, time.Now()); held && !still {
+		g.logRelease(d, from)
+	}
+	return changed
+}
+
+// parseDigest is the digest that b holds; ok is false if it holds none.
+func parseDigest(b []byte) (d fingerprint.Digest, ok bool) {
+	return d, copy(d[:], b) == len(b) && len(b) == len(d)
+}
+
+// boundedMillis is a time of the wire; more than MaxHold is none that a gateway tells.
+func boundedMillis(n uint64) time.Duration {
+	return time.Duration(min(n, uint64(quarantine.MaxHold.Milliseconds()))) * time.Millisecond
+}
--- a/holdback/kept.go
+++ b/holdback/stored.go
@@ -28,29 +28,29 @@
 	return k.Begun.Add(time.Duration(k.ForSeconds * float64(time.Second)))
 }
 
-// listPage is the number of rows that one call reads.
-const listPage = 500
+// pageSize is the number of rows that one call reads.
+const pageSize = 500
 
 // List returns the holds of a table, those that have ended and not been removed included.
 func List(ctx context.Context, t store.Table) ([]StoredHold, error) {
 	var out []StoredHold
 	after := ""
 	for {
-		rows, err := t.List(ctx, "", after, listPage)
+		rows, err := t.List(ctx, "", after, pageSize)
 		if err != nil {
 			return nil, err
 		}
 		for _, r := range rows {
-			out = append(out, keptOf(r))
+			out = append(out, decodeRow(r))
 			after = r.Key
 		}
-		if len(rows) < listPage {
+		if len(rows) < pageSize {
 			return out, nil
 		}
 	}
 }
 
-func keptOf(r store.Row) StoredHold {
+func decodeRow(r store.Row) StoredHold {
 	k := StoredHold{Content: r.Key}
 	if err := json.Unmarshal(r.Value, &k.Row); err != nil {
 		return StoredHold{Content: r.Key, Fault: err.Error()}
--- a/holdback/kept_test.go
+++ b/holdback/stored_test.go
@@ -18,7 +18,7 @@
 	value, err := json.Marshal(Row{Begun: begun, ForSeconds: 600, Servers: []string{"a", "b", "c"}})
 	assert.NilError(t, err)
 	assert.NilError(t, table.Commit(t.Context(), store.Txn{Writes: []store.Write{
-		{Key: deadly.String(), Value: value}, {Key: "other", Value: []byte("{")},
+		{Key: crashing.String(), Value: value}, {Key: "other", Value: []byte("{")},
 	}}))
 	list, err := List(t.Context(), table)
 	assert.NilError(t, err)
@@ -28,11 +28,11 @@
 			assert.Assert(t, k.Fault != "")
 			continue
 		}
-		assert.Equal(t, k.Content, deadly.String())
+		assert.Equal(t, k.Content, crashing.String())
 		assert.Equal(t, k.Until(), begun.Add(10*time.Minute))
 		assert.DeepEqual(t, k.Servers, []string{"a", "b", "c"})
 	}
-	assert.NilError(t, Release(t.Context(), table, deadly.String()))
-	assert.ErrorIs(t, Release(t.Context(), table, deadly.String()), ErrNotQuarantined)
+	assert.NilError(t, Release(t.Context(), table, crashing.String()))
+	assert.ErrorIs(t, Release(t.Context(), table, crashing.String()), ErrNotQuarantined)
 	assert.ErrorContains(t, Release(t.Context(), table, "other"), "digest of a request")
 }
--- a/route/route.go
+++ b/route/route.go
@@ -77,9 +77,9 @@
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	left := u * total
+	remaining := u * total
 	for _, t := range r.Targets {
-		if left -= t.Weight; left < 0 {
+		if remaining -= t.Weight; remaining < 0 {
 			return t.Service
 		}
 	}
@@ -149,10 +149,10 @@
 type hostRoutes struct {
 	// byPrefix holds those whose prefix ends with a slash, as all do on the users' platform.
 	byPrefix map[string]*Route
-	// most is the length of the longest of these prefixes.
-	most int
-	// others are the rest, the longest prefix first.
-	others []*Route
+	// maxPrefixLen is the length of the longest of these prefixes.
+	maxPrefixLen int
+	// withoutSlash are the rest, the longest prefix first.
+	withoutSlash []*Route
 }
 
 // Build prepares t for Match. It must be called once, before t is shared.
@@ -170,19 +170,19 @@
 		h.add(r)
 	}
 	for _, h := range t.byHost {
-		slices.SortStableFunc(h.others, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+		slices.SortStableFunc(h.withoutSlash, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 }
 
 // add adds a route; of two with one prefix the first counts.
 func (h *hostRoutes) add(r *Route) {
 	if !strings.HasSuffix(r.Prefix, "/") {
-		h.others = append(h.others, r)
+		h.withoutSlash = append(h.withoutSlash, r)
 		return
 	}
 	if _, ok := h.byPrefix[r.Prefix]; !ok {
 		h.byPrefix[r.Prefix] = r
-		h.most = max(h.most, len(r.Prefix))
+		h.maxPrefixLen = max(h.maxPrefixLen, len(r.Prefix))
 	}
 }
 
@@ -200,7 +200,7 @@
 		return nil
 	}
 	best := h.longest(path)
-	for _, r := range h.others {
+	for _, r := range h.withoutSlash {
 		if strings.HasPrefix(path, r.Prefix) {
 			if best == nil || len(r.Prefix) > len(best.Prefix) {
 				best = r
@@ -213,7 +213,7 @@
 
 // longest is the route with the longest prefix of path that ends with a slash.
 func (h *hostRoutes) longest(path string) *Route {
-	path = path[:min(len(path), h.most)]
+	path = path[:min(len(path), h.maxPrefixLen)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r, ok := h.byPrefix[path[:end+1]]; ok {
 			return r
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// linear is what Match means: the first of the longest prefixes.
-func linear(table *route.Table, host, path string) *route.Route {
+// matchByScan is what Match means: the first of the longest prefixes.
+func matchByScan(table *route.Table, host, path string) *route.Route {
 	var best *route.Route
 	for i := range table.Routes {
 		r := &table.Routes[i]
@@ -47,11 +47,11 @@
 	return best
 }
 
-func TestMatchOfDrawnTables(t *testing.T) {
+func TestMatchOfRandomTables(t *testing.T) {
 	r := rand.New(rand.NewPCG(4711, 2))
-	draw := func(most int) string {
+	randomPath := func(maxParts int) string {
 		var b strings.Builder
-		for range r.IntN(most) + 1 {
+		for range r.IntN(maxParts) + 1 {
 			b.WriteString([]string{"/", "a", "b", "//", "a/", ""}[r.IntN(6)])
 		}
 		return b.String()
@@ -59,12 +59,12 @@
 	for range 2000 {
 		table := &route.Table{}
 		for i := range r.IntN(12) {
-			table.Routes = append(table.Routes, route.Route{Name: fmt.Sprint(i), Host: []string{"h", "g"}[r.IntN(2)], Prefix: draw(4)})
+			table.Routes = append(table.Routes, route.Route{Name: fmt.Sprint(i), Host: []string{"h", "g"}[r.IntN(2)], Prefix: randomPath(4)})
 		}
 		table.Build()
 		for range 20 {
-			path := "/" + draw(8)
-			assert.Equal(t, table.Match("h", path), linear(table, "h", path), "%s of %+v", path, table.Routes)
+			path := "/" + randomPath(8)
+			assert.Equal(t, table.Match("h", path), matchByScan(table, "h", path), "%s of %+v", path, table.Routes)
 		}
 	}
 }
--- a/route/tenants_test.go
+++ b/route/tenants_test.go
@@ -26,7 +26,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestTenantsThatCannotBe(t *testing.T) {
+func TestInvalidTenants(t *testing.T) {
 	shared := []apikey.Hash{apikey.Of("k")}
 	for name, c := range map[string]struct {
 		list        []route.Tenant
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -33,20 +33,20 @@
 	return &conn{Conn: c, br: bufio.NewReaderSize(c, readBuffer), addr: addr}
 }
 
-// sound reports whether an idle connection may carry another request: nothing has
+// reusable reports whether an idle connection may carry another request: nothing has
 // arrived on it unasked and the server has not closed it.
-func (c *conn) sound(now time.Time) bool {
+func (c *conn) reusable(now time.Time) bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
 	if !c.usableUntil.IsZero() && now.After(c.usableUntil) {
 		return false
 	}
-	return c.quiet()
+	return c.nothingPending()
 }
 
-// quiet looks for data or an end of file without blocking.
-func (c *conn) quiet() bool {
+// nothingPending looks for data or an end of file without blocking.
+func (c *conn) nothingPending() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -55,18 +55,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// noteKeepAlive takes the idle time that the server states in an answer.
-func (c *conn) noteKeepAlive(h http.Header, now time.Time) {
+// recordKeepAlive takes the idle time that the server states in an answer.
+func (c *conn) recordKeepAlive(h http.Header, now time.Time) {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -17,11 +17,11 @@
 func TestDialIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 150 * time.Millisecond
-		silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
+		unresponsive := func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		p := upstream.New(upstream.Options{Connect: silent, DialTimeout: bound})
+		p := upstream.New(upstream.Options{Connect: unresponsive, DialTimeout: bound})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		before := time.Now()
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// smallBody is written together with the head; a longer one is written while the
+// maxInlineBody is written together with the head; a longer one is written while the
 // answer is already being read, since a server may answer before it has read it.
-const smallBody = 8 << 10
+const maxInlineBody = 8 << 10
 
-// maxForeign is the number of answers to other requests that are passed over on one
+// maxUnmatched is the number of answers to other requests that are passed over on one
 // connection before it is given up.
-const maxForeign = 2
+const maxUnmatched = 2
 
 // Request is one request to a server.
 type Request struct {
@@ -45,8 +45,8 @@
 	Body io.ReadCloser
 }
 
-// errForeign ends a connection on which other requests' answers keep arriving.
-var errForeign = errors.New("answers to other requests on the connection")
+// errUnmatched ends a connection on which other requests' answers keep arriving.
+var errUnmatched = errors.New("answers to other requests on the connection")
 
 // Do sends r to addr and returns once the head of the answer was read. Cancelling ctx
 // closes the connection, also later while the body is read. An error wraps ErrNotSent
@@ -56,19 +56,19 @@
 	if err != nil {
 		return nil, errors.Join(ErrNotSent, err)
 	}
-	x := &exchange{pool: p, conn: c, begun: time.Now(), written: make(chan struct{})}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	x := &exchange{pool: p, conn: c, sentAt: time.Now(), writeDone: make(chan struct{})}
+	x.stopWatching = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if ctx.Err() != nil {
-		x.abandon()
+		x.abort()
 		return nil, errors.Join(ErrNotSent, context.Cause(ctx))
 	}
 	if err := x.send(r); err != nil {
-		x.abandon()
+		x.abort()
 		return nil, err
 	}
-	res, err := x.head(r)
+	res, err := x.readHead(r)
 	if err != nil {
-		x.abandon()
+		x.abort()
 		return nil, err
 	}
 	return res, nil
@@ -78,37 +78,37 @@
 type exchange struct {
 	pool *Pool
 	conn *conn
-	// begun is when the request began to be sent.
-	begun time.Time
-	stop  func() bool
-	// written is closed when the whole request was written; wrote is valid then.
-	written chan struct{}
-	wrote   error
-
-	keep bool
-	once sync.Once
+	// sentAt is when the request began to be sent.
+	sentAt       time.Time
+	stopWatching func() bool
+	// writeDone is closed when the whole request was writeDone; wrote is valid then.
+	writeDone chan struct{}
+	writeErr  error
+
+	keepAlive bool
+	endOnce   sync.Once
 }
 
 func (x *exchange) send(r *Request) error {
 	head := encodeHead(r)
-	if len(r.Body) <= smallBody {
-		defer close(x.written)
-		_, x.wrote = x.conn.Write(append(head, r.Body...))
-		return x.wrote
+	if len(r.Body) <= maxInlineBody {
+		defer close(x.writeDone)
+		_, x.writeErr = x.conn.Write(append(head, r.Body...))
+		return x.writeErr
 	}
 	if _, err := x.conn.Write(head); err != nil {
 		return err
 	}
 	go func() {
-		defer close(x.written)
-		_, x.wrote = x.conn.Write(r.Body)
+		defer close(x.writeDone)
+		_, x.writeErr = x.conn.Write(r.Body)
 	}()
 	return nil
 }
 
 func encodeHead(r *Request) []byte {
 	var b bytes.Buffer
-	b.Grow(1024 + min(len(r.Body), smallBody))
+	b.Grow(1024 + min(len(r.Body), maxInlineBody))
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
 	b.WriteString(r.Target)
@@ -125,9 +125,9 @@
 	return b.Bytes()
 }
 
-// head reads the head of the answer and passes over answers to other requests.
-func (x *exchange) head(r *Request) (*Response, error) {
-	for range maxForeign + 1 {
+// readHead reads the readHead of the answer and passes over answers to other requests.
+func (x *exchange) readHead(r *Request) (*Response, error) {
+	for range maxUnmatched + 1 {
 		res, err := http.ReadResponse(x.conn.br, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -139,39 +139,39 @@
 			return x.response(res), nil
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil || res.Close {
-			return nil, errForeign
+			return nil, errUnmatched
 		}
 	}
-	return nil, errForeign
+	return nil, errUnmatched
 }
 
 func (x *exchange) response(res *http.Response) *Response {
 	now := time.Now()
 	x.conn.usableUntil = time.Time{}
-	x.conn.noteKeepAlive(res.Header, now)
-	x.keep = !res.Close
+	x.conn.recordKeepAlive(res.Header, now)
+	x.keepAlive = !res.Close
 	return &Response{
 		Status: res.StatusCode,
 		Header: res.Header,
 		Length: res.ContentLength,
 		Close:  res.Close,
-		Sent:   x.begun,
+		Sent:   x.sentAt,
 		Body:   &body{Reader: res.Body, x: x},
 	}
 }
 
-// abandon closes the connection.
-func (x *exchange) abandon() {
-	x.once.Do(func() {
-		x.stop()
+// abort closes the connection.
+func (x *exchange) abort() {
+	x.endOnce.Do(func() {
+		x.stopWatching()
 		_ = x.conn.Close()
 	})
 }
 
-// finish gives the connection back after the answer was read whole.
-func (x *exchange) finish() {
-	x.once.Do(func() {
-		if !x.stop() || !x.keep || !x.sent() || x.conn.br.Buffered() > 0 {
+// release gives the connection back after the answer was read whole.
+func (x *exchange) release() {
+	x.endOnce.Do(func() {
+		if !x.stopWatching() || !x.keepAlive || !x.fullyWritten() || x.conn.br.Buffered() > 0 {
 			_ = x.conn.Close()
 			return
 		}
@@ -179,11 +179,11 @@
 	})
 }
 
-// sent reports whether the request was written whole by now.
-func (x *exchange) sent() bool {
+// fullyWritten reports whether the request was written whole by now.
+func (x *exchange) fullyWritten() bool {
 	select {
-	case <-x.written:
-		return x.wrote == nil
+	case <-x.writeDone:
+		return x.writeErr == nil
 	default:
 		return false
 	}
@@ -200,15 +200,15 @@
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
-		b.x.finish()
+		b.x.release()
 	} else if err != nil {
-		b.x.abandon()
+		b.x.abort()
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
 func (b *body) Close() error {
-	b.x.abandon()
+	b.x.abort()
 	return nil
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -60,7 +60,7 @@
 
 type idleConn struct {
 	*conn
-	since time.Time
+	idleSince time.Time
 }
 
 // New returns an empty pool.
@@ -111,7 +111,7 @@
 		if c == nil {
 			break
 		}
-		if now.Sub(c.since) < p.opts.IdleTimeout && c.sound(now) {
+		if now.Sub(c.idleSince) < p.opts.IdleTimeout && c.reusable(now) {
 			return c.conn, nil
 		}
 		_ = c.Close()
@@ -161,7 +161,7 @@
 		_ = c.Close()
 		return
 	}
-	p.idle[c.addr] = append(p.idle[c.addr], &idleConn{conn: c, since: now})
+	p.idle[c.addr] = append(p.idle[c.addr], &idleConn{conn: c, idleSince: now})
 }
 
 // CloseIdle closes the unused connections to one server, which has ended or started again.
@@ -184,7 +184,7 @@
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if keep(addr) && now.Sub(c.since) < p.opts.IdleTimeout {
+			if keep(addr) && now.Sub(c.idleSince) < p.opts.IdleTimeout {
 				kept = append(kept, c)
 				continue
 			}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -21,8 +21,8 @@
 // script is what a server does on one connection; it returns to close it.
 type script func(t *testing.T, c net.Conn, br *bufio.Reader)
 
-// read reads one request.
-func read(t *testing.T, br *bufio.Reader) *http.Request {
+// readRequest reads one request.
+func readRequest(t *testing.T, br *bufio.Reader) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(br)
 	if err != nil {
@@ -38,11 +38,11 @@
 
 func send(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-// say answers each request on the connection with the next text.
-func say(texts ...string) script {
+// respondWith answers each request on the connection with the next text.
+func respondWith(texts ...string) script {
 	return func(t *testing.T, c net.Conn, br *bufio.Reader) {
 		for _, text := range texts {
-			if read(t, br) == nil {
+			if readRequest(t, br) == nil {
 				return
 			}
 			send(c, text)
@@ -108,7 +108,7 @@
 		{"no answer in the protocol", "garbage\r\n\r\n", "", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, conns := serve(t, say(c.answer, ok), say(ok))
+			addr, conns := serve(t, respondWith(c.answer, ok), respondWith(ok))
 			p := upstream.New(upstream.Options{})
 			got, err := do(t.Context(), p, addr, request())
 			assert.Equal(t, err != nil, c.fails, "%v", err)
@@ -132,7 +132,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, _ := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
-				read(t, br)
+				readRequest(t, br)
 				send(c, text)
 			})
 			_, err := do(t.Context(), upstream.New(upstream.Options{}), addr, request())
@@ -145,11 +145,11 @@
 // and not reset.
 func TestAnswerWithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		taken := make(chan struct{})
+		received := make(chan struct{})
 		addr, _ := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
-			read(t, br)
+			readRequest(t, br)
 			send(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok")
-			<-taken
+			<-received
 			if reset {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
@@ -159,7 +159,7 @@
 		part := make([]byte, 2)
 		_, err = io.ReadFull(res.Body, part)
 		assert.NilError(t, err)
-		close(taken)
+		close(received)
 		_, err = res.Body.Read(part)
 		assert.Equal(t, err == io.EOF, !reset, "%v", err)
 	}
@@ -168,7 +168,7 @@
 func TestRequestOnTheWire(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	addr, _ := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
-		got <- read(t, br)
+		got <- readRequest(t, br)
 		send(c, ok)
 	})
 	_, err := do(t.Context(), upstream.New(upstream.Options{}), addr, request())
@@ -188,7 +188,7 @@
 	assert.ErrorIs(t, err, upstream.ErrNotSent)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	addr, _ = serve(t, say(ok))
+	addr, _ = serve(t, respondWith(ok))
 	_, err = do(ctx, upstream.New(upstream.Options{}), addr, request())
 	assert.ErrorIs(t, err, upstream.ErrNotSent)
 }
@@ -197,11 +197,11 @@
 func TestIdleConnectionClosedByServer(t *testing.T) {
 	closed := make(chan struct{})
 	addr, conns := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
-		read(t, br)
+		readRequest(t, br)
 		send(c, ok)
 		_ = c.Close()
 		close(closed)
-	}, say(ok))
+	}, respondWith(ok))
 	p := upstream.New(upstream.Options{})
 	for range 2 {
 		_, err := do(t.Context(), p, addr, request())
@@ -211,9 +211,9 @@
 	assert.Equal(t, conns(), 2)
 }
 
-func TestStatedIdleTimeIsKept(t *testing.T) {
-	brief := "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok"
-	addr, conns := serve(t, say(brief, brief))
+func TestKeepAliveTimeoutIsHonoured(t *testing.T) {
+	expired := "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok"
+	addr, conns := serve(t, respondWith(expired, expired))
 	p := upstream.New(upstream.Options{})
 	for range 2 {
 		_, err := do(t.Context(), p, addr, request())
@@ -226,22 +226,22 @@
 func TestCancelClosesTheConnection(t *testing.T) {
 	for name, text := range map[string]string{"before the answer": "", "within the answer": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
-			reading, gone := make(chan struct{}), make(chan struct{})
+			started, closed := make(chan struct{}), make(chan struct{})
 			addr, _ := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
-				read(t, br)
+				readRequest(t, br)
 				send(c, text)
-				close(reading)
+				close(started)
 				_, _ = br.ReadByte()
-				close(gone)
+				close(closed)
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() {
-				<-reading
+				<-started
 				cancel()
 			}()
 			_, err := do(ctx, upstream.New(upstream.Options{}), addr, request())
 			assert.Assert(t, err != nil && !errors.Is(err, upstream.ErrNotSent))
-			<-gone
+			<-closed
 		})
 	}
 }
@@ -263,7 +263,7 @@
 			t.Errorf("other bytes than the body: %d", n)
 		}
 		got <- n
-	}, say(ok))
+	}, respondWith(ok))
 	p := upstream.New(upstream.Options{})
 	body, err := do(t.Context(), p, addr, r)
 	assert.NilError(t, err)
@@ -275,7 +275,7 @@
 }
 
 func TestSweep(t *testing.T) {
-	addr, conns := serve(t, say(ok, ok))
+	addr, conns := serve(t, respondWith(ok, ok))
 	p := upstream.New(upstream.Options{IdleTimeout: time.Hour})
 	_, err := do(t.Context(), p, addr, request())
 	assert.NilError(t, err)
@@ -296,7 +296,7 @@
 	}
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		addr, _ := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
-			read(t, br)
+			readRequest(t, br)
 			_, _ = c.Write(answer)
 		})
 		res, err := upstream.New(upstream.Options{}).Do(t.Context(), addr, request())
