--- a/gateway/encode.go
+++ b/gateway/encode.go
@@ -25,11 +25,11 @@
 	if s.Runs == 0 {
 		return out
 	}
-	for i := range kvmemory.Ahead {
-		out.Mean = append(out.Mean, uint32(s.Ahead.Mean[i]))
-		out.Variance = append(out.Variance, uint64(s.Ahead.Variance[i]))
+	for i := range kvmemory.NumHorizons {
+		out.Mean = append(out.Mean, uint32(s.Forecast.Mean[i]))
+		out.Variance = append(out.Variance, uint64(s.Forecast.Variance[i]))
 	}
-	out.Most = uint32(s.Ahead.Most)
+	out.Most = uint32(s.Forecast.Max)
 	return out
 }
 
@@ -38,14 +38,14 @@
 func decodeLoad(s *peer.Share) kvmemory.Load {
 	l := kvmemory.Load{Tokens: int(s.GetTokens()), Runs: int(s.GetRuns())}
 	mean, variance := s.GetMean(), s.GetVariance()
-	if len(mean) != kvmemory.Ahead || len(variance) != kvmemory.Ahead {
-		l.Ahead = kvmemory.Constant(l.Tokens)
+	if len(mean) != kvmemory.NumHorizons || len(variance) != kvmemory.NumHorizons {
+		l.Forecast = kvmemory.Constant(l.Tokens)
 		return l
 	}
-	for i := range kvmemory.Ahead {
-		l.Ahead.Mean[i], l.Ahead.Variance[i] = float64(mean[i]), float64(variance[i])
+	for i := range kvmemory.NumHorizons {
+		l.Forecast.Mean[i], l.Forecast.Variance[i] = float64(mean[i]), float64(variance[i])
 	}
-	l.Ahead.Most = mostOf(s)
+	l.Forecast.Max = mostOf(s)
 	return l
 }
 
@@ -95,7 +95,7 @@
 }
 
 // encodeServerLimits is nil if there is nothing to tell.
-func encodeServerLimits(n forward.ServerLimitNews, now time.Time) *peer.ServerLimits {
+func encodeServerLimits(n forward.ServerLimitUpdates, now time.Time) *peer.ServerLimits {
 	if len(n.Limits)+len(n.Used) == 0 {
 		return nil
 	}
@@ -109,8 +109,8 @@
 }
 
 // decodeServerLimits leaves out what no server can have said, as a faulty process may tell.
-func decodeServerLimits(told *peer.ServerLimits, now time.Time) forward.ServerLimitNews {
-	out := forward.ServerLimitNews{Used: decodeUsages(told.GetSent()), Informed: told.GetSent().GetInformed()}
+func decodeServerLimits(told *peer.ServerLimits, now time.Time) forward.ServerLimitUpdates {
+	out := forward.ServerLimitUpdates{Used: decodeUsages(told.GetSent()), Informed: told.GetSent().GetInformed()}
 	for _, t := range told.GetLimits() {
 		l := serverlimit.Limit{Limited: t.GetLimited(), PerSecond: t.GetPerSecond()}
 		if !l.Valid() {
