--- a/forward/access.go
+++ b/forward/access.go
@@ -152,7 +152,7 @@
 
 // priority is the rank of a request: its customer's if that has one, otherwise its route's.
 func (j *job) priority() int {
-	if j.tenant != nil && j.tenant.Ranked {
+	if j.tenant != nil && j.tenant.HasPriority {
 		return j.tenant.Priority
 	}
 	return j.route.Priority
--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -53,7 +53,7 @@
 )
 
 func tenant(name string, keys ...string) route.Tenant {
-	t := route.Tenant{Name: name, Quota: route.Quota{Unit: route.Tokens, Rate: 1000, Burst: 1000, Plain: 200}}
+	t := route.Tenant{Name: name, Quota: route.Quota{Unit: route.Tokens, Rate: 1000, Burst: 1000, DefaultCost: 200}}
 	for _, k := range keys {
 		t.Keys = append(t.Keys, apikey.Of(k))
 	}
@@ -361,7 +361,7 @@
 	w := newPlainEnv(t)
 	w.withTenants(t, tenant("a", ownKey, secondKey), tenant("b", otherKey))
 	crashing := fingerprint.Of(fingerprint.Request{Caller: "a", Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
-	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 60_000, ForMs: 60_000}}}, "another gateway")
+	w.guard.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 60_000, ForMs: 60_000}}}, "another gateway")
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+ownKey).status, 503)
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+secondKey).status, 503)
 	assert.Equal(t, w.post(t, "/safe/1", site.Credentials, scheme+otherKey).status, 200)
--- a/forward/call.go
+++ b/forward/call.go
@@ -184,7 +184,7 @@
 	res, err := f.Pool.Do(ctx, s.Addr, &upstream.Request{
 		Method: j.r.Method, Target: j.target(), Host: j.r.Host,
 		Header: f.Codec.Outgoing(j.r.Header, o), Body: j.body,
-		Mine: func(h http.Header) bool { return f.Codec.Matches(j.meta.ID, h) },
+		Matches: func(h http.Header) bool { return f.Codec.Matches(j.meta.ID, h) },
 	})
 	f.recordConnectError(s, err)
 	if errors.Is(err, upstream.ErrNotSent) {
@@ -208,7 +208,7 @@
 		f.serverTerminated(s.ID, signReplaced)
 		return res, nil
 	}
-	f.receiveAnswer(s, head, res.Sent)
+	f.receiveAnswer(s, head, res.SentAt)
 	return res, nil
 }
 
--- a/forward/prefill.go
+++ b/forward/prefill.go
@@ -136,7 +136,7 @@
 func (r *stream) takeSpareExport() *kvSource {
 	export := r.spareExport
 	r.spareExport = nil
-	lifetime := r.j.table.Services[r.j.service].Engine.ExportLife
+	lifetime := r.j.table.Services[r.j.service].Engine.ExportTTL
 	if export == nil || time.Since(export.exportedAt) > time.Duration(exportReuseShare*float64(lifetime)) {
 		return nil
 	}
--- a/forward/terminations.go
+++ b/forward/terminations.go
@@ -94,7 +94,7 @@
 	case probe:
 		go func() {
 			defer f.interrupted.endProbe(s.ID)
-			f.recordConnectError(s, f.Pool.Reach(context.Background(), s.Addr))
+			f.recordConnectError(s, f.Pool.Probe(context.Background(), s.Addr))
 		}()
 	}
 }
@@ -129,7 +129,7 @@
 	if !f.Guard.Active() {
 		return 0, false
 	}
-	return f.Guard.Held(j.digest())
+	return f.Guard.Quarantined(j.digest())
 }
 
 // recordSuccess records that a server answered a request successfully, so the request did not crash it. A failure
--- a/forward/terminations_test.go
+++ b/forward/terminations_test.go
@@ -112,7 +112,7 @@
 	w.log.Wait(t, false, func(c site.Call) bool { return c.Kind == site.Hold })
 	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
 	now := time.Now()
-	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 60_000, ForMs: 60_000}}}, "g2")
+	w.guard.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 60_000, ForMs: 60_000}}}, "g2")
 	for _, id := range []string{"d1", "d2"} {
 		w.servers[id].SetFull(false)
 	}
@@ -202,7 +202,7 @@
 func TestQuarantinedRequestLeavesQueue(t *testing.T) {
 	w, done := startQueuedStream(t)
 	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/draft/patient/1", Body: []byte("question")})
-	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 500_000, ForMs: 500_000}}}, "g2")
+	w.guard.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 500_000, ForMs: 500_000}}}, "g2")
 	got := <-done
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -219,7 +219,7 @@
 	go func() { done <- w.post(t, "/safe/1") }()
 	w.log.Wait(t, false, func(c site.Call) bool { return c.Server == "p1" })
 	d := fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "h", Target: "/safe/1", Body: []byte("question")})
-	w.guard.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 60_000, ForMs: 60_000}}}, "g2")
+	w.guard.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: d[:], LeftMs: 60_000, ForMs: 60_000}}}, "g2")
 	w.servers["p1"].Crash()
 	assert.Equal(t, (<-done).status, http.StatusBadGateway, "it may have run")
 	assert.Equal(t, len(w.log.Calls()), 1)
--- a/forward/types.go
+++ b/forward/types.go
@@ -124,8 +124,8 @@
 type Quarantine interface {
 	// Active reports whether any request is suspected or quarantined; if not, no request needs to be looked up.
 	Active() bool
-	// Held reports whether a request is quarantined, and for how much longer.
-	Held(d fingerprint.Digest) (time.Duration, bool)
+	// Quarantined reports whether a request is quarantined, and for how much longer.
+	Quarantined(d fingerprint.Digest) (time.Duration, bool)
 	// ServerTerminated takes the requests that were in progress at a terminated server.
 	ServerTerminated(server string, broken []quarantine.Broken)
 	// RequestSucceeded records that a server answered a request successfully.
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -82,7 +82,7 @@
 		s.view.switchTo(s.view.idOf(w.GetServer(), w.GetStart()), registry.Stage(w.GetStage()), time.Duration(w.GetAgeMs())*time.Millisecond, now)
 	}
 	s.view.toldLeaving(r.GetLeavingServers())
-	s.guard.Take(r.GetSuspects(), from)
+	s.guard.Receive(r.GetSuspects(), from)
 	s.quotas.hear(r.GetAddr(), r.GetIncarnation(), true, r.GetUsages())
 	s.fwd.ServerLimits().Receive(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
 	s.fwd.SetPeerLoads(s.placed.take(r, now))
@@ -98,7 +98,7 @@
 // TakePlacement implements peer.Beliefs.
 func (s *Service) TakePlacement(p *peer.Placement) {
 	s.view.toldLeaving(p.GetLeavingServers())
-	s.guard.Take(p.GetSuspects(), "gateway "+p.GetAddr())
+	s.guard.Receive(p.GetSuspects(), "gateway "+p.GetAddr())
 	s.quotas.hear(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
 	s.fwd.ServerLimits().Receive(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
 	for _, failed := range p.GetFailures() {
--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -77,8 +77,8 @@
 	return g.ledger.Watches()
 }
 
-// Held reports for how long a request is held still.
-func (g *Guard) Held(d fingerprint.Digest) (time.Duration, bool) {
+// Quarantined reports for how long a request is held still.
+func (g *Guard) Quarantined(d fingerprint.Digest) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Held(d, time.Now())
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -34,14 +34,14 @@
 	for _, from := range list {
 		for _, to := range list {
 			if from != to {
-				to.Take(from.Report(time.Minute), "another")
+				to.Receive(from.Report(time.Minute), "another")
 			}
 		}
 	}
 }
 
 func quarantined(g *Guard, d fingerprint.Digest) bool {
-	_, ok := g.Held(d)
+	_, ok := g.Quarantined(d)
 	return ok
 }
 
@@ -61,7 +61,7 @@
 		// One whose datagrams and reports were lost meanwhile hears of the hold later.
 		recovered := newGuard(false)
 		time.Sleep(2 * time.Minute)
-		recovered.Take(list[0].Report(time.Minute), "g1")
+		recovered.Receive(list[0].Report(time.Minute), "g1")
 		assert.Assert(t, quarantined(recovered, crashing))
 		// A server answers it after all at one gateway.
 		recovered.RequestSucceeded(crashing)
@@ -79,7 +79,7 @@
 		for i := range quarantine.MostEnds {
 			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
 		}
-		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
+		g.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
 		time.Sleep(time.Second)
 		assert.Assert(t, !g.Active())
 	})
@@ -89,8 +89,8 @@
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
-		g.Take(nil, "g2")
-		g.Take(&peer.Suspects{
+		g.Receive(nil, "g2")
+		g.Receive(&peer.Suspects{
 			Sightings: []*peer.Sighting{{Content: []byte("short")}, {}},
 			Holds: []*peer.Hold{
 				{Content: crashing[:], LeftMs: 1000}, {Content: crashing[:], LeftMs: 2000, ForMs: 1000},
@@ -99,8 +99,8 @@
 			Releases: []*peer.Release{{}},
 		}, "g2")
 		assert.Assert(t, !g.Active())
-		g.Take(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1 << 60, ForMs: 1 << 60}}}, "g2")
-		left, _ := g.Held(crashing)
+		g.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1 << 60, ForMs: 1 << 60}}}, "g2")
+		left, _ := g.Quarantined(crashing)
 		assert.Assert(t, left <= quarantine.MaxHold)
 	})
 }
@@ -178,7 +178,7 @@
 		started := newGuard(false)
 		time.Sleep(time.Minute)
 		syncFrom(t, started, table)
-		left, ok := started.Held(crashing)
+		left, ok := started.Quarantined(crashing)
 		assert.Assert(t, ok)
 		assert.Equal(t, left, quarantine.FirstHold-time.Minute-persistDelay)
 
@@ -231,7 +231,7 @@
 			version, err = g.follow(t.Context(), &rowTable{Table: memory.New(memory.Options{}).Table(), rows: stale, version: 60}, version, false)
 			assert.NilError(t, err)
 			assert.Equal(t, version, int64(90), "goes on from what is known")
-			left, ok := g.Held(crashing)
+			left, ok := g.Quarantined(crashing)
 			assert.Assert(t, ok)
 			assert.Equal(t, left, 1200*time.Second)
 		}
@@ -261,7 +261,7 @@
 		}}
 		syncFrom(t, g, table)
 		assert.Equal(t, len(g.ledger.Holds(now)), 1)
-		left, _ := g.Held(crashing)
+		left, _ := g.Quarantined(crashing)
 		assert.Equal(t, left, time.Minute)
 	})
 }
--- a/holdback/report.go
+++ b/holdback/report.go
@@ -78,8 +78,8 @@
 
 func ageMillis(at, now time.Time) uint32 { return uint32(now.Sub(at).Milliseconds()) }
 
-// Take takes what another gateway told.
-func (g *Guard) Take(in *peer.Suspects, from string) {
+// Receive takes what another gateway told.
+func (g *Guard) Receive(in *peer.Suspects, from string) {
 	if in == nil || g.off {
 		return
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -96,12 +96,12 @@
 	KVTokenBytes int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// ExportLife is how long an engine keeps an exported KV cache.
-	ExportLife time.Duration
+	// ExportTTL is how long an engine keeps an exported KV cache.
+	ExportTTL time.Duration
 	// SwitchTime is how long a change of stage takes once running work is done.
 	SwitchTime time.Duration
-	// MaxHold bounds the life of a reservation.
-	MaxHold time.Duration
+	// MaxReservation bounds the life of a reservation.
+	MaxReservation time.Duration
 }
 
 // Service is a set of servers that answer the same requests.
--- a/route/tenants.go
+++ b/route/tenants.go
@@ -29,10 +29,10 @@
 	Name string
 	// Keys authenticate its callers.
 	Keys []apikey.Hash
-	// Priority goes before that of a route where Ranked is set; zero is the most urgent.
-	Priority int
-	Ranked   bool
-	Quota    Quota
+	// Priority goes before that of a route where HasPriority is set; zero is the most urgent.
+	Priority    int
+	HasPriority bool
+	Quota       Quota
 }
 
 // Quota bounds what a tenant may ask for, over all gateways together.
@@ -40,8 +40,8 @@
 	Unit Unit
 	// Rate is in units a second, Burst in units; no Rate means no bound.
 	Rate, Burst float64
-	// Plain is what a request without tokens counts in Tokens.
-	Plain float64
+	// DefaultCost is what a request without tokens counts in Tokens.
+	DefaultCost float64
 }
 
 // Cost is what a request counts that may read and generate so many tokens; sized is unset for one that
@@ -51,7 +51,7 @@
 	case q.Unit == Requests:
 		return 1
 	case !sized:
-		return q.Plain
+		return q.DefaultCost
 	default:
 		return float64(tokens)
 	}
--- a/route/tenants_test.go
+++ b/route/tenants_test.go
@@ -46,10 +46,10 @@
 }
 
 func TestCost(t *testing.T) {
-	tokens := route.Quota{Unit: route.Tokens, Plain: 200}
+	tokens := route.Quota{Unit: route.Tokens, DefaultCost: 200}
 	assert.Equal(t, tokens.Cost(1540, true), 1540.0)
 	assert.Equal(t, tokens.Cost(0, false), 200.0)
 	assert.Equal(t, tokens.Cost(0, true), 0.0)
-	requests := route.Quota{Plain: 200}
+	requests := route.Quota{DefaultCost: 200}
 	assert.Equal(t, requests.Cost(1540, true), 1.0)
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -27,9 +27,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine tells an answer to this request from one to an earlier request that
+	// Matches tells an answer to this request from one to an earlier request that
 	// arrived late; nil accepts all.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Response is an answer whose head was read. Body must be read to its end or closed.
@@ -40,9 +40,9 @@
 	Length int64
 	// Close is set if the server closes the connection after the answer.
 	Close bool
-	// Sent is when the request began to be sent.
-	Sent time.Time
-	Body io.ReadCloser
+	// SentAt is when the request began to be sent.
+	SentAt time.Time
+	Body   io.ReadCloser
 }
 
 // errUnmatched ends a connection on which other requests' answers keep arriving.
@@ -135,7 +135,7 @@
 		if res.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine == nil || r.Mine(res.Header) {
+		if r.Matches == nil || r.Matches(res.Header) {
 			return x.response(res), nil
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil || res.Close {
@@ -155,7 +155,7 @@
 		Header: res.Header,
 		Length: res.ContentLength,
 		Close:  res.Close,
-		Sent:   x.sentAt,
+		SentAt: x.sentAt,
 		Body:   &body{Reader: res.Body, x: x},
 	}
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -128,9 +128,9 @@
 	return newConn(c, addr), nil
 }
 
-// Reach reports whether a server can be reached: on an unused connection that is sound, or by opening one,
+// Probe reports whether a server can be reached: on an unused connection that is sound, or by opening one,
 // which is kept for later requests.
-func (p *Pool) Reach(ctx context.Context, addr string) error {
+func (p *Pool) Probe(ctx context.Context, addr string) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
 		return errors.Join(ErrNotSent, err)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -77,7 +77,7 @@
 func request() *upstream.Request {
 	return &upstream.Request{
 		Method: "POST", Target: "/p?q=%2F", Host: "h.example", Header: http.Header{"X": {"1"}}, Body: []byte("body"),
-		Mine: func(h http.Header) bool { return h.Get("Id") == "1" },
+		Matches: func(h http.Header) bool { return h.Get("Id") == "1" },
 	}
 }
 
