--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -1,9 +1,9 @@
-// Package holdback holds requests back under which servers end. It joins the decision of policy/quarantine to clocks, to
-// what other gateways tell, and to the platform's store, where a hold is kept until it ends: a gateway that starts,
-// or that hears no other one, has it from there.
+// Package holdback quarantines requests that crash backend servers. It runs the decisions of policy/quarantine with
+// real time, the reports of other gateways, and the platform's store, which persists each hold until it ends: a gateway
+// that starts, or that receives no reports, gets the holds from there.
 //
-// Nothing of it is on the path of a request but a look into memory. While neither gateways nor store can be reached,
-// a gateway decides by the ends that it has seen itself.
+// A request costs only a lookup in memory. While neither other gateways nor the store can be reached, a gateway decides
+// on the terminations that it has observed itself.
 package holdback
 
 import (
@@ -20,40 +20,40 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 )
 
-// Sources of holds in the log, beside the names of gateways.
+// Sources of holds in the log, besides the names of gateways.
 const (
 	sourceLocal = "here"
 	sourceStore = "store"
 )
 
-// Guard is what one process knows of requests under which servers ended. It is safe for concurrent use.
+// Guard holds one process's state of suspected and quarantined requests. It is safe for concurrent use.
 type Guard struct {
 	log *log.Logger
 	met *metrics.Set
-	// off is set when nothing is to be held back.
+	// off disables quarantine.
 	off bool
-	// updates is sent to when Recent has something new to tell, persistDue when a hold is to be kept or dropped.
+	// updates signals that Recent has something new, persistDue that a hold is to be written or removed.
 	updates, persistDue chan struct{}
 
 	mu     sync.Mutex
 	ledger *quarantine.Ledger
-	// observations, releases and holds are what began here a moment ago, to be told.
-	observations []observation
+	// observations, releases and localHolds are the recent ones that originate here, to be reported.
+	observations []timedObservation
 	releases     map[fingerprint.Digest]time.Time
 	localHolds   map[fingerprint.Digest]time.Time
-	// decisionScheduled is set while a timer will look for decisions.
+	// decisionScheduled is set while a timer is running to call decide.
 	decisionScheduled bool
-	// stored are the holds in the store, and those that are to be removed from there.
+	// stored holds the local state of the rows in the store, removals the rows to be removed from there.
 	stored   map[fingerprint.Digest]storeState
 	removals map[fingerprint.Digest]time.Time
 }
 
-type observation struct {
+type timedObservation struct {
 	quarantine.Sighting
 	at time.Time
 }
 
-// New returns a Guard; with off it holds nothing back.
+// New returns a Guard; with off it quarantines nothing.
 func New(l *log.Logger, m *metrics.Set, off bool) *Guard {
 	g := &Guard{
 		log: l, met: m, off: off, updates: make(chan struct{}, 1), persistDue: make(chan struct{}, 1), ledger: quarantine.New(),
@@ -70,21 +70,21 @@
 	return int64(len(g.ledger.Holds(time.Now())))
 }
 
-// Active reports whether any request is suspect or held.
+// Active reports whether any request is suspected or quarantined.
 func (g *Guard) Active() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Watches()
 }
 
-// Quarantined reports for how long a request is held still.
+// Quarantined reports whether a request is quarantined, and for how much longer.
 func (g *Guard) Quarantined(d fingerprint.Digest) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Held(d, time.Now())
 }
 
-// ServerTerminated takes the requests of this process that were in progress at a server that ended.
+// ServerTerminated takes the requests of this process that were in progress at a terminated server.
 func (g *Guard) ServerTerminated(server string, broken []quarantine.Broken) {
 	if g.off {
 		return
@@ -93,16 +93,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range broken {
-		s := quarantine.Sighting{Content: b.Content, Server: server, Generated: b.Generated}
-		if g.ledger.Sight(s, now) {
-			g.observations = append(g.observations, observation{s, now})
+		o := quarantine.Sighting{Content: b.Content, Server: server, Generated: b.Generated}
+		if g.ledger.Sight(o, now) {
+			g.observations = append(g.observations, timedObservation{o, now})
 		}
 	}
 	notify(g.updates)
 	g.decide()
 }
 
-// RequestSucceeded notes that a server answered a request of this process with success.
+// RequestSucceeded records that a server answered a request of this process successfully.
 func (g *Guard) RequestSucceeded(d fingerprint.Digest) {
 	now := time.Now()
 	g.mu.Lock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// Expire forgets what is too old.
+// Expire removes outdated state.
 func (g *Guard) Expire() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,10 +130,10 @@
 	maps.DeleteFunc(g.removals, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
 }
 
-// updateTTL is how long what began here is kept to be told, whatever the pace of reports.
+// updateTTL is how long updates that originate here are kept for reports, whatever the interval of reports.
 const updateTTL = time.Minute
 
-// decide begins the holds that are due. The caller holds mu.
+// decide starts the holds that are due. The caller holds mu.
 func (g *Guard) decide() {
 	begun, again := g.ledger.Decide(time.Now())
 	for _, h := range begun {
@@ -157,7 +157,7 @@
 	})
 }
 
-// logHold logs a hold that has become known here. The caller holds mu.
+// logHold logs a new hold and signals that it may have to be persisted. The caller holds mu.
 func (g *Guard) logHold(h quarantine.Hold, from string) {
 	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.Ends(h.Content)).
 		Dur("left", time.Until(h.Until)).Dur("for", h.For).Str("from", from).Msg("")
@@ -168,12 +168,12 @@
 	event.RequestReleased.Log(g.log).Str("content", d.String()).Str("from", from).Msg("")
 }
 
-// observedLocally reports whether a request of this process was in progress at one of the ends. The caller holds mu.
+// observedLocally reports whether a recent termination affected this request in this process. The caller holds mu.
 func (g *Guard) observedLocally(d fingerprint.Digest) bool {
-	return slices.ContainsFunc(g.observations, func(s observation) bool { return s.Content == d })
+	return slices.ContainsFunc(g.observations, func(o timedObservation) bool { return o.Content == d })
 }
 
-// notify sends to a channel with room for one unless it is full.
+// notify sends to a channel of capacity one unless it is full.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -29,7 +29,7 @@
 	return New(&log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.NewSet(), off)
 }
 
-// exchangeReports hands what each guard has to exchangeReports to all others.
+// exchangeReports delivers the report of each guard to all others.
 func exchangeReports(list ...*Guard) {
 	for _, from := range list {
 		for _, to := range list {
@@ -45,7 +45,8 @@
 	return ok
 }
 
-// TestTerminationsObservedByDifferentGateways: each end of a server is seen by another gateway, with a request of somebody else beside it.
+// TestTerminationsObservedByDifferentGateways has each gateway observe one termination, with the crashing request and a
+// harmless one in progress: together they must quarantine the crashing one.
 func TestTerminationsObservedByDifferentGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := []*Guard{newGuard(false), newGuard(false), newGuard(false)}
@@ -58,12 +59,12 @@
 			assert.Assert(t, quarantined(g, crashing))
 			assert.Assert(t, !quarantined(g, harmless))
 		}
-		// One whose datagrams and reports were lost meanwhile hears of the hold later.
+		// A gateway that lost all datagrams and reports receives the hold later.
 		recovered := newGuard(false)
 		time.Sleep(2 * time.Minute)
 		recovered.Receive(list[0].Report(time.Minute), "g1")
 		assert.Assert(t, quarantined(recovered, crashing))
-		// A server answers it after all at one gateway.
+		// At one gateway a server answers the request after all.
 		recovered.RequestSucceeded(crashing)
 		exchangeReports(append(list, recovered)...)
 		for _, g := range append(list, recovered) {
@@ -72,7 +73,7 @@
 	})
 }
 
-// TestNothingIsQuarantinedWhenOff: nothing is held, whatever is seen or told.
+// TestNothingIsQuarantinedWhenOff: with quarantine off, neither observations nor reports quarantine a request.
 func TestNothingIsQuarantinedWhenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(true)
@@ -85,7 +86,7 @@
 	})
 }
 
-// TestInvalidReportsAreIgnored: messages that no gateway sends change nothing.
+// TestInvalidReportsAreIgnored covers messages that no gateway sends: they change nothing, or no more than a valid one.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
@@ -105,7 +106,7 @@
 	})
 }
 
-// TestReportFitsADatagram: many ends with many requests each still make a message that fits a datagram.
+// TestReportFitsADatagram checks that a report stays within its bounds after many terminations.
 func TestReportFitsADatagram(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
@@ -119,11 +120,11 @@
 	})
 }
 
-// rowTable is a table in memory whose changes are not waited for.
+// rowTable is a table in memory with a change feed that returns at once.
 type rowTable struct {
 	store.Table
 	rows []store.Row
-	// version is that of the store.
+	// version is the store's.
 	version int64
 }
 
@@ -136,17 +137,17 @@
 	return nil, nil, 0, ctx.Err()
 }
 
-// syncFrom takes the whole table once.
+// syncFrom applies the complete table once.
 func syncFrom(t *testing.T, g *Guard, table Table) {
 	t.Helper()
 	_, err := g.follow(t.Context(), table, 0, false)
 	assert.NilError(t, err)
 }
 
-// persist makes the changes of the table that are due once, and returns their number.
+// persist makes the changes of the table that are due, and returns their number.
 func persist(t *testing.T, g *Guard, table store.Table, readsForAll bool) int {
 	t.Helper()
-	due := g.pendingChanges(time.Now(), readsForAll)
+	due := g.dueChanges(time.Now(), readsForAll)
 	for _, c := range due {
 		assert.NilError(t, table.Commit(t.Context(), c.Txn))
 		g.committed(c)
@@ -154,8 +155,8 @@
 	return len(due)
 }
 
-// TestHoldIsPersistedOnce: the gateways that saw a server end keep the hold, the others leave it to them; a reader keeps it when they
-// did not, and removes it long after its end.
+// TestHoldIsPersistedOnce: the gateways that observed a termination persist the hold and the others don't. A gateway that
+// reads the store for all does so if they did not, and removes the row long after the hold has ended.
 func TestHoldIsPersistedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
@@ -167,13 +168,13 @@
 		synctest.Wait()
 		exchangeReports(observer, storeReader, other)
 		assert.Equal(t, persist(t, other, table, false), 0)
-		assert.Equal(t, persist(t, storeReader, table, true), 0, "the one that saw it goes first")
+		assert.Equal(t, persist(t, storeReader, table, true), 0, "the gateway that observed it goes first")
 		time.Sleep(persistDelay)
 		assert.Equal(t, persist(t, other, table, false), 0)
 		assert.Equal(t, persist(t, storeReader, table, true), 1)
 		assert.Equal(t, persist(t, storeReader, table, true), 0, "once")
 		syncFrom(t, observer, table)
-		assert.Equal(t, persist(t, observer, table, false), 0, "it is there")
+		assert.Equal(t, persist(t, observer, table, false), 0, "it is stored already")
 
 		started := newGuard(false)
 		time.Sleep(time.Minute)
@@ -191,8 +192,8 @@
 	})
 }
 
-// TestRowRemoved: who read the row and finds it gone lets the request through; who has just written it and reads an
-// older state does not.
+// TestRowRemoved: a gateway that has read the row and then finds it removed releases the request; one that has just
+// written the row and reads an older state does not.
 func TestRowRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
@@ -209,12 +210,12 @@
 		syncFrom(t, g, table)
 		syncFrom(t, g, empty)
 		assert.Assert(t, !quarantined(g, crashing))
-		assert.Equal(t, len(g.Report(time.Minute).GetReleases()), 1, "and tells the others")
+		assert.Equal(t, len(g.Report(time.Minute).GetReleases()), 1, "and reports the release")
 	})
 }
 
-// TestStaleTable: after the store has forgotten its history it may answer with what held seconds ago. A row that was seen
-// since is not gone, and an earlier state of a row is no news.
+// TestStaleTable: a store that has lost its history may return its state of seconds ago. A newer row that is missing there
+// was not removed, and an earlier state of a row changes nothing.
 func TestStaleTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
@@ -230,19 +231,19 @@
 		for _, stale := range [][]store.Row{nil, {row(600, 50)}} {
 			version, err = g.follow(t.Context(), &rowTable{Table: memory.New(memory.Options{}).Table(), rows: stale, version: 60}, version, false)
 			assert.NilError(t, err)
-			assert.Equal(t, version, int64(90), "goes on from what is known")
+			assert.Equal(t, version, int64(90), "continues from the known version")
 			left, ok := g.Quarantined(crashing)
 			assert.Assert(t, ok)
 			assert.Equal(t, left, 1200*time.Second)
 		}
 		_, err = g.follow(t.Context(), &rowTable{Table: memory.New(memory.Options{}).Table(), version: 91}, version, false)
 		assert.NilError(t, err)
-		assert.Assert(t, !quarantined(g, crashing), "removed since")
+		assert.Assert(t, !quarantined(g, crashing), "removed since then")
 	})
 }
 
-// TestInvalidRowsAreIgnored: rows that are none are left out, the others hold; a time of day that is wrong makes no hold longer
-// than it says.
+// TestInvalidRowsAreIgnored: invalid rows are ignored and the others apply; a wrong clock makes no hold last longer than
+// its duration.
 func TestInvalidRowsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		row := func(begun time.Time, seconds float64) []byte {
--- a/holdback/persist.go
+++ b/holdback/persist.go
@@ -12,51 +12,52 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// TableName is the table of the platform's store in which holds are kept: a row for each, under its digest.
+// TableName is the table of the platform's store that persists holds: one row for each, with the request's digest as
+// its key.
 const TableName = "quarantine"
 
-// Table is where holds are kept.
+// Table is a table of the platform's store with a change feed.
 type Table interface {
 	store.Table
-	// All returns all rows, and the version of the store from which Changes goes on.
+	// All returns all rows, and the version of the store from which Changes continues.
 	All(ctx context.Context) (rows []store.Row, version int64, err error)
-	// Changes waits for rows to change after a version. It returns those that were written, the keys of those that
-	// were removed, and the version to go on from.
+	// Changes waits for rows to change after a version. It returns the rows that were written, the keys of the rows that
+	// were removed, and the version to continue from.
 	Changes(ctx context.Context, after int64, wait time.Duration) (rows []store.Row, removed []string, next int64, err error)
 }
 
 const (
-	// changesTimeout is how long the store may wait for a change. Holds reach gateways from each other; the store is for
-	// those that hear none.
+	// changesTimeout is how long the store may wait for a change. Gateways report holds to each other; the store is for
+	// those that receive no reports.
 	changesTimeout = 15 * time.Second
-	// persistRetry is the pause after a hold that could not be kept.
+	// persistRetry is the interval at which holds that could not be written are tried again.
 	persistRetry = 500 * time.Millisecond
-	// persistDelay is the time after which a hold that another gateway decided and has not kept is kept by a reader: time
-	// for the write and for the change to come round.
+	// persistDelay is the age from which a process that reads the store for all writes a hold that the deciding gateway
+	// has not written: time for that gateway's write and for the change to reach this process.
 	persistDelay = 2 * time.Second
 )
 
-// Row is how a hold is kept.
+// Row is the value of a hold's row.
 type Row struct {
 	Begun time.Time `json:"begun"`
-	// ForSeconds is the whole time of the hold.
+	// ForSeconds is the full duration of the hold.
 	ForSeconds float64 `json:"for_s"`
-	// Servers are those that ended under the request, as far as the gateway that kept it knows them.
+	// Servers are the servers that terminated while running the request, as known to the gateway that wrote the row.
 	Servers []string `json:"servers"`
 }
 
-// storeState is a hold in the store.
+// storeState is the local state of a hold's row in the store.
 type storeState struct {
-	// version is that of its row; zero until it was read.
+	// version is that of the row; zero until the row was read.
 	version uint64
-	// duration is the duration time of the hold.
+	// duration is the full duration of the hold.
 	duration time.Duration
-	// removeAfter is when its row may go.
+	// removeAfter is the time from which the row may be removed.
 	removeAfter time.Time
 }
 
-// hold is the hold of a row. It is kept by the time of day, since no other clock outlasts a process; times of day
-// of VMs differ by seconds, and a hold lasts no longer than it says whatever they are.
+// hold returns the hold of a row. Rows use wall-clock time, since a monotonic clock doesn't outlast its process; the
+// clocks of VMs differ by seconds, and whatever they show, a hold lasts no longer than its duration.
 func (r Row) hold(d fingerprint.Digest, now time.Time) (quarantine.Hold, error) {
 	duration := time.Duration(r.ForSeconds * float64(time.Second))
 	if duration <= 0 || duration > quarantine.MaxHold {
@@ -66,8 +67,8 @@
 	return quarantine.Hold{Content: d, Until: now.Add(left), For: duration}, nil
 }
 
-// Follow takes the holds of the table until ctx ends. It calls pause after a call that failed, with the number of those
-// that failed in a row.
+// Follow applies the holds of the table and their changes until ctx is done. It calls report with the result of each
+// call, and backOff after a failed one, with the number of consecutive failures.
 func (g *Guard) Follow(ctx context.Context, t Table, report func(error), backOff func(failures int)) {
 	version, synced, failures := int64(0), false, 0
 	for ctx.Err() == nil {
@@ -99,7 +100,7 @@
 		return 0, err
 	}
 	if next < version {
-		// A store that has lost its history may answer with what held seconds ago: a row that it lacks is not gone.
+		// A store that has lost its history may return its state of seconds ago: a row that it lacks was not removed.
 		g.applyRows(rows, nil)
 		return version, nil
 	}
@@ -107,7 +108,7 @@
 	return next, nil
 }
 
-// missingKeys are the keys of holds that were in the table and are not among all its rows.
+// missingKeys returns the keys of holds that were in the table and are missing in rows, the complete table.
 func (g *Guard) missingKeys(rows []store.Row) []string {
 	present := make(map[string]bool, len(rows))
 	for _, r := range rows {
@@ -136,7 +137,7 @@
 	for _, key := range removed {
 		d, err := fingerprint.Parse(key)
 		if err != nil {
-			continue // It was not taken either.
+			continue // Such a row was never applied.
 		}
 		delete(g.stored, d)
 		delete(g.removals, d)
@@ -147,7 +148,7 @@
 	}
 }
 
-// applyRow takes one row. The caller holds mu.
+// applyRow applies one row. The caller holds mu.
 func (g *Guard) applyRow(r store.Row, now time.Time) error {
 	d, err := fingerprint.Parse(r.Key)
 	if err != nil {
@@ -162,7 +163,7 @@
 		return err
 	}
 	if r.Version < g.stored[d].version {
-		return nil // What it was before.
+		return nil // An earlier state of the row.
 	}
 	g.stored[d] = storeState{version: r.Version, duration: h.For, removeAfter: h.Until.Add(h.For)}
 	if !g.off {
@@ -171,9 +172,10 @@
 	return nil
 }
 
-// Persist writes holds to the table and removes those that have ended, until ctx ends. Reads reports whether this process
-// is one of the few that read the store for all: they keep what the gateway that decided did not. It calls note with
-// the result of each call, and pause after one that failed, with the number of those that failed in a row.
+// Persist writes holds to the table and removes those that have ended, until ctx is done. readsForAll reports whether
+// this process is one of the few that read the store for all gateways: these also write the holds that the deciding
+// gateway did not. Persist calls report with the result of each call, and backOff after a failed one, with the number of
+// consecutive failures.
 func (g *Guard) Persist(ctx context.Context, t store.Table, readsForAll func() bool, report func(error), backOff func(failures int)) {
 	timer := time.NewTicker(persistRetry)
 	defer timer.Stop()
@@ -185,7 +187,7 @@
 		case <-g.persistDue:
 		case <-timer.C:
 		}
-		for _, c := range g.pendingChanges(time.Now(), readsForAll()) {
+		for _, c := range g.dueChanges(time.Now(), readsForAll()) {
 			err := g.commit(ctx, t, c)
 			if ctx.Err() != nil {
 				return
@@ -201,8 +203,8 @@
 	}
 }
 
-// commit makes one change of the table. That another process was first is no error: its row comes with the next changes
-// of the table.
+// commit makes one change of the table. A conflict with another process is no error: its row arrives with the next
+// changes of the table.
 func (g *Guard) commit(ctx context.Context, t store.Table, c change) error {
 	err := t.Commit(ctx, c.Txn)
 	var conflict *store.ConflictError
@@ -217,15 +219,15 @@
 	}
 }
 
-// change is one change of the table.
+// change is a transaction that writes or removes one hold.
 type change struct {
 	store.Txn
 	content fingerprint.Digest
 	hold    quarantine.Hold
 }
 
-// pendingChanges are the pendingChanges of the table that this process is to make.
-func (g *Guard) pendingChanges(now time.Time, readsForAll bool) []change {
+// dueChanges returns the changes of the table that this process is to make.
+func (g *Guard) dueChanges(now time.Time, readsForAll bool) []change {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []change
@@ -236,11 +238,11 @@
 		if k.duration >= h.For || removing || (!observed && (!readsForAll || now.Sub(h.Begun()) < persistDelay)) {
 			continue
 		}
-		out = append(out, g.writeHold(h, k.version))
+		out = append(out, g.changeToWrite(h, k.version))
 	}
 	for d, k := range g.stored {
-		_, drops := g.removals[d]
-		if k.version > 0 && (drops || (readsForAll && !k.removeAfter.After(now))) {
+		_, removing := g.removals[d]
+		if k.version > 0 && (removing || (readsForAll && !k.removeAfter.After(now))) {
 			out = append(out, change{content: d, Txn: store.Txn{
 				Checks: []store.Check{{Key: d.String(), Version: k.version}},
 				Writes: []store.Write{{Key: d.String(), Delete: true}},
@@ -250,8 +252,8 @@
 	return out
 }
 
-// writeHold is the change that keeps a hold. The caller holds mu.
-func (g *Guard) writeHold(h quarantine.Hold, version uint64) change {
+// changeToWrite returns the change that writes a hold. The caller holds mu.
+func (g *Guard) changeToWrite(h quarantine.Hold, version uint64) change {
 	value, err := json.Marshal(Row{Begun: h.Begun().UTC(), ForSeconds: h.For.Seconds(), Servers: g.ledger.Ends(h.Content)})
 	if err != nil {
 		panic(err) // A Row can always be encoded.
@@ -262,7 +264,7 @@
 	}}
 }
 
-// committed notes that a change was made; the version of the row comes with the next changes of the table.
+// committed records that a change was made; the version of the row arrives with the next changes of the table.
 func (g *Guard) committed(c change) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/holdback/report.go
+++ b/holdback/report.go
@@ -10,18 +10,18 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/quarantine"
 )
 
-// Bounds of what one message tells, the newest: 60 sightings of 55 bytes, 50 holds of 30 and as many releases, 6 kB, so
-// that it fits a datagram, and reports to dozens of gateways come through a link of 10 Mbit/s. What is left out is told by
-// the gateways that it began at, or is in the store.
+// Bounds of one message, which contains the newest updates: 60 observations of 55 bytes, and 50 holds of 30 bytes and as
+// many releases, together 6 kB, so that it fits a datagram and reports to dozens of gateways pass a link of 10 Mbit/s.
+// Updates left out are reported by the gateways where they originate, or are in the store.
 const (
 	maxObservationsPerReport = 60
 	maxHoldsPerReport        = 50
 )
 
-// Updates is sent to when Recent has something new to tell.
+// Updates returns a channel that signals that Recent has something new.
 func (g *Guard) Updates() <-chan struct{} { return g.updates }
 
-// Recent is what began here within some time.
+// Recent returns the updates that originated here within some time.
 func (g *Guard) Recent(within time.Duration) *peer.Suspects {
 	now := time.Now()
 	g.mu.Lock()
@@ -32,7 +32,7 @@
 	}))
 }
 
-// Report is what every gateway has to hear: what began here within some time, and all holds.
+// Report returns the periodic report to every gateway: the updates that originated here within some time, and all holds.
 func (g *Guard) Report(within time.Duration) *peer.Suspects {
 	now := time.Now()
 	g.mu.Lock()
@@ -43,23 +43,23 @@
 	return g.encode(now, within, g.ledger.Holds(now))
 }
 
-// expireUpdates drops what was told for long enough. The caller holds mu.
+// expireUpdates removes the updates that are older than within. The caller holds mu.
 func (g *Guard) expireUpdates(now time.Time, within time.Duration) {
-	g.observations = slices.DeleteFunc(g.observations, func(s observation) bool { return now.Sub(s.at) >= within })
+	g.observations = slices.DeleteFunc(g.observations, func(o timedObservation) bool { return now.Sub(o.at) >= within })
 	expired := func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= within }
 	maps.DeleteFunc(g.releases, expired)
 	maps.DeleteFunc(g.localHolds, expired)
 }
 
-// encode encodes what began here within some time, and holds. The caller holds mu.
+// encode encodes holds, and the observations and releases that originated here within some time. The caller holds mu.
 func (g *Guard) encode(now time.Time, within time.Duration, holds []quarantine.Hold) *peer.Suspects {
 	out := &peer.Suspects{}
-	for _, s := range slices.Backward(g.observations) {
-		if now.Sub(s.at) >= within || len(out.Sightings) == maxObservationsPerReport {
+	for _, o := range slices.Backward(g.observations) {
+		if now.Sub(o.at) >= within || len(out.Sightings) == maxObservationsPerReport {
 			break
 		}
 		out.Sightings = append(out.Sightings, &peer.Sighting{
-			Content: s.Content[:], Server: s.Server, Generated: uint32(s.Generated), AgeMs: ageMillis(s.at, now),
+			Content: o.Content[:], Server: o.Server, Generated: uint32(o.Generated), AgeMs: ageMillis(o.at, now),
 		})
 	}
 	for _, h := range holds[:min(len(holds), maxHoldsPerReport)] {
@@ -78,7 +78,7 @@
 
 func ageMillis(at, now time.Time) uint32 { return uint32(now.Sub(at).Milliseconds()) }
 
-// Receive takes what another gateway told.
+// Receive applies a report of another gateway.
 func (g *Guard) Receive(in *peer.Suspects, from string) {
 	if in == nil || g.off {
 		return
@@ -97,19 +97,19 @@
 		}
 	}
 	changed := false
-	for _, s := range in.GetSightings() {
-		if d, ok := parseDigest(s.GetContent()); ok {
-			observed := quarantine.Sighting{Content: d, Server: s.GetServer(), Generated: int(s.GetGenerated())}
-			changed = g.ledger.Sight(observed, now.Add(-boundedMillis(uint64(s.GetAgeMs())))) || changed
+	for _, o := range in.GetSightings() {
+		if d, ok := parseDigest(o.GetContent()); ok {
+			observed := quarantine.Sighting{Content: d, Server: o.GetServer(), Generated: int(o.GetGenerated())}
+			changed = g.ledger.Sight(observed, now.Add(-boundedMillis(uint64(o.GetAgeMs())))) || changed
 		}
 	}
-	// Reports repeat what was told, and a look at 8,000 suspects takes a tenth of a millisecond.
+	// Reports repeat earlier ones, and a decision among 8,000 suspected requests takes a tenth of a millisecond.
 	if changed {
 		g.decide()
 	}
 }
 
-// applyHold takes a hold that was decided elsewhere, unless it is impossible. The caller holds mu.
+// applyHold applies a hold that was decided elsewhere, unless its times are invalid. The caller holds mu.
 func (g *Guard) applyHold(h quarantine.Hold, from string) {
 	if h.For <= 0 || h.For > quarantine.MaxHold || h.Begun().After(time.Now()) {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// applyRelease takes a release from elsewhere, and reports whether it changed anything. The caller holds mu.
+// applyRelease applies a release from elsewhere, and reports whether it changed anything. The caller holds mu.
 func (g *Guard) applyRelease(d fingerprint.Digest, at time.Time, from string) bool {
 	_, held := g.ledger.Held(d, time.Now())
 	changed := g.ledger.Clear(d, at)
@@ -129,12 +129,12 @@
 	return changed
 }
 
-// parseDigest is the digest that b holds; ok is false if it holds none.
+// parseDigest returns the digest in b; ok is false if b is not of the length of one.
 func parseDigest(b []byte) (d fingerprint.Digest, ok bool) {
 	return d, copy(d[:], b) == len(b) && len(b) == len(d)
 }
 
-// boundedMillis is a time of the wire; more than MaxHold is none that a gateway tells.
+// boundedMillis converts a duration from the wire, bounded by MaxHold, the longest that a gateway reports.
 func boundedMillis(n uint64) time.Duration {
 	return time.Duration(min(n, uint64(quarantine.MaxHold.Milliseconds()))) * time.Millisecond
 }
--- a/holdback/stored.go
+++ b/holdback/stored.go
@@ -11,27 +11,27 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// ErrNotQuarantined means that no hold of a request is kept.
-var ErrNotQuarantined = errors.New("no such request is held back")
+// ErrNotQuarantined means that the store has no hold of a request.
+var ErrNotQuarantined = errors.New("no such request is quarantined")
 
-// StoredHold is a hold as it is kept, for operators.
+// StoredHold is a row of the store, as shown to operators.
 type StoredHold struct {
 	// Content is the key of the row: the digest of the request.
 	Content string `json:"content"`
 	Row
-	// Fault says why the row is none; the other fields but Content are empty then.
+	// Fault says why the row is invalid; all other fields but Content are empty then.
 	Fault string `json:"fault,omitempty"`
 }
 
-// Until is when the hold ends.
-func (k StoredHold) Until() time.Time {
-	return k.Begun.Add(time.Duration(k.ForSeconds * float64(time.Second)))
+// Until returns when the hold ends.
+func (h StoredHold) Until() time.Time {
+	return h.Begun.Add(time.Duration(h.ForSeconds * float64(time.Second)))
 }
 
-// pageSize is the number of rows that one call reads.
+// pageSize is the maximum number of rows that one call reads.
 const pageSize = 500
 
-// List returns the holds of a table, those that have ended and not been removed included.
+// List returns the holds of a table, including those that have ended but were not removed yet.
 func List(ctx context.Context, t store.Table) ([]StoredHold, error) {
 	var out []StoredHold
 	after := ""
@@ -51,14 +51,15 @@
 }
 
 func decodeRow(r store.Row) StoredHold {
-	k := StoredHold{Content: r.Key}
-	if err := json.Unmarshal(r.Value, &k.Row); err != nil {
+	h := StoredHold{Content: r.Key}
+	if err := json.Unmarshal(r.Value, &h.Row); err != nil {
 		return StoredHold{Content: r.Key, Fault: err.Error()}
 	}
-	return k
+	return h
 }
 
-// Release removes the hold of a request, so that all gateways let it through. ErrNotQuarantined means that there is none.
+// Release removes the hold of a request, so that all gateways serve it again. It returns ErrNotQuarantined if there is
+// none.
 func Release(ctx context.Context, t store.Table, digest string) error {
 	d, err := fingerprint.Parse(digest)
 	if err != nil {
--- a/holdback/stored_test.go
+++ b/holdback/stored_test.go
@@ -11,7 +11,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// TestListAndRelease: an operator sees what is kept, also rows that are none, and removes one.
+// TestListAndRelease: an operator lists the stored holds, including invalid rows, and releases one.
 func TestListAndRelease(t *testing.T) {
 	table := memory.New(memory.Options{}).Table()
 	begun := time.Unix(1_000_000, 0).UTC()
