--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBuffer is the size of a connection's read buffer: most answers of plain
-// services fit, and thousands of idle connections stay small.
+// readBuffer is the size of a connection's read buffer: most responses of plain
+// services fit, and thousands of idle connections use little memory.
 const readBuffer = 4 << 10
 
-// idleMargin is kept from the idle time that a server states, so that a request is
-// not sent just as the server closes.
+// idleMargin is subtracted from the idle timeout that a server states, so that no request
+// is sent just as the server closes the connection.
 const idleMargin = 500 * time.Millisecond
 
 // conn is one connection to a server. It carries one request at a time.
@@ -25,7 +25,8 @@
 	net.Conn
 	br   *bufio.Reader
 	addr string
-	// usableUntil is when the server may close the connection; zero when it stated nothing.
+	// usableUntil is the time from which the connection is not reused, since the server may
+	// close it; zero if the server stated no idle timeout.
 	usableUntil time.Time
 }
 
@@ -33,8 +34,8 @@
 	return &conn{Conn: c, br: bufio.NewReaderSize(c, readBuffer), addr: addr}
 }
 
-// reusable reports whether an idle connection may carry another request: nothing has
-// arrived on it unasked and the server has not closed it.
+// reusable reports whether an idle connection may carry another request: there is no
+// unsolicited data on it and the server has not closed it.
 func (c *conn) reusable(now time.Time) bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -45,7 +46,8 @@
 	return c.nothingPending()
 }
 
-// nothingPending looks for data or an end of file without blocking.
+// nothingPending reports whether the socket has neither data nor an end of file or error pending,
+// without blocking.
 func (c *conn) nothingPending() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -65,7 +67,7 @@
 	return err == nil && idle
 }
 
-// recordKeepAlive takes the idle time that the server states in an answer.
+// recordKeepAlive records the idle timeout that the server states in the Keep-Alive header.
 func (c *conn) recordKeepAlive(h http.Header, now time.Time) {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -12,8 +12,8 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// TestDialIsBounded: a server that has gone silent costs a request no more than the bound of a connection's
-// opening, and is known not to have seen it.
+// TestDialIsBounded: an unresponsive server delays a request by no more than the dial timeout, and the error says that
+// the request was not sent.
 func TestDialIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 150 * time.Millisecond
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -11,46 +11,47 @@
 	"time"
 )
 
-// maxInlineBody is written together with the head; a longer one is written while the
-// answer is already being read, since a server may answer before it has read it.
+// maxInlineBody is the maximum length of a body that is written together with the head; a
+// longer one is written while the response is read, since a server may respond before it
+// has read the body.
 const maxInlineBody = 8 << 10
 
-// maxUnmatched is the number of answers to other requests that are passed over on one
-// connection before it is given up.
+// maxUnmatched is the number of responses to other requests that are skipped on one
+// connection before it is closed.
 const maxUnmatched = 2
 
 // Request is one request to a server.
 type Request struct {
 	Method string
-	// Target is the path and query exactly as they go on the wire.
+	// Target is the path and query exactly as sent on the wire.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches tells an answer to this request from one to an earlier request that
-	// arrived late; nil accepts all.
+	// Matches reports whether a response with these headers belongs to this request and
+	// not, delayed, to an earlier one; nil accepts all.
 	Matches func(http.Header) bool
 }
 
-// Response is an answer whose head was read. Body must be read to its end or closed.
+// Response is a response whose head was read. Body must be read to its end or closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, or -1 if it is not known beforehand.
+	// Length is that of the body, or -1 if it is not known in advance.
 	Length int64
-	// Close is set if the server closes the connection after the answer.
+	// Close is set if the server closes the connection after the response.
 	Close bool
-	// SentAt is when the request began to be sent.
+	// SentAt is when sending the request began.
 	SentAt time.Time
 	Body   io.ReadCloser
 }
 
-// errUnmatched ends a connection on which other requests' answers keep arriving.
-var errUnmatched = errors.New("answers to other requests on the connection")
+// errUnmatched means that a connection was closed because of responses to other requests.
+var errUnmatched = errors.New("responses to other requests on the connection")
 
-// Do sends r to addr and returns once the head of the answer was read. Cancelling ctx
-// closes the connection, also later while the body is read. An error wraps ErrNotSent
-// when the server can't have seen the request; after any other it may have run.
+// Do sends r to addr and returns once the head of the response was read. Cancelling ctx
+// closes the connection, also while the body is read. An error wraps ErrNotSent
+// if the server can't have seen the request; after any other error it may have run.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
@@ -78,10 +79,10 @@
 type exchange struct {
 	pool *Pool
 	conn *conn
-	// sentAt is when the request began to be sent.
+	// sentAt is when sending the request began.
 	sentAt       time.Time
 	stopWatching func() bool
-	// writeDone is closed when the whole request was writeDone; wrote is valid then.
+	// writeDone is closed once writing the request has ended; writeErr is valid then.
 	writeDone chan struct{}
 	writeErr  error
 
@@ -125,7 +126,7 @@
 	return b.Bytes()
 }
 
-// readHead reads the readHead of the answer and passes over answers to other requests.
+// readHead reads the head of the response and skips responses to other requests.
 func (x *exchange) readHead(r *Request) (*Response, error) {
 	for range maxUnmatched + 1 {
 		res, err := http.ReadResponse(x.conn.br, &http.Request{Method: r.Method})
@@ -160,7 +161,7 @@
 	}
 }
 
-// abort closes the connection.
+// abort ends the exchange and closes the connection.
 func (x *exchange) abort() {
 	x.endOnce.Do(func() {
 		x.stopWatching()
@@ -168,7 +169,8 @@
 	})
 }
 
-// release gives the connection back after the answer was read whole.
+// release returns the connection to the pool after the complete response was read, or
+// closes it if it can't be reused.
 func (x *exchange) release() {
 	x.endOnce.Do(func() {
 		if !x.stopWatching() || !x.keepAlive || !x.fullyWritten() || x.conn.br.Buffered() > 0 {
@@ -179,7 +181,7 @@
 	})
 }
 
-// fullyWritten reports whether the request was written whole by now.
+// fullyWritten reports whether the complete request has been written.
 func (x *exchange) fullyWritten() bool {
 	select {
 	case <-x.writeDone:
@@ -189,14 +191,14 @@
 	}
 }
 
-// body is the body of an answer. Its end gives the connection back; closing it before
-// closes the connection, so that the server stops work.
+// body is the body of a response. Reading it to its end releases the connection; closing it
+// earlier closes the connection, so that the server stops working on the request.
 type body struct {
 	io.Reader
 	x *exchange
 }
 
-// Read implements io.Reader. io.EOF means that the body is whole.
+// Read implements io.Reader. io.EOF means that the body is complete.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,10 +1,10 @@
-// Package upstream is the HTTP/1.1 client towards backend servers.
+// Package upstream is the HTTP/1.1 client for backend servers.
 //
-// It differs from a general client in what it promises: a connection carries one
-// request at a time and is used again only when its last answer was read whole and
-// nothing came after it; nothing is ever sent twice by itself; and each error says
-// whether the request can have reached the server. Heads are written and read by
-// net/http's own code.
+// It gives guarantees that a general client doesn't: a connection carries one
+// request at a time and is reused only if its last response was read completely and
+// no data followed it; a request is never resent automatically; and each error says
+// whether the request can have reached the server. Heads are written and parsed by
+// net/http.
 package upstream
 
 import (
@@ -18,38 +18,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNotSent means that no byte of the request was handed to the network.
+// ErrNotSent means that no byte of the request was sent.
 var ErrNotSent = errors.New("request not sent")
 
-// Options tune a Pool. Zero fields take the defaults.
+// Options configure a Pool. Zero fields take the defaults.
 type Options struct {
 	// DialTimeout bounds a connection attempt.
 	DialTimeout time.Duration
-	// UnackedTimeout is how long sent bytes may stay unacknowledged before the connection is
-	// given up: it finds hosts that are gone and connections that went silent.
+	// UnackedTimeout is how long sent bytes may stay unacknowledged before the connection
+	// fails (TCP_USER_TIMEOUT): it detects lost hosts and unresponsive connections.
 	UnackedTimeout time.Duration
 	// IdleTimeout is how long an unused connection is kept.
 	IdleTimeout time.Duration
 	// MaxIdlePerServer bounds the unused connections to one server.
 	MaxIdlePerServer int
-	// Connect opens a connection; TCP if it is nil.
+	// Connect opens a connection; if nil, over TCP.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout is several round trips between zones plus the second within which
-	// a lost opening packet is sent again.
+	// DefaultDialTimeout is several round trips between zones plus the second after which
+	// a lost SYN is retransmitted.
 	DefaultDialTimeout = 1200 * time.Millisecond
-	// DefaultUnackedTimeout is below the shortest timeout of a lookup.
+	// DefaultUnackedTimeout is less than the shortest timeout of a lookup.
 	DefaultUnackedTimeout = 1500 * time.Millisecond
-	// DefaultIdleTimeout bounds what is kept for a server that states no idle timeout; whether it
-	// has closed the connection is looked at before each use.
+	// DefaultIdleTimeout applies to servers that state no idle timeout; whether the server has
+	// closed the connection is checked before each reuse.
 	DefaultIdleTimeout      = 20 * time.Second
 	DefaultMaxIdlePerServer = 32
 )
 
-// Pool keeps connections to servers. It is safe for concurrent use.
+// Pool sends requests and keeps idle connections to servers. It is safe for concurrent use.
 type Pool struct {
 	opts Options
 
@@ -85,7 +85,7 @@
 	return p
 }
 
-// control bounds the time that sent bytes may stay unacknowledged.
+// control sets UnackedTimeout on a new socket.
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
 	var opt error
 	err := raw.Control(func(fd uintptr) {
@@ -97,7 +97,7 @@
 	return opt
 }
 
-// Dialed is the number of connections opened so far.
+// Dialed returns the number of connections opened so far.
 func (p *Pool) Dialed() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +128,7 @@
 	return newConn(c, addr), nil
 }
 
-// Probe reports whether a server can be reached: on an unused connection that is sound, or by opening one,
+// Probe checks that a server can be reached: by a reusable idle connection, or by opening one,
 // which is kept for later requests.
 func (p *Pool) Probe(ctx context.Context, addr string) error {
 	c, err := p.get(ctx, addr)
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// takeIdle removes the connection that was used last, which is the least likely to
-// be closed by the server.
+// takeIdle removes and returns the most recently used idle connection, which the server is
+// least likely to have closed.
 func (p *Pool) takeIdle(addr string) *idleConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +164,7 @@
 	p.idle[c.addr] = append(p.idle[c.addr], &idleConn{conn: c, idleSince: now})
 }
 
-// CloseIdle closes the unused connections to one server, which has ended or started again.
+// CloseIdle closes the idle connections to one server, which has terminated or restarted.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -175,7 +175,7 @@
 	}
 }
 
-// Sweep closes connections that were unused for too long, and all those to servers
+// Sweep closes the connections idle for longer than IdleTimeout, and all idle ones to servers
 // for which keep returns false.
 func (p *Pool) Sweep(keep func(addr string) bool) {
 	now := time.Now()
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -18,10 +18,10 @@
 
 const ok = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
 
-// script is what a server does on one connection; it returns to close it.
+// script is a server's behaviour on one connection, which is closed when it returns.
 type script func(t *testing.T, c net.Conn, br *bufio.Reader)
 
-// readRequest reads one request.
+// readRequest reads one request; nil after an error.
 func readRequest(t *testing.T, br *bufio.Reader) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(br)
@@ -38,7 +38,7 @@
 
 func send(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-// respondWith answers each request on the connection with the next text.
+// respondWith sends the next text in response to each request on the connection.
 func respondWith(texts ...string) script {
 	return func(t *testing.T, c net.Conn, br *bufio.Reader) {
 		for _, text := range texts {
@@ -51,8 +51,8 @@
 	}
 }
 
-// serve runs one script for each connection, the last one for all after them, and counts
-// the connections.
+// serve runs a server that handles each connection with the next script, and all further
+// ones with the last script; conns counts the connections.
 func serve(t *testing.T, scripts ...script) (addr string, conns func() int) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -81,7 +81,7 @@
 	}
 }
 
-// do sends a request and reads the whole answer.
+// do sends a request and reads the complete response.
 func do(ctx context.Context, p *upstream.Pool, addr string, r *upstream.Request) (string, error) {
 	res, err := p.Do(ctx, addr, r)
 	if err != nil {
@@ -100,12 +100,12 @@
 	}{
 		{"whole", ok, "ok", false, true},
 		{"chunked", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "ok", false, true},
-		{"asked to close", "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", false, false},
-		{"bytes after the answer", ok + "more", "ok", false, false},
-		{"an answer that came late stands first", "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 5\r\n\r\nother" + ok, "ok", false, true},
-		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, "ok", false, true},
-		{"only answers of others", strings.Repeat("HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 0\r\n\r\n", 3), "", true, false},
-		{"no answer in the protocol", "garbage\r\n\r\n", "", true, false},
+		{"server asks to close", "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", false, false},
+		{"bytes after the response", ok + "more", "ok", false, false},
+		{"delayed response to another request first", "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 5\r\n\r\nother" + ok, "ok", false, true},
+		{"interim response first", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, "ok", false, true},
+		{"only responses to other requests", strings.Repeat("HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 0\r\n\r\n", 3), "", true, false},
+		{"response that is not HTTP", "garbage\r\n\r\n", "", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, conns := serve(t, respondWith(c.answer, ok), respondWith(ok))
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestAnswerWithoutLength ends with its connection: it is whole only when that was closed
-// and not reset.
+// TestAnswerWithoutLength: a response without a length ends with its connection, and is complete
+// only if the connection was closed and not reset.
 func TestAnswerWithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		received := make(chan struct{})
@@ -193,7 +193,7 @@
 	assert.ErrorIs(t, err, upstream.ErrNotSent)
 }
 
-// TestIdleConnectionClosedByServer is not used again: the request would be lost.
+// TestIdleConnectionClosedByServer: such a connection is not reused, since the request would be lost.
 func TestIdleConnectionClosedByServer(t *testing.T) {
 	closed := make(chan struct{})
 	addr, conns := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -222,9 +222,9 @@
 	assert.Equal(t, conns(), 2)
 }
 
-// TestCancelClosesTheConnection is how a server learns that a client has left.
+// TestCancelClosesTheConnection: a closed connection tells the server that the client has cancelled.
 func TestCancelClosesTheConnection(t *testing.T) {
-	for name, text := range map[string]string{"before the answer": "", "within the answer": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nok"} {
+	for name, text := range map[string]string{"before the response": "", "within the response": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
 			started, closed := make(chan struct{}), make(chan struct{})
 			addr, _ := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// TestEarlyAnswerToLongBody: the server answers before it has read the body and goes on
-// reading it. The rest must reach it, or the connection must end.
+// TestEarlyAnswerToLongBody: the server responds before it has read the body and continues
+// reading. The rest of the body must reach it, or the connection must be closed.
 func TestEarlyAnswerToLongBody(t *testing.T) {
 	r := request()
 	r.Body = []byte(strings.Repeat("x", 8<<20))
@@ -260,7 +260,7 @@
 		send(c, ok)
 		n, err := io.Copy(io.Discard, head.Body)
 		if err == nil && n != int64(len(r.Body)) {
-			t.Errorf("other bytes than the body: %d", n)
+			t.Errorf("received a different number of bytes than the body has: %d", n)
 		}
 		got <- n
 	}, respondWith(ok))
@@ -271,7 +271,7 @@
 	<-got
 	_, err = do(t.Context(), p, addr, request())
 	assert.NilError(t, err)
-	assert.Equal(t, conns(), 2, "the connection is not used again")
+	assert.Equal(t, conns(), 2, "the connection is not reused")
 }
 
 func TestSweep(t *testing.T) {
@@ -304,7 +304,7 @@
 			return
 		}
 		if res.Header.Get("Id") != "1" {
-			t.Error("an answer to another request")
+			t.Error("a response to another request")
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close()
