--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -49,7 +49,7 @@
 }
 
 type timedObservation struct {
-	quarantine.Sighting
+	quarantine.Observation
 	at time.Time
 }
 
@@ -74,18 +74,18 @@
 func (g *Guard) Active() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Watches()
+	return g.ledger.Active()
 }
 
 // Quarantined reports whether a request is quarantined, and for how much longer.
 func (g *Guard) Quarantined(d fingerprint.Digest) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Held(d, time.Now())
+	return g.ledger.Quarantined(d, time.Now())
 }
 
 // ServerTerminated takes the requests of this process that were in progress at a terminated server.
-func (g *Guard) ServerTerminated(server string, broken []quarantine.Broken) {
+func (g *Guard) ServerTerminated(server string, broken []quarantine.BrokenAttempt) {
 	if g.off {
 		return
 	}
@@ -93,8 +93,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range broken {
-		o := quarantine.Sighting{Content: b.Content, Server: server, Generated: b.Generated}
-		if g.ledger.Sight(o, now) {
+		o := quarantine.Observation{Content: b.Content, Server: server, Generated: b.Generated}
+		if g.ledger.Observe(o, now) {
 			g.observations = append(g.observations, timedObservation{o, now})
 		}
 	}
@@ -107,7 +107,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, held := g.ledger.Held(d, now)
+	_, held := g.ledger.Quarantined(d, now)
 	if !g.ledger.Clear(d, now) {
 		return
 	}
@@ -127,7 +127,7 @@
 	now := time.Now()
 	g.ledger.Expire(now)
 	g.expireUpdates(now, updateTTL)
-	maps.DeleteFunc(g.removals, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.SightingLife })
+	maps.DeleteFunc(g.removals, func(_ fingerprint.Digest, at time.Time) bool { return now.Sub(at) >= quarantine.ObservationTTL })
 }
 
 // updateTTL is how long updates that originate here are kept for reports, whatever the interval of reports.
@@ -138,7 +138,7 @@
 	begun, again := g.ledger.Decide(time.Now())
 	for _, h := range begun {
 		g.met.Counter(metrics.Holds).Inc(1)
-		g.localHolds[h.Content] = h.Begun()
+		g.localHolds[h.Content] = h.StartedAt()
 		delete(g.removals, h.Content)
 		g.logHold(h, sourceLocal)
 	}
@@ -159,8 +159,8 @@
 
 // logHold logs a new hold and signals that it may have to be persisted. The caller holds mu.
 func (g *Guard) logHold(h quarantine.Hold, from string) {
-	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.Ends(h.Content)).
-		Dur("left", time.Until(h.Until)).Dur("for", h.For).Str("from", from).Msg("")
+	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.TerminatedServers(h.Content)).
+		Dur("left", time.Until(h.Until)).Dur("for", h.Duration).Str("from", from).Msg("")
 	notify(g.persistDue)
 }
 
--- a/holdback/holdback_test.go
+++ b/holdback/holdback_test.go
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := []*Guard{newGuard(false), newGuard(false), newGuard(false)}
 		for i, g := range list {
-			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}, {Content: harmless, Generated: 9}})
+			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: crashing}, {Content: harmless, Generated: 9}})
 			exchangeReports(list...)
 			time.Sleep(time.Second)
 		}
@@ -77,8 +77,8 @@
 func TestNothingIsQuarantinedWhenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(true)
-		for i := range quarantine.MostEnds {
-			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
+		for i := range quarantine.MaxTerminations {
+			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: crashing}})
 		}
 		g.Receive(&peer.Suspects{Holds: []*peer.Hold{{Content: crashing[:], LeftMs: 1000, ForMs: 1000}}}, "g2")
 		time.Sleep(time.Second)
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
 		for i := range 300 {
-			g.ServerTerminated(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.Broken{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
+			g.ServerTerminated(fmt.Sprintf("i-%010d@%d", i, time.Now().UnixMilli()), []quarantine.BrokenAttempt{{Content: fingerprint.Of(fingerprint.Request{Target: fmt.Sprint(i)})}})
 		}
 		r := g.Report(time.Minute)
 		assert.Equal(t, len(r.GetSightings()), maxObservationsPerReport)
@@ -161,10 +161,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		observer, storeReader, other := newGuard(false), newGuard(false), newGuard(false)
-		for i := range quarantine.MostEnds {
-			observer.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
+		for i := range quarantine.MaxTerminations {
+			observer.ServerTerminated(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: crashing}})
 		}
-		time.Sleep(quarantine.Settle)
+		time.Sleep(quarantine.SettleDelay)
 		synctest.Wait()
 		exchangeReports(observer, storeReader, other)
 		assert.Equal(t, persist(t, other, table, false), 0)
@@ -198,10 +198,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		g := newGuard(false)
-		for i := range quarantine.MostEnds {
-			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.Broken{{Content: crashing}})
+		for i := range quarantine.MaxTerminations {
+			g.ServerTerminated(fmt.Sprint("s", i), []quarantine.BrokenAttempt{{Content: crashing}})
 		}
-		time.Sleep(quarantine.Settle)
+		time.Sleep(quarantine.SettleDelay)
 		synctest.Wait()
 		empty := &rowTable{Table: memory.New(memory.Options{}).Table()}
 		assert.Equal(t, persist(t, g, table, false), 1)
--- a/holdback/persist.go
+++ b/holdback/persist.go
@@ -64,7 +64,7 @@
 		return quarantine.Hold{}, errors.New("for_s is out of range")
 	}
 	left := min(r.Begun.Add(duration).Sub(now.Round(0)), duration)
-	return quarantine.Hold{Content: d, Until: now.Add(left), For: duration}, nil
+	return quarantine.Hold{Content: d, Until: now.Add(left), Duration: duration}, nil
 }
 
 // Follow applies the holds of the table and their changes until ctx is done. It calls report with the result of each
@@ -165,7 +165,7 @@
 	if r.Version < g.stored[d].version {
 		return nil // An earlier state of the row.
 	}
-	g.stored[d] = storeState{version: r.Version, duration: h.For, removeAfter: h.Until.Add(h.For)}
+	g.stored[d] = storeState{version: r.Version, duration: h.Duration, removeAfter: h.Until.Add(h.Duration)}
 	if !g.off {
 		g.applyHold(h, sourceStore)
 	}
@@ -235,7 +235,7 @@
 		k := g.stored[h.Content]
 		observed := g.observedLocally(h.Content)
 		_, removing := g.removals[h.Content]
-		if k.duration >= h.For || removing || (!observed && (!readsForAll || now.Sub(h.Begun()) < persistDelay)) {
+		if k.duration >= h.Duration || removing || (!observed && (!readsForAll || now.Sub(h.StartedAt()) < persistDelay)) {
 			continue
 		}
 		out = append(out, g.changeToWrite(h, k.version))
@@ -254,7 +254,7 @@
 
 // changeToWrite returns the change that writes a hold. The caller holds mu.
 func (g *Guard) changeToWrite(h quarantine.Hold, version uint64) change {
-	value, err := json.Marshal(Row{Begun: h.Begun().UTC(), ForSeconds: h.For.Seconds(), Servers: g.ledger.Ends(h.Content)})
+	value, err := json.Marshal(Row{Begun: h.StartedAt().UTC(), ForSeconds: h.Duration.Seconds(), Servers: g.ledger.TerminatedServers(h.Content)})
 	if err != nil {
 		panic(err) // A Row can always be encoded.
 	}
@@ -268,12 +268,12 @@
 func (g *Guard) committed(c change) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c.hold.For == 0 {
+	if c.hold.Duration == 0 {
 		delete(g.stored, c.content)
 		delete(g.removals, c.content)
 		return
 	}
 	k := g.stored[c.content]
-	k.duration, k.removeAfter = c.hold.For, c.hold.Until.Add(c.hold.For)
+	k.duration, k.removeAfter = c.hold.Duration, c.hold.Until.Add(c.hold.Duration)
 	g.stored[c.content] = k
 }
--- a/holdback/report.go
+++ b/holdback/report.go
@@ -37,7 +37,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.ledger.Watches() && len(g.releases) == 0 {
+	if !g.ledger.Active() && len(g.releases) == 0 {
 		return nil
 	}
 	return g.encode(now, within, g.ledger.Holds(now))
@@ -65,7 +65,7 @@
 	for _, h := range holds[:min(len(holds), maxHoldsPerReport)] {
 		left := h.Until.Sub(now)
 		out.Holds = append(out.Holds, &peer.Hold{
-			Content: h.Content[:], LeftMs: uint64(left.Milliseconds()), ForMs: uint64(h.For.Milliseconds()),
+			Content: h.Content[:], LeftMs: uint64(left.Milliseconds()), ForMs: uint64(h.Duration.Milliseconds()),
 		})
 	}
 	for d, at := range g.releases {
@@ -93,14 +93,14 @@
 	}
 	for _, h := range in.GetHolds() {
 		if d, ok := parseDigest(h.GetContent()); ok {
-			g.applyHold(quarantine.Hold{Content: d, Until: now.Add(boundedMillis(h.GetLeftMs())), For: boundedMillis(h.GetForMs())}, from)
+			g.applyHold(quarantine.Hold{Content: d, Until: now.Add(boundedMillis(h.GetLeftMs())), Duration: boundedMillis(h.GetForMs())}, from)
 		}
 	}
 	changed := false
 	for _, o := range in.GetSightings() {
 		if d, ok := parseDigest(o.GetContent()); ok {
-			observed := quarantine.Sighting{Content: d, Server: o.GetServer(), Generated: int(o.GetGenerated())}
-			changed = g.ledger.Sight(observed, now.Add(-boundedMillis(uint64(o.GetAgeMs())))) || changed
+			observed := quarantine.Observation{Content: d, Server: o.GetServer(), Generated: int(o.GetGenerated())}
+			changed = g.ledger.Observe(observed, now.Add(-boundedMillis(uint64(o.GetAgeMs())))) || changed
 		}
 	}
 	// Reports repeat earlier ones, and a decision among 8,000 suspected requests takes a tenth of a millisecond.
@@ -111,19 +111,19 @@
 
 // applyHold applies a hold that was decided elsewhere, unless its times are invalid. The caller holds mu.
 func (g *Guard) applyHold(h quarantine.Hold, from string) {
-	if h.For <= 0 || h.For > quarantine.MaxHold || h.Begun().After(time.Now()) {
+	if h.Duration <= 0 || h.Duration > quarantine.MaxHold || h.StartedAt().After(time.Now()) {
 		return
 	}
-	if g.ledger.Hold(h) && h.Until.After(time.Now()) {
+	if g.ledger.AddHold(h) && h.Until.After(time.Now()) {
 		g.logHold(h, from)
 	}
 }
 
 // applyRelease applies a release from elsewhere, and reports whether it changed anything. The caller holds mu.
 func (g *Guard) applyRelease(d fingerprint.Digest, at time.Time, from string) bool {
-	_, held := g.ledger.Held(d, time.Now())
+	_, held := g.ledger.Quarantined(d, time.Now())
 	changed := g.ledger.Clear(d, at)
-	if _, still := g.ledger.Held(d, time.Now()); held && !still {
+	if _, still := g.ledger.Quarantined(d, time.Now()); held && !still {
 		g.logRelease(d, from)
 	}
 	return changed
--- a/policy/freshness/freshness_test.go
+++ b/policy/freshness/freshness_test.go
@@ -15,28 +15,28 @@
 	var l freshness.Ledger
 	_, known := l.Age(0)
 	assert.Assert(t, !known, "nothing is proved yet")
-	l.InForce(3)
+	l.Applied(3)
 	_, known = l.Age(0)
-	assert.Assert(t, !known, "a table alone proves nothing: it may have been replaced since")
+	assert.Assert(t, !known, "an applied version alone proves nothing: it may have been replaced since")
 
-	l.Prove(freshness.Proof{Version: 3, At: 2 * second})
+	l.AddProof(freshness.Proof{Version: 3, At: 2 * second})
 	age, known := l.Age(5 * second)
 	assert.Assert(t, known)
 	assert.Equal(t, age, 3*second)
 
-	l.Prove(freshness.Proof{Version: 4, At: 4 * second})
+	l.AddProof(freshness.Proof{Version: 4, At: 4 * second})
 	age, _ = l.Age(5 * second)
-	assert.Equal(t, age, 3*second, "a newer version is known of, and not in force here")
-	l.InForce(4)
+	assert.Equal(t, age, 3*second, "a newer version was proved but is not applied here")
+	l.Applied(4)
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second)
 
-	l.Prove(freshness.Proof{Version: 4, At: 3 * second})
+	l.AddProof(freshness.Proof{Version: 4, At: 3 * second})
 	age, _ = l.Age(5 * second)
 	assert.Equal(t, age, second, "an older proof changes nothing")
-	l.InForce(9)
+	l.Applied(9)
 	age, _ = l.Age(5 * second)
-	assert.Equal(t, age, second, "what was changed until the proof is in a later version too")
+	assert.Equal(t, age, second, "a later version contains all changes up to the proof")
 	newest, ok := l.Newest()
 	assert.Assert(t, ok)
 	assert.Equal(t, newest, freshness.Proof{Version: 4, At: 4 * second})
@@ -64,8 +64,8 @@
 
 func BenchmarkAge(b *testing.B) {
 	var l freshness.Ledger
-	l.InForce(3)
-	l.Prove(freshness.Proof{Version: 3, At: 1})
+	l.Applied(3)
+	l.AddProof(freshness.Proof{Version: 3, At: 1})
 	bounds := freshness.Bounds{Revoke: 5 * second}
 	b.ReportAllocs()
 	for b.Loop() {
