--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -1,4 +1,4 @@
-// Package holdback quarantines requests that crash backend servers. It runs the decisions of policy/quarantine with
+// Package holdback quarantines requests that crash backend servers (poison requests). It runs policy/quarantine with
 // real time, the reports of other gateways, and the platform's store, which persists each hold until it ends: a gateway
 // that starts, or that receives no reports, gets the holds from there.
 //
@@ -135,21 +135,21 @@
 
 // decide starts the holds that are due. The caller holds mu.
 func (g *Guard) decide() {
-	begun, again := g.ledger.Decide(time.Now())
-	for _, h := range begun {
+	started, next := g.ledger.Decide(time.Now())
+	for _, h := range started {
 		g.met.Counter(metrics.Holds).Inc(1)
 		g.localHolds[h.Content] = h.StartedAt()
 		delete(g.removals, h.Content)
 		g.logHold(h, sourceLocal)
 	}
-	if len(begun) > 0 {
+	if len(started) > 0 {
 		notify(g.updates)
 	}
-	if again.IsZero() || g.decisionScheduled {
+	if next.IsZero() || g.decisionScheduled {
 		return
 	}
 	g.decisionScheduled = true
-	time.AfterFunc(time.Until(again), func() {
+	time.AfterFunc(time.Until(next), func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.decisionScheduled = false
