--- a/forward/engines.go
+++ b/forward/engines.go
@@ -16,7 +16,7 @@
 // engines adds locking and timers to the policies that queue and place the requests of one service's decode engines.
 // It is safe for concurrent use.
 type engines struct {
-	terms waitqueue.Terms
+	terms waitqueue.Policy
 	off   mechanism.Set
 	// zone is the zone of this process.
 	zone string
@@ -30,7 +30,7 @@
 	suspected func(id string) bool
 	// unavailable reports whether an engine has signalled that it takes nothing now.
 	unavailable func(id string) bool
-	queue       waitqueue.Line
+	queue       waitqueue.Queue
 	// entries are the requests in queue.
 	entries map[*waitqueue.Waiter]queueEntry
 	// lengths predicts the output length of runs, by route.
@@ -119,7 +119,7 @@
 		e.lengths[routeName] = l
 	}
 	length := l.Begin(m.LengthHint, m.MaxTokens)
-	return &kvmemory.Run{Need: need, Prompt: m.PromptTokens, Length: length}, length.Expect()
+	return &kvmemory.Run{Need: need, Prompt: m.PromptTokens, Length: length}, length.Median()
 }
 
 // forget drops the predictors of routes that known does not report. Runs in progress keep their predictions.
@@ -144,7 +144,7 @@
 		return false
 	}
 	rate := e.memory.TokensPerRouter() / hold.Seconds()
-	return e.terms.Hopeless(e.queue.Ahead(w), rate, w.Until.Sub(now))
+	return e.terms.ShouldReject(e.queue.Ahead(w), rate, w.GiveUpAt.Sub(now))
 }
 
 // await waits until the request is dispatched to an engine. The engine's memory is then taken for the run, until
@@ -162,7 +162,7 @@
 	}
 	e.mu.Unlock()
 
-	timeout := time.NewTimer(time.Until(w.Until))
+	timeout := time.NewTimer(time.Until(w.GiveUpAt))
 	defer timeout.Stop()
 	select {
 	case id := <-engine:
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -28,19 +28,19 @@
 func prefillConfig(off mechanism.Set) prefillpool.Config {
 	c := prefillpool.DefaultConfig()
 	if off.Has(mechanism.LocalPrefill) {
-		c.Self = 0
+		c.DecodePrefillFactor = 0
 	}
 	return c
 }
 
 // queueTerms returns the terms of the wait queue without the disabled mechanisms.
-func queueTerms(off mechanism.Set) waitqueue.Terms {
-	t := waitqueue.DefaultTerms()
+func queueTerms(off mechanism.Set) waitqueue.Policy {
+	t := waitqueue.DefaultPolicy()
 	if off.Has(mechanism.RetryQueueing) {
 		t.LateWait = 0
 	}
 	if off.Has(mechanism.EarlyRejection) {
-		t.Doubt = math.Inf(1)
+		t.RejectFactor = math.Inf(1)
 	}
 	return t
 }
--- a/policy/kvmemory/run.go
+++ b/policy/kvmemory/run.go
@@ -46,12 +46,12 @@
 		f.Add(&c, 1)
 		return
 	}
-	f.Max += float64(r.Prompt) + r.Length.Most()
+	f.Max += float64(r.Prompt) + r.Length.MaxTokens()
 	r.Length.Progress(int(r.generated.Load()))
 	done := float64(r.Length.Tokens())
 	for i, ahead := range horizons {
 		tokens := done + tokensPerSecond*ahead.Seconds()
-		survival := r.Length.Lasts(tokens)
+		survival := r.Length.Survival(tokens)
 		size := float64(r.Prompt) + tokens
 		f.Mean[i] += math.Round(survival * size)
 		f.Variance[i] += math.Round(survival * (1 - survival) * size * size)
