--- a/forward/env_test.go
+++ b/forward/env_test.go
@@ -190,7 +190,7 @@
 		},
 		Services: map[string]route.Service{
 			"plain": {Name: "plain"},
-			"llm":   {Name: "llm", Engine: &route.Engine{Slots: 48, KVTokens: 10_000, MaxReservation: 2 * time.Second, ExportTTL: time.Minute}},
+			"llm":   {Name: "llm", Engine: &route.Engine{Slots: 48, KVTokens: 10_000, MaxReservationTTL: 2 * time.Second, ExportTTL: time.Minute}},
 		},
 		Limits: route.Limits{BodyBytes: 1000},
 	}
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -109,7 +109,7 @@
 	f, j, l := a.r.f, a.r.j, a.lease
 	start := time.Now()
 	defer func() { j.waited += time.Since(start) }()
-	lifetime := j.table.Services[j.service].Engine.MaxReservation
+	lifetime := j.table.Services[j.service].Engine.MaxReservationTTL
 	reservation, err := f.Engines.Reserve(ctx, l.server, j.reservedTokens(), lifetime)
 	if err != nil {
 		a.lease = nil
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -139,7 +139,7 @@
 // the request waits in the engine's own queue.
 func (a *streamAttempt) reserveAgain(ctx context.Context) string {
 	f, j := a.r.f, a.r.j
-	lifetime := j.table.Services[j.service].Engine.MaxReservation
+	lifetime := j.table.Services[j.service].Engine.MaxReservationTTL
 	reservation, err := f.Engines.Reserve(ctx, a.lease.server, j.reservedTokens(), lifetime)
 	if err != nil {
 		f.attemptFailed(j, a.lease.server, outcome.NoPlace, err)
--- a/route/route.go
+++ b/route/route.go
@@ -100,8 +100,8 @@
 	ExportTTL time.Duration
 	// SwitchTime is how long a change of stage takes once running requests have ended.
 	SwitchTime time.Duration
-	// MaxReservation is the maximum time to live of a reservation.
-	MaxReservation time.Duration
+	// MaxReservationTTL is the maximum time to live of a reservation.
+	MaxReservationTTL time.Duration
 }
 
 // Service is a set of backend servers that serve the same requests.
