--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -29,7 +29,7 @@
 func (s *Service) incarnationsReplaced(replaced []registry.Server) {
 	for _, r := range replaced {
 		requests := s.fwd.EndIncarnation(r.ID)
-		s.pool.Drop(r.Addr)
+		s.pool.CloseIdle(r.Addr)
 		s.metrics.Counter(metrics.StartsEnded).Inc(1)
 		event.ServerRestarted.Log(s.log).Str("server", r.Instance()).Int64("born", r.Born).Int("requests", requests).Msg("")
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -89,7 +89,7 @@
 }
 
 // readManifest reads the whole table if none was read or the history was lost, and otherwise waits for a change.
-func (s *Service) readManifest(ctx context.Context, version int64, known bool) (route.Reading, error) {
+func (s *Service) readManifest(ctx context.Context, version int64, known bool) (route.StoredTable, error) {
 	if !known {
 		return s.store.Manifest(ctx)
 	}
@@ -114,12 +114,12 @@
 }
 
 // installReading takes the store's answer to a call that was made at the time requested.
-func (s *Service) installReading(r route.Reading, requested time.Duration) {
+func (s *Service) installReading(r route.StoredTable, requested time.Duration) {
 	if r.Table == nil {
 		return
 	}
 	s.installTable(r.Table, r.Encoded, fromStore)
-	s.proofs.recordRead(r.Table.Version, r.Row, requested)
+	s.proofs.recordRead(r.Table.Version, r.RowVersion, requested)
 }
 
 // installTable puts a table in force unless a newer one is, and announces it to the other gateways.
@@ -154,7 +154,7 @@
 			continue
 		}
 		failures = 0
-		reading = reading.RequireStarts(s.view.latestIncarnation)
+		reading = reading.RequireStartTimes(s.view.latestIncarnation)
 		faults.record(s, reading.Faults)
 		s.view.recordRead(time.Now())
 		if s.view.applyServers(version, reading.List(), time.Now()) {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -82,7 +82,7 @@
 		s.view.recordSwitch(s.view.incarnationID(sw.GetServer(), sw.GetStart()), registry.Stage(sw.GetStage()), time.Duration(sw.GetAgeMs())*time.Millisecond, now)
 	}
 	s.view.receiveLeaving(r.GetLeavingServers())
-	s.guard.Take(r.GetSuspects(), from)
+	s.guard.Receive(r.GetSuspects(), from)
 	s.quotas.receive(r.GetAddr(), r.GetIncarnation(), true, r.GetUsages())
 	s.fwd.ServerLimits().Receive(r.GetAddr(), r.GetIncarnation(), true, decodeServerLimits(r.GetServerLimits(), now))
 	s.fwd.SetPeerLoads(s.peerLoads.receiveReport(r, now))
@@ -98,7 +98,7 @@
 // TakePlacement implements peer.Beliefs.
 func (s *Service) TakePlacement(p *peer.Placement) {
 	s.view.receiveLeaving(p.GetLeavingServers())
-	s.guard.Take(p.GetSuspects(), "gateway "+p.GetAddr())
+	s.guard.Receive(p.GetSuspects(), "gateway "+p.GetAddr())
 	s.quotas.receive(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
 	s.fwd.ServerLimits().Receive(p.GetAddr(), p.GetIncarnation(), false, decodeServerLimits(p.GetServerLimits(), time.Now()))
 	for _, failed := range p.GetFailures() {
--- a/gateway/serverlist.go
+++ b/gateway/serverlist.go
@@ -18,7 +18,7 @@
 func (v *view) applyList(version int64, list []registry.Server, now time.Time) (changed bool, replaced []registry.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	defer func() { replaced = v.registry.TakeEnded() }()
+	defer func() { replaced = v.registry.TakeTerminated() }()
 	before := v.registry.List()
 	if !v.registry.Apply(version, list, now) {
 		return false, nil
@@ -38,14 +38,14 @@
 
 // incarnationID returns the ID of an incarnation that another gateway reports by its tag.
 func (v *view) incarnationID(instance string, tag uint32) string {
-	return registry.Tagged(instance, tag, v.latestIncarnation(instance))
+	return registry.ResolveTag(instance, tag, v.latestIncarnation(instance))
 }
 
 // latestIncarnation returns the start time of the latest known incarnation of an instance; zero if none is known.
 func (v *view) latestIncarnation(instance string) int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.registry.Latest(instance)
+	return v.registry.LatestStart(instance)
 }
 
 // applyServersUpdate applies an update from another gateway and reports whether it changed anything. Changes to a
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -34,7 +34,7 @@
 	})
 	s.work.Go(func() {
 		dep := &dependency{s: s, what: "holds kept"}
-		s.guard.Keep(ctx, s.holds, s.isStoreReader, dep.record, wait)
+		s.guard.Persist(ctx, s.holds, s.isStoreReader, dep.record, wait)
 	})
 }
 
@@ -45,7 +45,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.guard.News():
+		case <-s.guard.Updates():
 		}
 		sleep(ctx, datagramBatchInterval)
 		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
