--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -63,7 +63,7 @@
 			sleep(ctx, s.nextStoreRetry(failures))
 		default:
 			version, known = r.Version, true
-			s.installReading(r, requested)
+			s.installStored(r, requested)
 		}
 		if err == nil {
 			failures = 0
@@ -113,13 +113,13 @@
 	return !s.view.synced() || min(s.view.listReadAge(now), s.peerLoads.listReadAge(now)) >= storeReaderTimeout
 }
 
-// installReading takes the store's answer to a call that was made at the time requested.
-func (s *Service) installReading(r route.StoredTable, requested time.Duration) {
-	if r.Table == nil {
+// installStored takes the store's answer to a call that was made at the time requested.
+func (s *Service) installStored(stored route.StoredTable, requested time.Duration) {
+	if stored.Table == nil {
 		return
 	}
-	s.installTable(r.Table, r.Encoded, fromStore)
-	s.proofs.recordRead(r.Table.Version, r.RowVersion, requested)
+	s.installTable(stored.Table, stored.Encoded, fromStore)
+	s.proofs.recordRead(stored.Table.Version, stored.RowVersion, requested)
 }
 
 // installTable puts a table in force unless a newer one is, and announces it to the other gateways.
@@ -143,7 +143,7 @@
 			sleep(ctx, jitter(serverListInterval))
 			continue
 		}
-		reading, version, err := s.store.Servers(ctx)
+		snapshot, version, err := s.store.Servers(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -154,10 +154,10 @@
 			continue
 		}
 		failures = 0
-		reading = reading.RequireStartTimes(s.view.latestIncarnation)
-		faults.record(s, reading.Faults)
+		snapshot = snapshot.RequireStartTimes(s.view.latestIncarnation)
+		faults.record(s, snapshot.Faults)
 		s.view.recordRead(time.Now())
-		if s.view.applyServers(version, reading.List(), time.Now()) {
+		if s.view.applyServers(version, snapshot.List(), time.Now()) {
 			s.serversChanged(version, fromStore)
 		}
 		sleep(ctx, jitter(serverListInterval))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,11 +38,11 @@
 	Manifest(ctx context.Context) (route.StoredTable, error)
 	// DecodeManifest decodes a route table that another gateway read.
 	DecodeManifest(encoded []byte) (*route.Table, error)
-	// NextManifest waits for a route table newer than a version of the store; the reading holds none if none
+	// NextManifest waits for a route table newer than a version of the store; the result holds no table if none
 	// appeared.
 	NextManifest(ctx context.Context, version int64, wait time.Duration) (route.StoredTable, error)
-	// ConfirmManifest reports whether the route table that was read in this row is still in force.
-	ConfirmManifest(ctx context.Context, row int64) (bool, error)
+	// ConfirmManifest reports whether the route table that was read at this version of its row is still in force.
+	ConfirmManifest(ctx context.Context, rowVersion int64) (bool, error)
 }
 
 // Settings configure a gateway.
--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -36,8 +36,9 @@
 
 	mu     sync.Mutex
 	ledger freshness.Ledger
-	// version is the latest version that was read here and row its row in the store; zero if that is not known.
-	version, row int64
+	// version is the latest version that was read here and rowVersion the version of its row in the store; zero if
+	// that is not known.
+	version, rowVersion int64
 	// changed is closed at the next proof.
 	changed chan struct{}
 }
@@ -57,12 +58,12 @@
 	p.notifyAll()
 }
 
-// recordRead records that the store held a version in a row when it was asked.
-func (p *proofs) recordRead(version, row int64, requested time.Duration) {
+// recordRead records the version that the store held when it was asked, and the version of its row.
+func (p *proofs) recordRead(version, rowVersion int64, requested time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if version >= p.version {
-		p.version, p.row = version, row
+		p.version, p.rowVersion = version, rowVersion
 	}
 	p.ledger.AddProof(freshness.Proof{Version: version, At: requested})
 	p.notifyAll()
@@ -96,11 +97,11 @@
 	return proof.Version, p.now() - proof.At, known
 }
 
-// lastRead returns the version that was read last and its row.
-func (p *proofs) lastRead() (version, row int64) {
+// lastRead returns the version that was read last and the version of its row.
+func (p *proofs) lastRead() (version, rowVersion int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.version, p.row
+	return p.version, p.rowVersion
 }
 
 // trusted reports whether requests with keys may be served. If not, it waits up to proofWait for a proof.
@@ -204,9 +205,9 @@
 // newest.
 func (s *Service) proveFromStore(ctx context.Context) error {
 	requested := s.proofs.now()
-	version, row := s.proofs.lastRead()
-	if row != 0 {
-		current, err := s.store.ConfirmManifest(ctx, row)
+	version, rowVersion := s.proofs.lastRead()
+	if rowVersion != 0 {
+		current, err := s.store.ConfirmManifest(ctx, rowVersion)
 		if err != nil {
 			return err
 		}
@@ -218,7 +219,7 @@
 	}
 	r, err := s.store.Manifest(ctx)
 	if err == nil {
-		s.installReading(r, requested)
+		s.installStored(r, requested)
 	}
 	return err
 }
--- a/gateway/proofs_test.go
+++ b/gateway/proofs_test.go
@@ -129,13 +129,13 @@
 	return o.Manifest(ctx)
 }
 
-func (o *storeClient) ConfirmManifest(ctx context.Context, row int64) (bool, error) {
+func (o *storeClient) ConfirmManifest(ctx context.Context, rowVersion int64) (bool, error) {
 	if err := o.call(ctx); err != nil {
 		return false, err
 	}
 	o.s.mu.Lock()
 	defer o.s.mu.Unlock()
-	return o.s.version == row, nil
+	return o.s.version == rowVersion, nil
 }
 
 func (o *storeClient) DecodeManifest(encoded []byte) (*route.Table, error) {
