--- a/engine/engine.go
+++ b/engine/engine.go
@@ -55,8 +55,8 @@
 	ID     string   `json:"id"`
 	Role   Role     `json:"role"`
 	Models []string `json:"models"`
-	// Places is how many requests the engine decodes at once.
-	Places int `json:"places"`
+	// DecodeSlots is how many requests the engine decodes at once.
+	DecodeSlots int `json:"places"`
 	// PrefillTokensPerSecond is the rate of uncached prefill.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
 	// LinkBytesPerSecond is the rate of the inbound KV link.
--- a/sidecar/admission.go
+++ b/sidecar/admission.go
@@ -26,7 +26,7 @@
 }
 
 func newAdmitter(set Settings, info engine.Info) *admitter {
-	places := admission.DefaultDecodeConfig(max(info.Places, 1))
+	places := admission.DefaultDecodeConfig(max(info.DecodeSlots, 1))
 	places.StepBase, places.StepPerRun = info.StepBase, info.StepPerRun
 	places.LinkBytesPerSecond = info.LinkBytesPerSecond
 	places.Grace = set.Timing.Hold
--- a/sidecar/admission_test.go
+++ b/sidecar/admission_test.go
@@ -73,7 +73,7 @@
 func onePlace(p Policy) (*Server, *session) {
 	set := DefaultSettings()
 	set.Policy = p
-	info := engine.Info{Models: []string{"m"}, Places: 1, StepBase: 10 * time.Millisecond}
+	info := engine.Info{Models: []string{"m"}, DecodeSlots: 1, StepBase: 10 * time.Millisecond}
 	var streams []*scriptStream
 	for range 3 {
 		streams = append(streams, &scriptStream{})
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -100,11 +100,11 @@
 	set.ID = "sc"
 	set.Service = "http://127.0.0.1:1" // nothing listens there
 	quiet := event.New("sidecar", "t", log.PanicLevel)
-	s := NewServer(set, eng, engine.Info{Places: 2, Models: []string{"m"}}, "i", quiet, metrics.NewSet())
+	s := NewServer(set, eng, engine.Info{DecodeSlots: 2, Models: []string{"m"}}, "i", quiet, metrics.NewSet())
 	defer s.Close()
 	sess := &session{entry: &wire.Hello{Incarnation: "e"}}
 	sess.link = link.New[wire.SidecarFrame, wire.EntryFrame](nil, link.Options[wire.SidecarFrame]{
-		Beat: set.Timing.Beat, IdleBeat: set.Timing.IdleBeat, Silence: set.Timing.Silence,
+		Beat: set.Timing.Heartbeat, IdleBeat: set.Timing.IdleHeartbeat, Silence: set.Timing.Silence,
 		QueueLimit: 1 << 20, MakeBeat: s.beat, Active: sess.active.Load,
 	})
 	s.join(sess)
--- a/sidecar/handle.go
+++ b/sidecar/handle.go
@@ -64,7 +64,7 @@
 func (s *Server) onBeat(sess *session, b *wire.EntryBeat) {
 	interval := time.Duration(b.GetIntervalMs()) * time.Millisecond
 	sess.link.Heard(interval)
-	s.lease(sess).interval = max(interval, s.set.Timing.Beat)
+	s.lease(sess).interval = max(interval, s.set.Timing.Heartbeat)
 	s.hearLeaving(func(now time.Time) { s.leaving.Listed(now, sess.entry.GetEntryId(), b.GetListedLeaving()) })
 	sess.has = max(sess.has, b.GetHeadRevision())
 	s.offered(sess)
--- a/sidecar/lease.go
+++ b/sidecar/lease.go
@@ -20,7 +20,7 @@
 	owner := sess.entry.GetIncarnation()
 	l, ok := s.leases[owner]
 	if !ok {
-		l = &lease{heard: time.Now(), interval: s.set.Timing.Beat}
+		l = &lease{heard: time.Now(), interval: s.set.Timing.Heartbeat}
 		s.leases[owner] = l
 	}
 	return l
@@ -28,14 +28,14 @@
 
 // length scales the lease with the promised interval.
 func (l *lease) length(t Timing) time.Duration {
-	return time.Duration(float64(t.Lease) * float64(l.interval) / float64(t.Beat))
+	return time.Duration(float64(t.Lease) * float64(l.interval) / float64(t.Heartbeat))
 }
 
 // leaseLoop ends runs of entries that are not heard any more and runs that their
 // entry has not re-joined over a new link, and expires reservations, exports and
 // old ledger entries.
 func (s *Server) leaseLoop() {
-	t := time.NewTicker(s.set.Timing.Beat / 2)
+	t := time.NewTicker(s.set.Timing.Heartbeat / 2)
 	defer t.Stop()
 	for {
 		select {
--- a/sidecar/ledger_test.go
+++ b/sidecar/ledger_test.go
@@ -65,7 +65,7 @@
 
 func newBench() *bench {
 	eng := &countingEngine{}
-	info := engine.Info{Places: 2, Models: []string{"m"}}
+	info := engine.Info{DecodeSlots: 2, Models: []string{"m"}}
 	return &bench{NewServer(DefaultSettings(), eng, info, "i", event.New("test", "t", log.PanicLevel), metrics.NewSet()), eng}
 }
 
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -192,7 +192,7 @@
 // Drain refuses new work and waits until nothing is in progress or ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.Leave()
-	t := time.NewTicker(s.set.Timing.Beat / 5)
+	t := time.NewTicker(s.set.Timing.Heartbeat / 5)
 	defer t.Stop()
 	for s.Active() > 0 {
 		select {
--- a/sidecar/session.go
+++ b/sidecar/session.go
@@ -50,8 +50,8 @@
 	}
 	sess := &session{entry: hello}
 	opts := link.Options[wire.SidecarFrame]{
-		Beat:       s.set.Timing.Beat,
-		IdleBeat:   s.set.Timing.IdleBeat,
+		Beat:       s.set.Timing.Heartbeat,
+		IdleBeat:   s.set.Timing.IdleHeartbeat,
 		Silence:    s.set.Timing.Silence,
 		QueueLimit: s.set.Bounds.LinkQueue,
 		Active:     sess.active.Load,
--- a/sidecar/settings.go
+++ b/sidecar/settings.go
@@ -52,9 +52,9 @@
 
 // Timing holds the sidecar's intervals and timeouts.
 type Timing struct {
-	// Beat is the interval of heartbeats on a link with work, IdleBeat without.
-	Beat     time.Duration `yaml:"beat"`
-	IdleBeat time.Duration `yaml:"idle_beat"`
+	// Heartbeat is the interval of heartbeats on a link with work, IdleBeat without.
+	Heartbeat     time.Duration `yaml:"beat"`
+	IdleHeartbeat time.Duration `yaml:"idle_beat"`
 	// Lease is how long runs outlive the last heartbeat of their entry. It leaves
 	// time for both ends to notice a silent link and to join the run over a new one.
 	Lease time.Duration `yaml:"lease"`
@@ -98,16 +98,16 @@
 	return Settings{
 		LogLevel: "info",
 		Timing: Timing{
-			Beat:        250 * time.Millisecond,
-			IdleBeat:    10 * time.Second,
-			Lease:       1500 * time.Millisecond,
-			Silence:     600 * time.Millisecond,
-			Sweep:       500 * time.Millisecond,
-			Hold:        500 * time.Millisecond,
-			Retain:      time.Minute,
-			EngineCall:  2 * time.Second,
-			EngineStall: 2 * time.Second,
-			Drain:       30 * time.Second,
+			Heartbeat:     250 * time.Millisecond,
+			IdleHeartbeat: 10 * time.Second,
+			Lease:         1500 * time.Millisecond,
+			Silence:       600 * time.Millisecond,
+			Sweep:         500 * time.Millisecond,
+			Hold:          500 * time.Millisecond,
+			Retain:        time.Minute,
+			EngineCall:    2 * time.Second,
+			EngineStall:   2 * time.Second,
+			Drain:         30 * time.Second,
 		},
 		Bounds: Bounds{
 			Window:     256,
@@ -146,10 +146,10 @@
 
 func (s *Settings) checkTiming(fail func(field, format string, args ...any)) {
 	t := s.Timing
-	config.CheckRange(fail, "timing.beat", t.Beat, 10*time.Millisecond, 10*time.Second)
-	config.CheckRange(fail, "timing.idle_beat", t.IdleBeat, t.Beat, time.Minute)
-	config.CheckRange(fail, "timing.lease", t.Lease, 2*t.Beat, time.Minute)
-	config.CheckRange(fail, "timing.silence", t.Silence, 2*t.Beat, time.Minute)
+	config.CheckRange(fail, "timing.beat", t.Heartbeat, 10*time.Millisecond, 10*time.Second)
+	config.CheckRange(fail, "timing.idle_beat", t.IdleHeartbeat, t.Heartbeat, time.Minute)
+	config.CheckRange(fail, "timing.lease", t.Lease, 2*t.Heartbeat, time.Minute)
+	config.CheckRange(fail, "timing.silence", t.Silence, 2*t.Heartbeat, time.Minute)
 	config.CheckRange(fail, "timing.sweep", t.Sweep, 50*time.Millisecond, time.Minute)
 	config.CheckRange(fail, "timing.hold", t.Hold, 10*time.Millisecond, time.Minute)
 	config.CheckRange(fail, "timing.retain", t.Retain, time.Second, time.Hour)
--- a/sidecar/skew_test.go
+++ b/sidecar/skew_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	logged := make(lines, 64)
 	set := DefaultSettings()
-	set.Timing.Beat = time.Hour // only what is asked for is sent
+	set.Timing.Heartbeat = time.Hour // only what is asked for is sent
 	s := NewServer(set, nil, engine.Info{}, "i", event.New("sidecar", "t", log.InfoLevel), metrics.NewSet())
 	s.log.Writer = &log.IOWriter{Writer: logged}
 	assert.NilError(t, s.Configure(d))
