--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// slowTable takes a few milliseconds for a commit, as a table in another zone does.
+// slowTable takes a few milliseconds per commit, like a table in another zone.
 type slowTable struct {
 	store.Table
 	commits atomic.Int64
@@ -23,8 +23,8 @@
 	return s.Table.Commit(ctx, t)
 }
 
-// BenchmarkTake measures claims at one entry by the number of requests in progress:
-// how many share a transaction.
+// BenchmarkTake measures how many claims of one entry share a transaction, by the
+// number of concurrent callers.
 func BenchmarkTake(b *testing.B) {
 	for _, callers := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim makes an idempotency key of an unrepeatable request belong to one
-// request only. A key is claimed either as a row of the platform's table, in
-// transactions that carry many claims, or in the memory of the sidecar that a
-// ticket names, which needs no store.
+// Package claim binds the idempotency key of an unrepeatable request to exactly
+// one request. A key is claimed either as a row of the platform's table, with many
+// claims per transaction, or in the memory of the sidecar named by a ticket, which
+// needs no store.
 package claim
 
 import (
@@ -18,29 +18,29 @@
 	RequestID string
 }
 
-// Verdict is the answer to a claim.
+// Verdict is the result of a claim.
 type Verdict uint8
 
 const (
-	// Granted means that the key belongs to this request alone.
+	// Granted means that the key belongs to this request only.
 	Granted Verdict = iota + 1
 	// InUse means that the key belongs to another request.
 	InUse
-	// Unavailable means that it could not be found out; the request must not run.
+	// Unavailable means that the claim could not be decided; the request must not run.
 	Unavailable
 )
 
-// Retention is how long a key stays claimed, at least. Rows are kept in buckets
-// of this length, and a claim is checked against the buckets before and after its
-// own, so that clocks of entries may differ by up to one bucket.
+// Retention is the minimum time that a key stays claimed. Rows are grouped in time
+// buckets of this length. A claim is also checked against the buckets before and
+// after its own, so that the clocks of entries may differ by up to one bucket.
 const Retention = time.Hour
 
-// Prefix begins the keys of all claim rows.
+// Prefix is the key prefix of all claim rows.
 const Prefix = "claims/"
 
 const hashBytes = 16
 
-// state says whether a row holds its key.
+// state says whether the key of a row is claimed.
 type state string
 
 const (
@@ -48,14 +48,14 @@
 	stateReleased state = "released"
 )
 
-// row is the value of a claim row, in JSON. A released row is kept, so that its
-// version goes on growing and a release that arrives late changes nothing.
+// row is the JSON value of a claim row. A released row is not deleted, so that its
+// version keeps increasing and a delayed release has no effect.
 type row struct {
 	RequestID string `json:"request_id"`
 	State     state  `json:"state"`
 }
 
-// digest is the part of the row key that names the customer's key.
+// digest is the part of the row key that identifies the customer and its key.
 func (c Claim) digest() string {
 	sum := sha256.Sum256([]byte(c.Customer + "\x00" + c.Key))
 	return hex.EncodeToString(sum[:hashBytes])
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -15,12 +15,12 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// faulty fails commits by script before or after they take effect.
-type faulty struct {
+// faultyTable fails commits before or after they take effect, as scripted.
+type faultyTable struct {
 	store.Table
-	mu     sync.Mutex
-	script []fault
-	late   []store.Txn
+	mu      sync.Mutex
+	script  []fault
+	delayed []store.Txn
 }
 
 type fault uint8
@@ -28,11 +28,11 @@
 const (
 	pass fault = iota
 	refuse
-	loseAnswer // takes effect, no answer
-	delayWrite // no answer, takes effect when land is called
+	loseAnswer // takes effect without an answer
+	delayWrite // takes effect without an answer when applyDelayed is called
 )
 
-func (f *faulty) Commit(ctx context.Context, t store.Txn) error {
+func (f *faultyTable) Commit(ctx context.Context, t store.Txn) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := pass
@@ -46,26 +46,26 @@
 		_ = f.Table.Commit(ctx, t)
 		return store.ErrIndeterminate
 	case delayWrite:
-		f.late = append(f.late, t)
+		f.delayed = append(f.delayed, t)
 		return store.ErrIndeterminate
 	default:
 		return f.Table.Commit(ctx, t)
 	}
 }
 
-// land lets the delayed writes take effect, where their checks still hold.
-func (f *faulty) land() {
+// applyDelayed commits the delayed writes whose checks still hold.
+func (f *faultyTable) applyDelayed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, t := range f.late {
+	for _, t := range f.delayed {
 		_ = f.Table.Commit(context.Background(), t)
 	}
-	f.late = nil
+	f.delayed = nil
 }
 
-func inBubble(t *testing.T, script []fault, f func(ctx context.Context, a, b *Table, table *faulty)) {
+func withTables(t *testing.T, script []fault, f func(ctx context.Context, a, b *Table, table *faultyTable)) {
 	synctest.Test(t, func(t *testing.T) {
-		table := &faulty{Table: memory.New(memory.Options{}).Table(), script: script}
+		table := &faultyTable{Table: memory.New(memory.Options{}).Table(), script: script}
 		ctx, cancel := context.WithCancel(context.Background())
 		a, b := NewTable(table, time.Now), NewTable(table, time.Now)
 		go a.Run(ctx)
@@ -83,18 +83,18 @@
 		first, then Verdict
 	}{
 		{"no fault", nil, Granted, InUse},
-		{"refused, then the key is free", []fault{refuse}, Unavailable, Granted},
+		{"commit fails, key stays free", []fault{refuse}, Unavailable, Granted},
 		{"answer lost after the write", []fault{loseAnswer}, Granted, InUse},
 		{"answer lost twice", []fault{loseAnswer, loseAnswer}, Granted, InUse},
-		{"write on its way, written again", []fault{delayWrite}, Granted, InUse},
-		{"never an answer, then released", []fault{delayWrite, delayWrite, delayWrite, delayWrite}, Unavailable, Granted},
-		{"never an answer, though written", []fault{loseAnswer, refuse}, Unavailable, Granted},
+		{"write delayed and repeated", []fault{delayWrite}, Granted, InUse},
+		{"no answer, write delayed, then released", []fault{delayWrite, delayWrite, delayWrite, delayWrite}, Unavailable, Granted},
+		{"no answer, write in effect, then released", []fault{loseAnswer, refuse}, Unavailable, Granted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inBubble(t, c.script, func(ctx context.Context, a, b *Table, table *faulty) {
+			withTables(t, c.script, func(ctx context.Context, a, b *Table, table *faultyTable) {
 				assert.Equal(t, a.Take(ctx, Claim{"samtok", "key", "r1"}), c.first)
-				time.Sleep(5 * releasePause) // fake time
-				table.land()
+				time.Sleep(5 * releaseRetryInterval) // fake time
+				table.applyDelayed()
 				assert.Equal(t, b.Take(ctx, Claim{"samtok", "key", "r2"}), c.then)
 				assert.Equal(t, b.Take(ctx, Claim{"permisele", "key", "r3"}), Granted)
 			})
@@ -104,7 +104,7 @@
 
 func TestTakeIsExclusive(t *testing.T) {
 	const tries = 100
-	inBubble(t, nil, func(ctx context.Context, a, b *Table, _ *faulty) {
+	withTables(t, nil, func(ctx context.Context, a, b *Table, _ *faultyTable) {
 		var mu sync.Mutex
 		granted := make(map[string]int)
 		var wg sync.WaitGroup
@@ -129,12 +129,12 @@
 }
 
 func TestReleaseAndBuckets(t *testing.T) {
-	inBubble(t, nil, func(ctx context.Context, a, b *Table, table *faulty) {
+	withTables(t, nil, func(ctx context.Context, a, b *Table, table *faultyTable) {
 		assert.Equal(t, a.Take(ctx, Claim{"c", "k", "r1"}), Granted)
 		a.Release(Claim{"c", "k", "r1"})
 		synctest.Wait()
 		assert.Equal(t, b.Take(ctx, Claim{"c", "k", "r2"}), Granted)
-		a.Release(Claim{"c", "k", "r1"}) // late and repeated: changes nothing
+		a.Release(Claim{"c", "k", "r1"}) // a delayed duplicate has no effect
 		synctest.Wait()
 		assert.Equal(t, a.Take(ctx, Claim{"c", "k", "r3"}), InUse)
 		time.Sleep(Retention)
@@ -152,8 +152,8 @@
 	})
 }
 
-func TestTakeGivenUpIsReleased(t *testing.T) {
-	inBubble(t, nil, func(ctx context.Context, a, b *Table, table *faulty) {
+func TestCancelledTakeIsReleased(t *testing.T) {
+	withTables(t, nil, func(ctx context.Context, a, b *Table, table *faultyTable) {
 		short, cancel := context.WithCancel(ctx)
 		cancel()
 		table.mu.Lock() // the table hangs
@@ -207,10 +207,10 @@
 		assert.Equal(t, v, want)
 	}
 	take("r1", "k1", Granted)
-	take("r1", "k1", Granted) // asked again after a lost answer
+	take("r1", "k1", Granted) // repeated after a lost answer
 	take("r2", "k1", InUse)
 	l.Release(Claim{"c", "k1", "r1"})
-	take("r1", "k1", InUse) // released: the same request must not start any more
+	take("r1", "k1", InUse) // the same request must not start after its release
 	take("r2", "k1", Granted)
 	l.Release(Claim{"c", "k1", "r1"}) // not the holder
 	take("r3", "k1", InUse)
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Ledger is the memory of a sidecar in which tickets are claimed. It is not safe
-// for concurrent use.
+// Ledger holds the claimed tickets of one sidecar in memory. It is not safe for
+// concurrent use.
 type Ledger struct {
-	limit   int
-	held    map[ledgerKey]holder
-	expires []expiry
+	limit    int
+	holders  map[ledgerKey]holder
+	expiries []expiry
 }
 
 type ledgerKey struct{ customer, nonce string }
@@ -24,50 +24,50 @@
 
 // NewLedger returns a ledger for at most limit tickets.
 func NewLedger(limit int) *Ledger {
-	return &Ledger{limit: limit, held: make(map[ledgerKey]holder)}
+	return &Ledger{limit: limit, holders: make(map[ledgerKey]holder)}
 }
 
-// Take claims a ticket for a request. The same request may ask again after a lost
-// answer. Unavailable means that the ledger is full.
+// Take claims a ticket for a request. The same request may repeat the call after a
+// lost answer. Unavailable means that the ledger is full.
 func (l *Ledger) Take(c Claim, now time.Time) (v Verdict, holderID string) {
 	l.expire(now)
 	key := ledgerKey{c.Customer, c.Key}
-	h, known := l.held[key]
+	current, known := l.holders[key]
 	switch {
-	case known && h.requestID == c.RequestID:
-		if h.released {
-			return InUse, h.requestID
+	case known && current.requestID == c.RequestID:
+		if current.released {
+			return InUse, current.requestID
 		}
-		return Granted, h.requestID
-	case known && !h.released:
-		return InUse, h.requestID
-	case !known && len(l.held) >= l.limit:
+		return Granted, current.requestID
+	case known && !current.released:
+		return InUse, current.requestID
+	case !known && len(l.holders) >= l.limit:
 		return Unavailable, ""
 	}
-	l.held[key] = holder{requestID: c.RequestID}
+	l.holders[key] = holder{requestID: c.RequestID}
 	if !known {
-		l.expires = append(l.expires, expiry{key: key, at: now.Add(Retention)})
+		l.expiries = append(l.expiries, expiry{key: key, at: now.Add(Retention)})
 	}
 	return Granted, c.RequestID
 }
 
-// Release gives a ticket back because its request was not run.
+// Release frees a ticket whose request was not run.
 func (l *Ledger) Release(c Claim) {
 	key := ledgerKey{c.Customer, c.Key}
-	if h, ok := l.held[key]; ok && h.requestID == c.RequestID {
+	if h, ok := l.holders[key]; ok && h.requestID == c.RequestID {
 		h.released = true
-		l.held[key] = h
+		l.holders[key] = h
 	}
 }
 
-// Len returns the number of tickets held.
-func (l *Ledger) Len() int { return len(l.held) }
+// Len returns the number of tickets in the ledger.
+func (l *Ledger) Len() int { return len(l.holders) }
 
 func (l *Ledger) expire(now time.Time) {
 	n := 0
-	for n < len(l.expires) && !now.Before(l.expires[n].at) {
-		delete(l.held, l.expires[n].key)
+	for n < len(l.expiries) && !now.Before(l.expiries[n].at) {
+		delete(l.holders, l.expiries[n].key)
 		n++
 	}
-	l.expires = l.expires[n:]
+	l.expiries = l.expiries[n:]
 }
--- a/claim/release.go
+++ b/claim/release.go
@@ -10,21 +10,21 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// sweepPage is how many expired rows one transaction deletes.
+// sweepPage is the maximum number of expired rows that one transaction deletes.
 const sweepPage = 128
 
-// release is a key on its way back.
+// release is a queued release of a key.
 type release struct {
 	requestID string
 	keys      []string
-	// fence also writes rows that are not there, so that a claim that is still on
-	// its way to the table finds its version taken.
+	// fence also writes missing rows, so that a delayed write of the claim fails its
+	// version check.
 	fence bool
 }
 
-// Release gives a key back because its request was not run. It does not block;
-// the release is tried until the table has taken it. The claim may stand in the
-// present bucket or in the one before.
+// Release frees a key whose request was not run. It does not block; the release is
+// retried until the table accepts it. The claim may be in the present bucket or in
+// the previous one.
 func (t *Table) Release(c Claim) {
 	bucket, digest := bucketOf(t.now()), c.digest()
 	t.enqueueRelease(release{requestID: c.RequestID, keys: []string{rowKey(bucket, digest), rowKey(bucket-1, digest)}})
@@ -36,16 +36,16 @@
 	if len(t.releases) < maxPending {
 		t.releases = append(t.releases, r)
 	}
-	signal(t.wakeRel)
+	signal(t.wakeReleases)
 }
 
-// releaseLoop gives keys back until ctx ends; a release that fails is tried again.
+// releaseLoop processes releases until ctx ends; a release that fails is retried.
 func (t *Table) releaseLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.wakeRel:
+		case <-t.wakeReleases:
 		}
 		for r, ok := t.nextRelease(); ok; r, ok = t.nextRelease() {
 			if t.release(ctx, r) {
@@ -55,7 +55,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(releasePause):
+			case <-time.After(releaseRetryInterval):
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	return r, true
 }
 
-// release reports whether there is nothing left to do.
+// release reports whether the release is complete.
 func (t *Table) release(ctx context.Context, r release) bool {
 	for _, key := range r.keys {
 		if !t.releaseRow(ctx, key, r) {
@@ -107,8 +107,8 @@
 	return err == nil && r.RequestID == requestID && r.State == stateClaimed
 }
 
-// Sweep deletes up to one page of rows whose bucket is over, and reports whether
-// there may be more.
+// Sweep deletes up to one page of rows in expired buckets, and reports whether there
+// may be more.
 func (t *Table) Sweep(ctx context.Context) (more bool, err error) {
 	rows, err := t.table.List(ctx, Prefix, "", sweepPage)
 	if err != nil {
--- a/claim/table.go
+++ b/claim/table.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxBatch is how many claims one transaction carries.
+	// maxBatch is the maximum number of claims in one transaction.
 	maxBatch = 128
-	// maxPending bounds the claims that wait, and those still to be released.
+	// maxPending bounds the queue of claims and the queue of releases.
 	maxPending = 8192
-	// releasePause is the pause before a failed release is tried again.
-	releasePause = time.Second
-	// settleReads bounds how often an unanswered write is looked up.
-	settleReads = 3
+	// releaseRetryInterval is the delay before a failed release is retried.
+	releaseRetryInterval = time.Second
+	// maxSettleAttempts bounds how often an unanswered transaction is written again.
+	maxSettleAttempts = 3
 )
 
 // Table claims keys in the platform's table. It is safe for concurrent use.
@@ -26,29 +26,30 @@
 	table store.Table
 	now   func() time.Time
 
-	mu       sync.Mutex
-	pending  []*waiter
-	releases []release
-	wake     chan struct{}
-	wakeRel  chan struct{}
+	mu           sync.Mutex
+	pending      []*waiter
+	releases     []release
+	wake         chan struct{}
+	wakeReleases chan struct{}
 }
 
-// waiter is one claim on its way. expect holds the version that each row must
-// have for the claim to be granted.
+// waiter is a claim in progress. expectedVersions holds the version that each row
+// must have for the claim to be granted.
 type waiter struct {
-	claim  Claim
-	own    string
-	expect map[string]uint64
-	answer chan Verdict
+	claim            Claim
+	rowKey           string
+	expectedVersions map[string]uint64
+	answer           chan Verdict
 }
 
-// NewTable returns claims in table. Run must be running for Take to answer.
+// NewTable returns a Table that stores claims in table. Take blocks unless Run is
+// running.
 func NewTable(table store.Table, now func() time.Time) *Table {
-	return &Table{table: table, now: now, wake: make(chan struct{}, 1), wakeRel: make(chan struct{}, 1)}
+	return &Table{table: table, now: now, wake: make(chan struct{}, 1), wakeReleases: make(chan struct{}, 1)}
 }
 
 // Take claims a key. It blocks until the table has answered or ctx ends; a claim
-// of which the end is not known is released in the background.
+// whose outcome is unknown is released in the background.
 func (t *Table) Take(ctx context.Context, c Claim) Verdict {
 	w := t.newWaiter(c)
 	if !t.enqueue(w) {
@@ -58,13 +59,13 @@
 	case v := <-w.answer:
 		return v
 	case <-ctx.Done():
-		go t.disown(w)
+		go t.releaseIfGranted(w)
 		return Unavailable
 	}
 }
 
-// disown releases a claim that is granted after its request has given up on it.
-func (t *Table) disown(w *waiter) {
+// releaseIfGranted releases a claim that is granted after its caller stopped waiting.
+func (t *Table) releaseIfGranted(w *waiter) {
 	if <-w.answer == Granted {
 		t.Release(w.claim)
 	}
@@ -73,9 +74,9 @@
 func (t *Table) newWaiter(c Claim) *waiter {
 	bucket, digest := bucketOf(t.now()), c.digest()
 	return &waiter{
-		claim: c,
-		own:   rowKey(bucket, digest),
-		expect: map[string]uint64{
+		claim:  c,
+		rowKey: rowKey(bucket, digest),
+		expectedVersions: map[string]uint64{
 			rowKey(bucket-1, digest): 0,
 			rowKey(bucket, digest):   0,
 			rowKey(bucket+1, digest): 0,
@@ -102,8 +103,8 @@
 	}
 }
 
-// Run serves claims and releases until ctx ends. Claims that come while a
-// transaction is under way share the next one.
+// Run processes claims and releases until ctx ends. Claims that arrive during a
+// transaction are batched into the next one (group commit).
 func (t *Table) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { t.releaseLoop(ctx) })
@@ -111,7 +112,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			t.refusePending()
+			t.failPending()
 			return
 		case <-t.wake:
 		}
@@ -121,7 +122,7 @@
 	}
 }
 
-func (t *Table) refusePending() {
+func (t *Table) failPending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	answer(t.pending, Unavailable)
@@ -134,19 +135,20 @@
 	n := min(len(t.pending), maxBatch)
 	batch := t.pending[:n:n]
 	t.pending = t.pending[n:]
-	return distinct(batch, func(w *waiter) { t.pending = append(t.pending, w) })
+	return distinctRows(batch, func(w *waiter) { t.pending = append(t.pending, w) })
 }
 
-// distinct leaves one claim per row in the batch and hands the others to later.
-func distinct(batch []*waiter, later func(*waiter)) []*waiter {
+// distinctRows keeps one claim per row in the batch and passes the others to
+// postpone.
+func distinctRows(batch []*waiter, postpone func(*waiter)) []*waiter {
 	seen := make(map[string]bool, len(batch))
 	out := batch[:0]
 	for _, w := range batch {
-		if seen[w.own] {
-			later(w)
+		if seen[w.rowKey] {
+			postpone(w)
 			continue
 		}
-		seen[w.own] = true
+		seen[w.rowKey] = true
 		out = append(out, w)
 	}
 	return out
@@ -176,10 +178,10 @@
 func txn(batch []*waiter) store.Txn {
 	var out store.Txn
 	for _, w := range batch {
-		for key, version := range w.expect {
+		for key, version := range w.expectedVersions {
 			out.Checks = append(out.Checks, store.Check{Key: key, Version: version})
 		}
-		out.Writes = append(out.Writes, store.Write{Key: w.own, Value: encode(row{RequestID: w.claim.RequestID, State: stateClaimed})})
+		out.Writes = append(out.Writes, store.Write{Key: w.rowKey, Value: encode(row{RequestID: w.claim.RequestID, State: stateClaimed})})
 	}
 	return out
 }
@@ -190,14 +192,15 @@
 	}
 }
 
-// onConflict looks up the row that stood in the way. Its claim is answered, or
-// goes on against the version of a released row; the rest of the batch is kept.
+// onConflict reads the row that caused a conflict. Its claim is either answered and
+// removed from the batch, or kept to be checked against the row's present version
+// if the row is released; the rest of the batch is kept.
 func (t *Table) onConflict(ctx context.Context, batch []*waiter, key string) []*waiter {
 	for i, w := range batch {
-		if _, ok := w.expect[key]; !ok {
+		if _, ok := w.expectedVersions[key]; !ok {
 			continue
 		}
-		if v := t.look(ctx, w, key); v != 0 {
+		if v := t.checkRow(ctx, w, key); v != 0 {
 			w.answer <- v
 			return append(batch[:i], batch[i+1:]...)
 		}
@@ -207,12 +210,12 @@
 	return nil
 }
 
-// look reads one row of a claim. It returns 0 when the claim may be tried again.
-func (t *Table) look(ctx context.Context, w *waiter, key string) Verdict {
+// checkRow reads one row of a claim. It returns 0 when the claim may be retried.
+func (t *Table) checkRow(ctx context.Context, w *waiter, key string) Verdict {
 	found, err := t.table.Get(ctx, key)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
-		w.expect[key] = 0
+		w.expectedVersions[key] = 0
 		return 0
 	case err != nil:
 		return Unavailable
@@ -223,7 +226,7 @@
 	}
 	switch {
 	case r.State == stateReleased:
-		w.expect[key] = found.Version
+		w.expectedVersions[key] = found.Version
 		return 0
 	case r.RequestID == w.claim.RequestID:
 		return Granted
@@ -232,11 +235,11 @@
 	}
 }
 
-// settle finds out what became of claims whose transaction got no answer. A row
-// that is not there yet may still come, so the same claim is written again: it
-// can be granted only once.
+// settle resolves claims whose transaction got no answer. The lost write may still
+// take effect, so that reading the rows is not enough; instead the same claims are
+// written again, which can succeed only once.
 func (t *Table) settle(ctx context.Context, batch []*waiter) {
-	for range settleReads {
+	for range maxSettleAttempts {
 		err := t.table.Commit(ctx, txn(batch))
 		var conflict *store.ConflictError
 		switch {
@@ -247,18 +250,18 @@
 			t.commit(ctx, t.onConflict(ctx, batch, conflict.Key))
 			return
 		case !errors.Is(err, store.ErrIndeterminate):
-			t.giveUp(batch)
+			t.fenceAndFail(batch)
 			return
 		}
 	}
-	t.giveUp(batch)
+	t.fenceAndFail(batch)
 }
 
-// giveUp answers claims that may have been written or may still be, and has
-// their rows fenced.
-func (t *Table) giveUp(batch []*waiter) {
+// fenceAndFail answers Unavailable for claims whose write may or may not take
+// effect, and queues the fencing of their rows.
+func (t *Table) fenceAndFail(batch []*waiter) {
 	for _, w := range batch {
-		t.enqueueRelease(release{requestID: w.claim.RequestID, keys: []string{w.own}, fence: true})
+		t.enqueueRelease(release{requestID: w.claim.RequestID, keys: []string{w.rowKey}, fence: true})
 	}
 	answer(batch, Unavailable)
 }
--- a/claim/ticket.go
+++ b/claim/ticket.go
@@ -11,16 +11,18 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// TicketPrefix begins every ticket, so that it is told from a key of the caller's own.
+// TicketPrefix is the prefix of every ticket; it distinguishes tickets from keys
+// chosen by callers.
 const TicketPrefix = "tkt_"
 
-// MinSecretBytes is the least length of a secret that seals tickets.
+// MinSecretBytes is the minimum length of a secret that seals tickets.
 const MinSecretBytes = 32
 
-// ErrTicket means that a ticket was not issued here, is over, or is another customer's.
+// ErrTicket means that a ticket is not authentic, has expired, or belongs to another
+// customer.
 var ErrTicket = merry.Sentinel("ticket not valid")
 
-// Ticket names the sidecar, and its incarnation, whose memory decides whether a
+// Ticket identifies the sidecar, and its incarnation, whose Ledger decides whether a
 // request with this ticket may run.
 type Ticket struct {
 	Backend     string    `json:"b"`
@@ -30,13 +32,13 @@
 	Expires     time.Time `json:"e"`
 }
 
-// Sealer authenticates tickets. All entries hold the same secrets; the first
-// seals, each of them opens, so that secrets can be rotated.
+// Sealer authenticates tickets with HMAC-SHA256. All entries have the same secrets.
+// The first one seals and any of them opens, so that secrets can be rotated.
 type Sealer struct {
 	secrets [][]byte
 }
 
-// NewSealer returns a sealer; every secret must have at least MinSecretBytes.
+// NewSealer returns a sealer. Every secret must have at least MinSecretBytes.
 func NewSealer(secrets ...[]byte) (*Sealer, error) {
 	if len(secrets) == 0 {
 		return nil, merry.New("no ticket secret")
@@ -49,7 +51,7 @@
 	return &Sealer{secrets: secrets}, nil
 }
 
-// Seal returns the text of a ticket.
+// Seal returns the authenticated text form of a ticket.
 func (s *Sealer) Seal(t Ticket) (string, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
@@ -59,7 +61,8 @@
 	return TicketPrefix + body + "." + mac(s.secrets[0], body), nil
 }
 
-// Open returns the ticket in text when it is authentic, the customer's, and not over.
+// Open returns the ticket in text when it is authentic, belongs to the customer and
+// has not expired.
 func (s *Sealer) Open(text, customer string, now time.Time) (Ticket, error) {
 	body, sum, ok := strings.Cut(strings.TrimPrefix(text, TicketPrefix), ".")
 	if !ok || !s.authentic(body, sum) {
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -24,7 +24,7 @@
 
 const model = "m"
 
-// fixture is an engine under test behind the HTTP driver, over loopback.
+// fixture is a stand-in engine called through the HTTP driver over loopback.
 type fixture struct {
 	engine.Engine
 	node    *standin.Node
@@ -74,7 +74,7 @@
 	return out
 }
 
-// drain reads a stream to its end.
+// drain reads a stream until its end.
 func drain(s engine.Stream) (tokens []string, last engine.StreamEvent, err error) {
 	defer s.Close()
 	for {
@@ -90,9 +90,9 @@
 	return engine.DecodeRequest{RunID: id, Owner: "o", Model: model, Prompt: prompt}
 }
 
-const long = "endless [[len=100000]]"
+const longPrompt = "endless [[len=100000]]"
 
-func TestHandOff(t *testing.T) {
+func TestKVCacheHandover(t *testing.T) {
 	p, d := newFixture(t, engine.RolePrefill, nil), newFixture(t, engine.RoleDecode, nil)
 	ctx := t.Context()
 	prompt := strings.Repeat("dossier ", 100) + "[[len=30]]"
@@ -119,13 +119,13 @@
 
 	req.RunID = "again"
 	_, err = d.Decode(ctx, req)
-	assert.ErrorIs(t, err, engine.ErrNotFound, "the KV cache was handed over already")
+	assert.ErrorIs(t, err, engine.ErrNotFound, "the KV cache was already handed over")
 	assert.Error(t, err, `not found in engine: source engine: KV handle "`+kv.Handle+`"`)
 	_, listedAsAccepted := d.state().Accepted["again"]
 	assert.Assert(t, !listedAsAccepted)
 }
 
-func TestResumedAnswerEqualsUnbroken(t *testing.T) {
+func TestResumedAnswerEqualsUninterrupted(t *testing.T) {
 	prompt := "question [[len=40]]"
 	want := standin.Answer(model, prompt, 0)
 	for name, resume := range map[string]func(t *testing.T, f fixture) (engine.Stream, error){
@@ -158,7 +158,7 @@
 func TestCancelEndsTheRunAndItsStream(t *testing.T) {
 	f := newFixture(t, engine.RoleMixed, nil)
 	ctx := t.Context()
-	s, err := f.Decode(ctx, request("r", long))
+	s, err := f.Decode(ctx, request("r", longPrompt))
 	assert.NilError(t, err)
 	_, err = s.Next()
 	assert.NilError(t, err)
@@ -190,7 +190,7 @@
 func TestRefusals(t *testing.T) {
 	f := newFixture(t, engine.RoleMixed, func(c *standin.Config) { c.Places, c.MaxWaiting, c.CheckFence = 1, 1, true })
 	ctx := t.Context()
-	s, err := f.Decode(ctx, request("known", long))
+	s, err := f.Decode(ctx, request("known", longPrompt))
 	assert.NilError(t, err)
 	defer s.Close()
 	assert.NilError(t, f.Order(ctx, engine.Order{Fence: 2, Kind: engine.OrderLoadModel, Model: "n"}))
@@ -209,7 +209,7 @@
 		call func() error
 		want error
 	}{
-		{"second decode of a run", decode(request("known", long)), engine.ErrExists},
+		{"second decode of a run", decode(request("known", longPrompt)), engine.ErrExists},
 		{"model not loaded", decode(other), engine.ErrInvalid},
 		{"prior text of another answer", decode(wrongPrior), engine.ErrInvalid},
 		{"resume of an unknown run", func() error { _, err := f.Resume(ctx, "unknown", 0); return err }, engine.ErrNotFound},
@@ -217,14 +217,14 @@
 		{"old fencing number", func() error { return f.Order(ctx, engine.Order{Fence: 1, Kind: engine.OrderRole}) }, engine.ErrFenced},
 		{"unknown handle is released", func() error { return f.ReleaseKV(ctx, "unknown") }, nil},
 		{"unknown run is cancelled", func() error { return f.Cancel(ctx, "unknown") }, nil},
-		{"one waits", func() error {
+		{"one request is queued", func() error {
 			waits, err := f.Decode(ctx, request("waits", "x"))
 			if err == nil {
 				return waits.Close()
 			}
 			return err
 		}, nil},
-		{"one too many waits", decode(request("late", "x")), engine.ErrFull},
+		{"queue is full", decode(request("late", "x")), engine.ErrFull},
 	} {
 		assert.Assert(t, cmp.ErrorIs(tc.call(), tc.want), tc.name)
 	}
@@ -233,8 +233,8 @@
 	assert.DeepEqual(t, info.Models, []string{model, "n"})
 }
 
-// TestFaults switches one fault on and holds which error it is to the caller,
-// and whether the engine took the run.
+// TestFaults injects one fault and checks which error the caller gets, whether the
+// engine accepted the run, and that an accepted run can be resumed.
 func TestFaults(t *testing.T) {
 	prompt := "question [[len=20]]"
 	for _, tc := range []struct {
@@ -263,7 +263,7 @@
 			assert.NilError(t, f.faults.Add(tc.rule))
 			ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 			defer cancel()
-			var got *readError
+			var got *streamError
 			err := tc.op(ctx, f)
 			assert.Assert(t, cmp.ErrorIs(err, tc.want))
 			assert.Equal(t, f.state().Accepted["r"] > 0, tc.taken)
@@ -274,7 +274,7 @@
 				return
 			}
 			s, err := f.Resume(t.Context(), "r", tc.tokens)
-			assert.NilError(t, err, "the run goes on without its stream")
+			assert.NilError(t, err, "the run continues without its stream")
 			rest, _, err := drain(s)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, append([]string{}, rest...), standin.Answer(model, prompt, 0)[tc.tokens:])
@@ -282,14 +282,14 @@
 	}
 }
 
-// readError is the end of a stream and how many tokens came before it.
-type readError struct {
+// streamError is the error that ended a stream and the number of tokens before it.
+type streamError struct {
 	tokens int
 	err    error
 }
 
-func (e *readError) Error() string { return e.err.Error() }
-func (e *readError) Unwrap() error { return e.err }
+func (e *streamError) Error() string { return e.err.Error() }
+func (e *streamError) Unwrap() error { return e.err }
 
 func decodeAll(ctx context.Context, f fixture) error {
 	s, err := f.Decode(ctx, request("r", "question [[len=20]]"))
@@ -298,7 +298,7 @@
 	}
 	tokens, _, err := drain(s)
 	if err != nil {
-		return &readError{len(tokens), err}
+		return &streamError{len(tokens), err}
 	}
 	return nil
 }
@@ -310,10 +310,11 @@
 	return err
 }
 
-// TestLostCancelHasEffect holds that a cancel whose answer is lost may be repeated.
+// TestLostCancelHasEffect checks that a cancel takes effect although its answer is
+// lost, and may be repeated.
 func TestLostCancelHasEffect(t *testing.T) {
 	f := newFixture(t, engine.RoleMixed, nil)
-	s, err := f.Decode(t.Context(), request("r", long))
+	s, err := f.Decode(t.Context(), request("r", longPrompt))
 	assert.NilError(t, err)
 	defer s.Close()
 	assert.NilError(t, f.faults.Add(fault.Rule{Kind: fault.LoseAnswer, Op: standin.OpCancel, Count: 1}))
@@ -331,10 +332,11 @@
 	assert.Assert(t, !errors.Is(err, engine.ErrIndeterminate))
 }
 
-// TestDepartedReaderLeavesTheRun holds that the run goes on and its handler does not.
-func TestDepartedReaderLeavesTheRun(t *testing.T) {
+// TestRunContinuesAfterStreamIsClosed checks that the run continues after the client
+// closes its stream, and that the HTTP handler of the stream returns.
+func TestRunContinuesAfterStreamIsClosed(t *testing.T) {
 	f := newFixture(t, engine.RoleMixed, nil)
-	s, err := f.Decode(t.Context(), request("r", long))
+	s, err := f.Decode(t.Context(), request("r", longPrompt))
 	assert.NilError(t, err)
 	event, err := s.Next()
 	assert.NilError(t, err)
--- a/engine/http.go
+++ b/engine/http.go
@@ -21,23 +21,22 @@
 	maxReplyBody = 16 << 20
 )
 
-// httpEngine drives an engine over HTTP.
+// httpEngine calls an engine over HTTP.
 type httpEngine struct {
 	base   string
 	client *http.Client
 }
 
 // NewHTTP returns the driver for the engine at baseURL, such as
-// "http://127.0.0.1:9000". It uses the standard library's client because the
-// client of nbhttp hands over a response only when its body is whole, which
-// rules out token streams. The client must have no overall timeout, since that
-// would cut streams; the context of each call bounds it, and that of Decode and
-// Resume bounds the stream that they return. A nil client stands for a new one
-// that keeps its own connections.
+// "http://127.0.0.1:9000". It uses the client of net/http because the client of
+// nbhttp returns a response only when its body is complete, which rules out token
+// streams. The client must not have an overall timeout, since that would cut
+// streams; each call is bounded by its context, as are the streams that Decode and
+// Resume return. A nil client stands for a new one with its own connection pool.
 //
-// ErrUnavailable is returned only when the engine has certainly not taken the
-// request: no connection was made or the engine said so. A call that changes
-// the engine and whose answer was lost returns ErrIndeterminate.
+// A call that changes the engine returns ErrUnavailable only when the engine has
+// certainly not accepted it: no connection was made or the engine said so. If its
+// answer was lost, it returns ErrIndeterminate.
 func NewHTTP(baseURL string, client *http.Client) Engine {
 	if client == nil {
 		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -99,7 +98,7 @@
 	return e.send(ctx, http.MethodPost, PathOrders, nil, o)
 }
 
-// call is one HTTP exchange. A mutating call whose answer is lost is indeterminate.
+// call is one HTTP request. A mutating call whose answer is lost is indeterminate.
 type call struct {
 	method   string
 	path     string
@@ -124,7 +123,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReplyBody)).Decode(&out); err != nil {
-		return out, lost(c, err)
+		return out, lostAnswer(c, err)
 	}
 	return out, nil
 }
@@ -138,7 +137,7 @@
 	return resp.Body.Close()
 }
 
-// do makes the exchange and returns a successful response with its body open.
+// do sends the request and returns a successful response with its body open.
 func (e *httpEngine) do(ctx context.Context, c call) (*http.Response, error) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
@@ -151,7 +150,7 @@
 		return nil, wrap(ErrUnavailable, err)
 	}
 	if err != nil {
-		return nil, lost(c, err)
+		return nil, lostAnswer(c, err)
 	}
 	if resp.StatusCode/100 == 2 {
 		return resp, nil
@@ -189,11 +188,11 @@
 	if json.Unmarshal(data, &body) == nil && body.Code != "" {
 		return wrap(body.Code.Err(), errors.New(body.Message))
 	}
-	return lost(c, fmt.Errorf("status %d: %.200q", resp.StatusCode, data))
+	return lostAnswer(c, fmt.Errorf("status %d: %.200q", resp.StatusCode, data))
 }
 
-// lost is the error of an exchange that began and gave no usable answer.
-func lost(c call, cause error) error {
+// lostAnswer returns the error of a call that was sent but got no usable answer.
+func lostAnswer(c call, cause error) error {
 	if c.mutating {
 		return wrap(ErrIndeterminate, cause)
 	}
--- a/engine/http_stream.go
+++ b/engine/http_stream.go
@@ -24,14 +24,14 @@
 	return s
 }
 
-// Next returns io.EOF after the final event, the context's error when the
-// context ended, and the engine's own error when it ended the run.
+// Next returns io.EOF after the final event, the context's error when the context
+// ended, and the engine's error when the engine ended the run.
 func (s *httpStream) Next() (StreamEvent, error) {
 	if s.ended {
 		return StreamEvent{}, io.EOF
 	}
 	if !s.lines.Scan() {
-		return StreamEvent{}, s.broken()
+		return StreamEvent{}, s.scanError()
 	}
 	var line StreamLine
 	if err := json.Unmarshal(s.lines.Bytes(), &line); err != nil {
@@ -44,7 +44,7 @@
 	return line.StreamEvent, nil
 }
 
-func (s *httpStream) broken() error {
+func (s *httpStream) scanError() error {
 	if err := s.ctx.Err(); err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// Close may be called from another goroutine to end a blocked Next.
+// Close may be called from another goroutine to unblock Next.
 func (s *httpStream) Close() error {
 	return s.body.Close()
 }
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -1,24 +1,24 @@
 package engine
 
-// PrefixBlockBytes is the length of the blocks in which prompt prefixes are
-// hashed and cached, and PrefixBlockTokens the rough number of tokens in one.
+// PrefixBlockBytes is the length of the blocks in which prompt prefixes are hashed
+// and cached, and PrefixBlockTokens the approximate number of tokens in one block.
 const (
 	PrefixBlockBytes  = 256
 	PrefixBlockTokens = PrefixBlockBytes / BytesPerToken
 )
 
-// FNV-1a, 64 bits. It is fixed, unlike hash/maphash, because engines and
-// routers have to agree on it.
+// Parameters of 64-bit FNV-1a. Unlike hash/maphash it has no random seed, because
+// engines and routers must compute the same hashes.
 const (
 	fnvOffset uint64 = 14695981039346656037
 	fnvPrime  uint64 = 1099511628211
 )
 
-// PrefixHashes returns one hash for each prefix of prompt that consists of
-// whole blocks: element i identifies the first i+1 blocks. Two prompts agree on
-// element i when they agree on that many blocks. A prompt shorter than one
-// block has no hashes. The hash is no defence against crafted collisions, so a
-// match may guide placement and never decide what a caller is answered.
+// PrefixHashes returns one hash for each prefix of prompt that consists of whole
+// blocks: element i identifies the first i+1 blocks. Two prompts have the same
+// element i when their first i+1 blocks are equal. A prompt shorter than one block
+// has no hashes. The hash does not resist crafted collisions, so a match may guide
+// placement but must never determine the content of an answer.
 func PrefixHashes(prompt string) []uint64 {
 	n := len(prompt) / PrefixBlockBytes
 	if n == 0 {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Paths of the HTTP protocol. Bodies are JSON; the answers of PathDecode and
-// PathStream are newline-delimited JSON, one StreamLine a line.
+// Paths of the HTTP protocol. Bodies are JSON; the responses of PathDecode and
+// PathStream are newline-delimited JSON, one StreamLine per line.
 const (
 	PathInfo        = "/v1/info"
 	PathPrefill     = "/v1/prefill"
@@ -20,7 +20,7 @@
 	PathCacheEvents = "/v1/cache-events"
 	PathOrders      = "/v1/orders"
 	// PathClaim and PathComplete are used between engines: the importing engine
-	// claims a KV cache before the transfer and drops it from the exporter after.
+	// claims a KV cache before the transfer and drops it from the exporter afterwards.
 	PathClaim    = "/v1/exports/claim"
 	PathComplete = "/v1/exports/complete"
 )
@@ -33,7 +33,7 @@
 	ParamAfter    = "after"
 )
 
-// ErrorCode names an error of the port in the HTTP protocol.
+// ErrorCode identifies an error of this package in the HTTP protocol.
 type ErrorCode string
 
 // Error codes of the HTTP protocol.
@@ -47,14 +47,14 @@
 	CodeIndeterminate ErrorCode = "indeterminate"
 )
 
-// ErrorBody is the body of every response that is not a success, and the last
-// line of a stream that the engine ended by itself.
+// ErrorBody is the body of every unsuccessful response, and part of the last line
+// of a stream that the engine ended because of an error.
 type ErrorBody struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
 }
 
-// StreamLine is one line of a stream: an event, or the error that ended the run.
+// StreamLine is one line of a stream: an event or the error that ended the run.
 type StreamLine struct {
 	StreamEvent
 	Error *ErrorBody `json:"error,omitempty"`
@@ -76,8 +76,8 @@
 	{CodeIndeterminate, http.StatusInternalServerError, ErrIndeterminate},
 }
 
-// Err returns the error of the port that c names; an unknown code is
-// ErrIndeterminate.
+// Err returns the error of this package that c identifies, or ErrIndeterminate for
+// an unknown code.
 func (c ErrorCode) Err() error {
 	for _, p := range protocolErrors {
 		if p.code == c {
@@ -87,7 +87,7 @@
 	return ErrIndeterminate
 }
 
-// EncodeError returns the HTTP status and the body for an error of the port.
+// EncodeError returns the HTTP status and the body for an error of this package.
 func EncodeError(err error) (int, ErrorBody) {
 	for _, p := range protocolErrors {
 		if errors.Is(err, p.err) {
--- a/fencing/fencing.go
+++ b/fencing/fencing.go
@@ -1,11 +1,12 @@
-// Package fencing lets one process at a time give orders. The holder and its fencing
-// number are one row of the platform's table, changed by compare-and-set.
+// Package fencing is a lease with fencing numbers that lets one process at a time
+// give orders. The holder and its fencing number are one row of the platform's table,
+// changed by compare-and-set.
 //
-// A holder may give orders for Term after it began to write the row. Another process
-// takes over only after it has seen the row unchanged for Term and Gap, by its own
-// clock: no clock is compared with another's, and a process that was suspended meanwhile
-// only waits longer. Each taking of the lease has a higher number, so that an engine that
-// checks numbers refuses orders of an earlier holder.
+// A holder may give orders for Term from the start of its write to the row. Another
+// process takes over only after it has observed the row unchanged for Term plus Gap
+// by its own clock: clocks are never compared, and a process that was suspended in
+// between only waits longer. Every acquisition or renewal has a higher number, so
+// that an engine that checks numbers rejects orders of an earlier holder.
 package fencing
 
 import (
@@ -19,31 +20,32 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// ErrHeld means that another process holds the lease, or held it a moment ago.
+// ErrHeld means that another process holds the lease, or held it recently.
 var ErrHeld = errors.New("lease held by another process")
 
 const (
-	// Term is how long a lease lasts: some orders with their answers.
+	// Term is the duration of a lease, long enough for some orders and their answers.
 	Term = 3 * time.Second
-	// Gap is the time after a lease before another process may take it: orders that
-	// were sent in time have arrived by then. Two holders that take turns within three
-	// seconds count as one fault on the users' platform.
+	// Gap is the time between the end of a lease and its acquisition by another
+	// process, in which orders sent during the lease arrive. On the users' platform,
+	// a change of holders within three seconds counts as one fault.
 	Gap = 4 * time.Second
 )
 
-// Lease is the right to give orders. It belongs to one goroutine.
+// Lease is the right to give orders. It is not safe for concurrent use.
 type Lease struct {
 	table  store.Table
 	key    string
 	holder string
-	// now is a clock that goes on while the VM is suspended.
+	// now is a clock that continues while the VM is suspended.
 	now func() time.Duration
 
-	fence int64
-	until time.Duration
-	// seen is the version of the row that was last read, since when.
-	seen  uint64
-	since time.Duration
+	fence      int64
+	validUntil time.Duration
+	// lastVersion is the row version that was last read, unchangedSince the time at
+	// which it was first read.
+	lastVersion    uint64
+	unchangedSince time.Duration
 }
 
 type record struct {
@@ -51,8 +53,8 @@
 	Fence  int64  `json:"fence"`
 }
 
-// New returns the lease in row key, to be held by holder, the name of a VM. A nil clock
-// stands for Uptime.
+// New returns the lease stored in row key for holder, the name of a VM. A nil now
+// stands for clock.Uptime.
 func New(table store.Table, key, holder string, now func() time.Duration) *Lease {
 	if now == nil {
 		now = clock.Uptime
@@ -60,32 +62,32 @@
 	return &Lease{table: table, key: key, holder: holder, now: now}
 }
 
-// Fence returns the number to give orders under, and whether the lease is held. It is to
-// be asked right before each order.
-func (l *Lease) Fence() (int64, bool) { return l.fence, l.fence > 0 && l.now() < l.until }
+// Fence returns the fencing number for orders and whether the lease is held. It must
+// be called right before each order.
+func (l *Lease) Fence() (int64, bool) { return l.fence, l.fence > 0 && l.now() < l.validUntil }
 
-// Acquire takes the lease or prolongs it. ErrHeld means that another process has it;
-// after other errors it is not known who has it, and Acquire may be called again.
+// Acquire acquires or renews the lease. ErrHeld means that another process holds it;
+// after any other error the holder is unknown, and Acquire may be called again.
 func (l *Lease) Acquire(ctx context.Context) error {
 	start := l.now()
 	rec, version, err := l.read(ctx)
 	if err != nil {
 		return err
 	}
-	if version != l.seen {
-		l.seen, l.since = version, start
+	if version != l.lastVersion {
+		l.lastVersion, l.unchangedSince = version, start
 		if rec.Holder != l.holder && version != 0 {
 			return ErrHeld
 		}
 	}
-	if rec.Holder != l.holder && version != 0 && start-l.since < Term+Gap {
+	if rec.Holder != l.holder && version != 0 && start-l.unchangedSince < Term+Gap {
 		return ErrHeld
 	}
 	next := record{Holder: l.holder, Fence: rec.Fence + 1}
 	if err := l.write(ctx, next, version); err != nil {
 		return err
 	}
-	l.fence, l.until = next.Fence, start+Term
+	l.fence, l.validUntil = next.Fence, start+Term
 	return nil
 }
 
--- a/fencing/fencing_test.go
+++ b/fencing/fencing_test.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// clock is one process's clock.
+// clock is the clock of one process.
 type clock struct{ now time.Duration }
 
 func (c *clock) read() time.Duration { return c.now }
@@ -31,7 +31,7 @@
 	assert.ErrorIs(t, b.Acquire(t.Context()), fencing.ErrHeld)
 	ca.now += fencing.Term
 	_, held = a.Fence()
-	assert.Assert(t, !held, "the term is over for the holder before another may take the lease")
+	assert.Assert(t, !held, "the holder's term ends before another process may acquire the lease")
 	cb.now += time.Millisecond
 	assert.NilError(t, b.Acquire(t.Context()))
 	fence, held = b.Fence()
@@ -40,7 +40,7 @@
 	assert.ErrorIs(t, a.Acquire(t.Context()), fencing.ErrHeld)
 }
 
-func TestHolderProlongs(t *testing.T) {
+func TestHolderRenewsLease(t *testing.T) {
 	table := memory.New(memory.Options{}).Table()
 	ca, cb := &clock{}, &clock{}
 	a := fencing.New(table, "orders", "a", ca.read)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRestartedHolder knows nothing of its lease; under the same name it may go on at
-// once, with a higher number.
+// TestRestartedHolder checks that a restarted process has no lease, but may acquire
+// its own again at once under the same name, with a higher number.
 func TestRestartedHolder(t *testing.T) {
 	table := memory.New(memory.Options{}).Table()
 	a := fencing.New(table, "orders", "a", (&clock{}).read)
@@ -69,13 +69,13 @@
 	assert.Equal(t, fence, int64(2))
 }
 
-// lossy loses the answers to commits, which take effect.
-type lossy struct {
+// lossyTable applies commits but loses their answers.
+type lossyTable struct {
 	store.Table
 	lose bool
 }
 
-func (l *lossy) Commit(ctx context.Context, txn store.Txn) error {
+func (l *lossyTable) Commit(ctx context.Context, txn store.Txn) error {
 	err := l.Table.Commit(ctx, txn)
 	if err == nil && l.lose {
 		return store.ErrIndeterminate
@@ -83,20 +83,21 @@
 	return err
 }
 
-func TestAnswerToTheWriteIsLost(t *testing.T) {
-	table := &lossy{Table: memory.New(memory.Options{}).Table(), lose: true}
+func TestCommitAnswerLost(t *testing.T) {
+	table := &lossyTable{Table: memory.New(memory.Options{}).Table(), lose: true}
 	c := &clock{}
 	a := fencing.New(table, "orders", "a", c.read)
 	assert.ErrorIs(t, a.Acquire(t.Context()), store.ErrIndeterminate)
 	_, held := a.Fence()
-	assert.Assert(t, !held, "no order without an answer")
+	assert.Assert(t, !held, "no orders before the write is answered")
 	table.lose = false
 	assert.NilError(t, a.Acquire(t.Context()))
 	fence, _ := a.Fence()
 	assert.Equal(t, fence, int64(2), "the number of the lost write is never used")
 }
 
-// TestSuspendedHolder wakes up after its term: by a clock that went on it holds nothing.
+// TestSuspendedHolder checks that a holder suspended beyond its term no longer holds
+// the lease, because its clock continued.
 func TestSuspendedHolder(t *testing.T) {
 	c := &clock{}
 	a := fencing.New(memory.New(memory.Options{}).Table(), "orders", "a", c.read)
@@ -106,24 +107,24 @@
 	assert.Assert(t, !held)
 }
 
-// TestAllInterleavings explores two processes that try to take the lease, give an order
-// and wait, in every order of their steps up to a depth: no two orders of different
-// holders bear one number, and a number never follows a higher one unless the engine
-// would refuse it by the gap.
+// TestAllInterleavings runs two processes that acquire the lease, give orders and
+// wait, in every interleaving of the first five steps followed by a fixed tail. Orders
+// of different holders never have the same number, numbers never decrease, and orders
+// of different holders are at least Gap apart.
 func TestAllInterleavings(t *testing.T) {
 	const depth = 9
 	steps := []string{"acquire a", "acquire b", "order a", "order b", "a second passes", "a term and gap pass"}
 	var explore func(path []int)
 	explore = func(path []int) {
 		if len(path) == depth {
-			play(t, steps, path)
+			runInterleaving(t, steps, path)
 			return
 		}
 		for i := range steps {
 			if len(path) > 0 && path[len(path)-1] == i {
 				continue
 			}
-			// Every first five steps, then a fixed tail that ends with both trying.
+			// All sequences of five steps, then a fixed tail in which both acquire and order.
 			if len(path) >= 5 {
 				tail := []int{0, 2, 1, 3}
 				explore(append(append([]int(nil), path...), tail...))
@@ -135,7 +136,7 @@
 	explore(nil)
 }
 
-func play(t *testing.T, steps []string, path []int) {
+func runInterleaving(t *testing.T, steps []string, path []int) {
 	table := memory.New(memory.Options{}).Table()
 	c := &clock{}
 	leases := map[string]*fencing.Lease{
@@ -155,7 +156,7 @@
 		case step == "a term and gap pass":
 			c.now += fencing.Term + fencing.Gap
 		case step[:7] == "acquire":
-			// A refusal is as good an end as any here.
+			// ErrHeld is a valid outcome here.
 			_ = leases[step[8:]].Acquire(t.Context())
 		default:
 			if fence, held := leases[step[6:]].Fence(); held {
@@ -169,7 +170,7 @@
 			t.Fatalf("%v after %v in %v", is, was, path)
 		}
 		if is.holder != was.holder && is.at-was.at < fencing.Gap {
-			t.Fatalf("holders take turns within %v in %v", is.at-was.at, path)
+			t.Fatalf("orders of different holders within %v in %v", is.at-was.at, path)
 		}
 	}
 }
--- a/sidecar/admission.go
+++ b/sidecar/admission.go
@@ -11,55 +11,55 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// admitter holds the policies of the engine's places and prefills, guarded by
-// Server.mu. The server acts on their decisions in advance.
+// admitter holds the admission policies of the engine's decode slots and prefills,
+// guarded by Server.mu. Server.advance applies their decisions.
 type admitter struct {
-	places  *admission.Decode
+	decode  *admission.Decode
 	prefill *admission.Prefill
 	// reserve is false for the baseline without reservations.
 	reserve bool
-	// mixed engines prefill the prompts that they decode.
+	// mixed is true for an engine that prefills the prompts that it decodes.
 	mixed           bool
 	kvBytesPerToken int64
-	// kick wakes the loop that calls advance.
-	kick chan struct{}
+	// wakeup wakes admitLoop, which calls advance.
+	wakeup chan struct{}
 }
 
 func newAdmitter(set Settings, info engine.Info) *admitter {
-	places := admission.DefaultDecodeConfig(max(info.DecodeSlots, 1))
-	places.StepBase, places.StepPerRun = info.StepBase, info.StepPerRun
-	places.LinkBytesPerSecond = info.LinkBytesPerSecond
-	places.Grace = set.Timing.Hold
-	places.MaxQueued = set.Bounds.Queue
-	places.FIFO = set.Policy.Admission == AdmissionFIFO
-	prefill := admission.DefaultPrefillConfig(info.PrefillTokensPerSecond)
-	prefill.Window = set.Bounds.Prefills
-	prefill.MaxQueued = set.Bounds.Queue
-	prefill.FIFO = places.FIFO
+	decodeConfig := admission.DefaultDecodeConfig(max(info.DecodeSlots, 1))
+	decodeConfig.StepBase, decodeConfig.StepPerRun = info.StepBase, info.StepPerRun
+	decodeConfig.LinkBytesPerSecond = info.LinkBytesPerSecond
+	decodeConfig.Grace = set.Timing.Hold
+	decodeConfig.MaxQueued = set.Bounds.Queue
+	decodeConfig.FIFO = set.Policy.Admission == AdmissionFIFO
+	prefillConfig := admission.DefaultPrefillConfig(info.PrefillTokensPerSecond)
+	prefillConfig.Window = set.Bounds.Prefills
+	prefillConfig.MaxQueued = set.Bounds.Queue
+	prefillConfig.FIFO = decodeConfig.FIFO
 	mixed := info.Role == engine.RoleMixed
 	if mixed {
-		prefill.Window = places.Slots // runs that have a place begin their prefill at once
+		prefillConfig.Window = decodeConfig.Slots // a run with a slot starts its prefill at once
 	}
 	return &admitter{
-		places:          admission.NewDecode(places),
-		prefill:         admission.NewPrefill(prefill),
+		decode:          admission.NewDecode(decodeConfig),
+		prefill:         admission.NewPrefill(prefillConfig),
 		reserve:         set.Policy.Reserve,
 		mixed:           mixed,
 		kvBytesPerToken: info.KVBytesPerToken,
-		kick:            make(chan struct{}, 1),
+		wakeup:          make(chan struct{}, 1),
 	}
 }
 
 // wake makes the loop call advance soon.
 func (a *admitter) wake() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// request is what a reservation asks of the places.
-func (a *admitter) request(now time.Time, m *wire.Reserve) admission.DecodeRequest {
+// decodeRequest returns the admission request for the decode slot of a reservation.
+func (a *admitter) decodeRequest(now time.Time, m *wire.Reserve) admission.DecodeRequest {
 	t := m.GetTerms()
 	r := admission.DecodeRequest{
 		Key:         admission.Key(m.GetRef().Key()),
@@ -75,7 +75,7 @@
 	}
 	if a.mixed {
 		r.PrefillTime, r.KVBytes = 0, 0
-		r.TTFT = a.beforePrefill(now, r.TTFT, work(m.GetRef(), t, m.GetPromptTokens()))
+		r.TTFT = a.remainingTTFT(now, r.TTFT, prefillRequest(m.GetRef(), t, m.GetPromptTokens()))
 		return r
 	}
 	if r.KVBytes == 0 {
@@ -84,16 +84,17 @@
 	return r
 }
 
-// beforePrefill returns what is left of a target when the prefill is done here,
-// once the place is free; at least a little, since 0 means no target.
-func (a *admitter) beforePrefill(now time.Time, ttft time.Duration, w admission.PrefillRequest) time.Duration {
+// remainingTTFT returns the part of the target ttft that is left for the slot queue
+// when the prefill is done here after the slot is granted. It is at least a
+// millisecond, since 0 means no target.
+func (a *admitter) remainingTTFT(now time.Time, ttft time.Duration, r admission.PrefillRequest) time.Duration {
 	if ttft == 0 {
 		return 0
 	}
-	return max(ttft-a.prefill.Cost(w)-a.prefill.Backlog(now), time.Millisecond)
+	return max(ttft-a.prefill.Cost(r)-a.prefill.Backlog(now), time.Millisecond)
 }
 
-func work(ref *wire.Ref, t *wire.Terms, tokens uint32) admission.PrefillRequest {
+func prefillRequest(ref *wire.Ref, t *wire.Terms, tokens uint32) admission.PrefillRequest {
 	return admission.PrefillRequest{
 		Key:      admission.Key(ref.Key()),
 		Customer: t.GetCustomer(),
@@ -104,20 +105,20 @@
 	}
 }
 
-// prefillWork is what a prefill for export asks of the queue. It is to be done
-// within the target, and to begin within the wait that the entry allows.
-func (a *admitter) prefillWork(m *wire.Prefill) admission.PrefillRequest {
-	w := work(m.GetRef(), m.GetTerms(), m.GetPromptTokens())
-	w.Budget = millis(m.GetMaxWaitMs()) + a.prefill.Cost(w)
+// exportRequest returns the admission request of a prefill for export, which must
+// start within the wait that the entry allows and complete within the TTFT target.
+func (a *admitter) exportRequest(m *wire.Prefill) admission.PrefillRequest {
+	r := prefillRequest(m.GetRef(), m.GetTerms(), m.GetPromptTokens())
+	r.Budget = millis(m.GetMaxWaitMs()) + a.prefill.Cost(r)
 	if ttft := millis(m.GetTerms().GetTtftMs()); ttft > 0 {
-		w.Budget = min(w.Budget, ttft)
+		r.Budget = min(r.Budget, ttft)
 	}
-	return w
+	return r
 }
 
-// load is the server's own view of its promises.
+// load returns the server's load as seen by its admission policies.
 func (a *admitter) load(now time.Time) *wire.Load {
-	l := a.places.Load(now)
+	l := a.decode.Load(now)
 	return &wire.Load{
 		Places:           uint32(l.Slots),
 		PlacesUsed:       uint32(l.UsedSlots),
@@ -128,20 +129,20 @@
 	}
 }
 
-// release gives back all that an attempt holds. tokens is the length of a whole
-// answer, or -1 of a run that was not completed.
+// release frees everything that an attempt holds. tokens is the length of a complete
+// answer, or -1 if the run did not complete.
 func (a *admitter) release(now time.Time, key wire.Key, tokens int) {
 	k := admission.Key(key)
 	a.prefill.Cancel(now, k)
 	if tokens >= 0 {
-		a.places.Completed(now, k, tokens)
+		a.decode.Completed(now, k, tokens)
 	} else {
-		a.places.Cancel(k)
+		a.decode.Cancel(k)
 	}
 	a.wake()
 }
 
-// admitLoop calls advance whenever something was given back or has become due.
+// admitLoop calls advance whenever capacity was released or a decision is due.
 func (s *Server) admitLoop() {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -149,7 +150,7 @@
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-s.adm.kick:
+		case <-s.adm.wakeup:
 		case <-t.C:
 		}
 		if next, ok := s.admitDue(); ok {
@@ -158,47 +159,47 @@
 	}
 }
 
-// admitDue acts on what is due and returns when something will be next.
+// admitDue applies the decisions that are due and returns when the next one will be.
 func (s *Server) admitDue() (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.advance(now)
-	next, ok := s.adm.places.NextWake(now)
+	next, ok := s.adm.decode.NextWake(now)
 	if due, more := s.adm.prefill.NextWake(); more && (!ok || due.Before(next)) {
 		return due, true
 	}
 	return next, ok
 }
 
-// advance acts on all decisions that are due. The caller holds mu.
+// advance applies all decisions that are due. The caller holds mu.
 func (s *Server) advance(now time.Time) {
-	for _, d := range s.adm.places.Advance(now) {
+	for _, d := range s.adm.decode.Advance(now) {
 		if r := s.runs[wire.Key(d.Key)]; r != nil {
-			s.decided(now, r, d)
+			s.applyDecodeDecision(now, r, d)
 		}
 	}
 	for _, d := range s.adm.prefill.Advance(now) {
 		if r := s.runs[wire.Key(d.Key)]; r != nil && r.prefill != nil {
-			s.prefillDecided(r, d)
+			s.applyPrefillDecision(r, d)
 		}
 	}
 }
 
-// decided acts on a decision on the place of r. The caller holds mu.
-func (s *Server) decided(now time.Time, r *run, d admission.Decision) {
+// applyDecodeDecision applies a decision on the decode slot of r. The caller holds mu.
+func (s *Server) applyDecodeDecision(now time.Time, r *run, d admission.Decision) {
 	switch d.Verdict {
 	case admission.Granted:
 		r.phase = phaseReserved
 		if r.start != nil { // the baseline without reservations
-			s.decided(now, r, s.adm.places.Start(now, d.Key))
+			s.applyDecodeDecision(now, r, s.adm.decode.Start(now, d.Key))
 			return
 		}
 		s.grant(r, d)
 	case admission.Started:
 		s.beginDecode(now, r, d)
 	case admission.Rejected:
-		s.turnAway(r, d)
+		s.reject(r, d)
 	}
 }
 
@@ -206,7 +207,7 @@
 	if r.sess == nil {
 		return
 	}
-	s.sendLoaded(r.sess, &wire.SidecarFrame{Body: &wire.SidecarFrame_Granted{Granted: &wire.Granted{
+	s.sendWithLoad(r.sess, &wire.SidecarFrame{Body: &wire.SidecarFrame_Granted{Granted: &wire.Granted{
 		Ref:       r.key.Ref(),
 		WaitMs:    uint32(d.Wait.Milliseconds()),
 		LinkMs:    uint32(d.LinkTime.Milliseconds()),
@@ -214,8 +215,8 @@
 	}}})
 }
 
-// turnAway ends an attempt that was not begun. The caller holds mu.
-func (s *Server) turnAway(r *run, d admission.Decision) {
+// reject ends an attempt that was not started. The caller holds mu.
+func (s *Server) reject(r *run, d admission.Decision) {
 	stage := wire.Stage_STAGE_RESERVE
 	switch {
 	case r.prefill != nil:
@@ -230,55 +231,55 @@
 	s.finish(r, refusal(r.key, stage, outcome.Refuse(d.Reason, d.RetryAfter), s.state.Head()))
 }
 
-// beginDecode starts the worker of a run whose place is free. The caller holds mu.
+// beginDecode starts the worker of a run that has its decode slot. The caller holds mu.
 func (s *Server) beginDecode(now time.Time, r *run, d admission.Decision) {
 	m := r.start
 	r.phase = phaseRunning
 	r.out = output{base: int(m.GetPosition()), next: int(m.GetPosition()), acked: int(m.GetPosition())}
 	if m.GetHandle() == "" {
-		s.adm.prefill.Submit(now, work(m.GetRef(), m.GetTerms(), m.GetPromptTokens()))
+		s.adm.prefill.Submit(now, prefillRequest(m.GetRef(), m.GetTerms(), m.GetPromptTokens()))
 		s.adm.wake()
 	}
 	s.begin(r, func(w *worker) {
-		if w.pause(d.Wait) {
+		if w.sleep(d.Wait) {
 			w.decode(m)
 		}
 	})
 }
 
-// progress tells the policies of the token at a position. The caller holds mu.
+// progress reports the token at a position to the policies. The caller holds mu.
 func (s *Server) progress(now time.Time, r *run, position int) {
 	k := admission.Key(r.key)
-	if r.tokenAt.IsZero() {
-		s.adm.places.FirstToken(k, now.Sub(r.begunAt))
+	if r.lastTokenAt.IsZero() {
+		s.adm.decode.FirstToken(k, now.Sub(r.startedAt))
 		s.adm.prefill.Completed(now, k)
 	} else {
-		s.adm.places.ObserveStep(now.Sub(r.tokenAt))
+		s.adm.decode.ObserveStep(now.Sub(r.lastTokenAt))
 	}
-	r.tokenAt = now
-	s.adm.places.Progress(now, k, position+1)
+	r.lastTokenAt = now
+	s.adm.decode.Progress(now, k, position+1)
 }
 
-func (s *Server) prefillDecided(r *run, d admission.Decision) {
+func (s *Server) applyPrefillDecision(r *run, d admission.Decision) {
 	if d.Verdict == admission.Rejected {
-		s.turnAway(r, d)
+		s.reject(r, d)
 		return
 	}
 	m := r.prefill
 	s.begin(r, func(w *worker) { w.prefill(m) })
 }
 
-// share returns the customer's part of the capacity. A request without one, from
-// a contract that leaves it open, counts as the smallest.
+// share returns the customer's share of the capacity. A request without a share,
+// from a contract that does not set one, gets the smallest.
 func share(t *wire.Terms) float64 {
 	const thousandths = 1000
 	return max(float64(t.GetShareMilli())/thousandths, 1.0/thousandths)
 }
 
-// maxStated bounds every duration that a peer states, so that none holds a place
-// for long.
-const maxStated = 10 * time.Minute
+// maxPeerDuration bounds every duration received from a peer, so that none can occupy
+// a decode slot for long.
+const maxPeerDuration = 10 * time.Minute
 
 func millis(ms uint32) time.Duration {
-	return min(time.Duration(ms)*time.Millisecond, maxStated)
+	return min(time.Duration(ms)*time.Millisecond, maxPeerDuration)
 }
--- a/sidecar/admission_test.go
+++ b/sidecar/admission_test.go
@@ -16,9 +16,9 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// TestReservationsWait drives a sidecar with one place by frames. Each step acts
-// on one attempt and tells the phases of all attempts afterwards.
-func TestReservationsWait(t *testing.T) {
+// TestReservationsAreQueued sends frames to a sidecar with one decode slot. Each step
+// acts on one attempt and lists the phases of all attempts afterwards.
+func TestReservationsAreQueued(t *testing.T) {
 	type step struct {
 		do   string
 		n    uint32
@@ -56,12 +56,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, sess := onePlace(c.policy)
+				s, sess := newOneSlotServer(c.policy)
 				defer s.Close()
-				for i, st := range c.steps {
-					act(s, sess, st.do, st.n)
+				for i, step := range c.steps {
+					applyStep(s, sess, step.do, step.n)
 					synctest.Wait()
-					for n, want := range st.want {
+					for n, want := range step.want {
 						assert.Equal(t, phaseOf(s, uint32(n+1)), want, "attempt %d after step %d", n+1, i)
 					}
 				}
@@ -70,21 +70,21 @@
 	}
 }
 
-func onePlace(p Policy) (*Server, *session) {
+func newOneSlotServer(p Policy) (*Server, *session) {
 	set := DefaultSettings()
 	set.Policy = p
 	info := engine.Info{Models: []string{"m"}, DecodeSlots: 1, StepBase: 10 * time.Millisecond}
-	var streams []*scriptStream
+	var streams []*scriptedStream
 	for range 3 {
-		streams = append(streams, &scriptStream{})
+		streams = append(streams, &scriptedStream{})
 	}
-	s := NewServer(set, &scriptEngine{streams: streams}, info, "i", event.New("test", "t", log.PanicLevel), metrics.NewSet())
+	s := NewServer(set, &scriptedEngine{streams: streams}, info, "i", event.New("test", "t", log.PanicLevel), metrics.NewSet())
 	s.work.Go(s.admitLoop)
 	opts := link.Options[wire.SidecarFrame]{QueueLimit: 64}
 	return s, &session{entry: &wire.Hello{}, link: link.New[wire.SidecarFrame, wire.EntryFrame](nil, opts)}
 }
 
-func act(s *Server, sess *session, do string, n uint32) {
+func applyStep(s *Server, sess *session, do string, n uint32) {
 	ref := &wire.Ref{RequestId: "r", Attempt: n}
 	terms := &wire.Terms{Customer: "a", TtftMs: 5000, ShareMilli: 1000}
 	reserve := &wire.Reserve{Ref: ref, Terms: terms, Model: "m", MaxTokens: 100}
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -13,9 +13,9 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// serviceCaller makes calls to the plain service. Each call has a connection of
-// its own: net/http repeats a request by itself when a kept connection turns out
-// to be closed, which an unrepeatable call must never meet.
+// serviceCaller makes calls to the plain service. Each call uses a new connection,
+// because net/http retries a request on its own when a reused connection turns out
+// to be closed, which must never happen to an unrepeatable call.
 type serviceCaller struct {
 	base   string
 	client *http.Client
@@ -64,7 +64,7 @@
 	return reply, nil
 }
 
-// call runs one call of the plain service.
+// call executes one call to the plain service.
 func (w *worker) call(m *wire.Call) {
 	reply, err := w.s.caller.do(w.ctx, m)
 	if err != nil {
@@ -76,11 +76,11 @@
 	})
 }
 
-// callOutcome is NotRun only when no connection to the service was made.
+// callOutcome returns NotRun only if no connection to the service was made.
 func callOutcome(err error) outcome.Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return outcome.Refuse(outcome.EngineLost, refusalRetry)
+		return outcome.Refuse(outcome.EngineLost, refusalRetryAfter)
 	}
 	return outcome.Unsure(outcome.EngineLost, "")
 }
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -11,7 +11,8 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// A header in another encoding, as old services send them, goes over the link.
+// TestReplyHeadersAreText checks that a header that is not valid UTF-8, as old services
+// send them, can be sent over the link.
 func TestReplyHeadersAreText(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Disposition", "attachment; filename=\"sk\xfdrsla.pdf\"")
--- a/sidecar/claims.go
+++ b/sidecar/claims.go
@@ -7,8 +7,8 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// onClaim decides about a ticket in memory. A ticket of an earlier incarnation is
-// lost: what ran under it is not known any more. The caller holds mu.
+// onClaim claims or releases a ticket in memory. A ticket of an earlier incarnation
+// cannot be granted, because it is unknown what ran under it. The caller holds mu.
 func (s *Server) onClaim(sess *session, m *wire.Claim) {
 	c := claim.Claim{Customer: m.GetCustomer(), Key: m.GetKey(), RequestID: m.GetRef().GetRequestId()}
 	if m.GetRelease() {
--- a/sidecar/decode.go
+++ b/sidecar/decode.go
@@ -13,20 +13,21 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// maxResumes bounds how often an engine's stream is re-joined without a new token.
+// maxResumes bounds how often an engine's stream is reopened without a new token.
 const maxResumes = 3
 
-// startPatience is how many stalls long the engine may take to begin a run.
-const startPatience = 5
+// maxStartStalls is the time limit for the engine to start a run, in multiples of
+// Timing.EngineStall.
+const maxStartStalls = 5
 
-// decode begins the run in the engine and forwards its tokens.
+// decode starts the run in the engine and forwards its tokens.
 func (w *worker) decode(m *wire.Start) {
 	w.locked(func() {
 		w.r.ran = true
-		w.r.begunAt = time.Now()
+		w.r.startedAt = time.Now()
 	})
 	event.RunStarted.Log(w.s.log).Str("request", w.r.key.RequestID).Uint32("attempt", w.r.key.Attempt).Str("run", w.r.engineID).Msg("")
-	stream, err := w.open(startPatience*w.s.set.Timing.EngineStall, func(ctx context.Context) (engine.Stream, error) {
+	stream, err := w.open(maxStartStalls*w.s.set.Timing.EngineStall, func(ctx context.Context) (engine.Stream, error) {
 		return w.s.eng.Decode(ctx, w.request(m))
 	})
 	switch {
@@ -60,13 +61,13 @@
 	}
 }
 
-// open bounds the time in which the engine must answer a call that opens a
-// stream; the stream lives on in the worker's context.
-func (w *worker) open(patience time.Duration, call func(context.Context) (engine.Stream, error)) (engine.Stream, error) {
+// open bounds the time that the engine has to answer a call that opens a stream;
+// the stream itself is bounded only by the worker's context.
+func (w *worker) open(timeout time.Duration, call func(context.Context) (engine.Stream, error)) (engine.Stream, error) {
 	ctx, cancel := context.WithCancel(w.ctx)
-	overdue := time.AfterFunc(patience, cancel)
+	timer := time.AfterFunc(timeout, cancel)
 	stream, err := call(ctx)
-	if !overdue.Stop() && err == nil {
+	if !timer.Stop() && err == nil {
 		_ = stream.Close()
 		err = engine.ErrIndeterminate
 	}
@@ -76,7 +77,7 @@
 	return stream, err
 }
 
-// resume re-joins the run's stream. An engine that does not answer is lost, while
+// resume reopens the run's stream. An engine that does not answer is lost, whereas
 // one that answers and sends nothing may be busy.
 func (w *worker) resume(position int) (engine.Stream, error) {
 	return w.open(w.s.set.Timing.EngineCall, func(ctx context.Context) (engine.Stream, error) {
@@ -84,41 +85,42 @@
 	})
 }
 
-// startRefusal maps errors after which no run exists in the engine.
+// startRefusal returns the outcome for an error of Decode that means that no run was
+// started.
 func startRefusal(err error) outcome.Outcome {
 	switch {
 	case errors.Is(err, engine.ErrNotFound):
-		return outcome.Refuse(outcome.KVLost, refusalRetry)
+		return outcome.Refuse(outcome.KVLost, refusalRetryAfter)
 	case errors.Is(err, engine.ErrFull):
-		return outcome.Refuse(outcome.NoPlace, refusalRetry)
+		return outcome.Refuse(outcome.NoPlace, refusalRetryAfter)
 	case errors.Is(err, engine.ErrExists):
 		return outcome.Unsure(outcome.Duplicate, "")
 	default:
-		return outcome.Refuse(outcome.EngineError, refusalRetry)
+		return outcome.Refuse(outcome.EngineError, refusalRetryAfter)
 	}
 }
 
-// forward moves the stream's tokens to the ledger, re-joining a stream that
-// breaks or falls silent.
+// forward copies the stream's tokens to the ledger and reopens a stream that breaks
+// or stalls.
 func (w *worker) forward(stream engine.Stream) {
 	first := w.position()
 	last, failures := first, 0
 	for {
-		silent, err := w.drainStream(stream)
+		stalled, err := w.drainStream(stream)
 		_ = stream.Close()
 		if err == nil || w.ctx.Err() != nil {
 			return
 		}
-		if w.neverBegan(err) {
-			w.fail(wire.Stage_STAGE_START, outcome.Refuse(outcome.KVLost, refusalRetry), err)
+		if w.droppedBeforeFirstToken(err) {
+			w.fail(wire.Stage_STAGE_START, outcome.Refuse(outcome.KVLost, refusalRetryAfter), err)
 			return
 		}
 		at := w.position()
 		if at > last {
 			last, failures = at, 0
 		}
-		// Silence before the first token may be the wait for a prefill.
-		if !silent || at > first {
+		// A stall before the first token may be a queued prefill.
+		if !stalled || at > first {
 			failures++
 		}
 		if failures <= maxResumes {
@@ -131,40 +133,40 @@
 	}
 }
 
-// position is the number of the next token wanted.
+// position returns the position of the next token.
 func (w *worker) position() (end int) {
 	w.locked(func() { end = w.r.out.end() })
 	return end
 }
 
-// neverBegan reports whether the engine has dropped the run before its first
-// token. Only this sidecar cancels runs, so the KV cache was lost on its way.
-func (w *worker) neverBegan(err error) bool {
+// droppedBeforeFirstToken reports whether the engine dropped the run before its first
+// token. Since only this sidecar cancels runs, the KV cache was lost in transfer.
+func (w *worker) droppedBeforeFirstToken(err error) bool {
 	if !errors.Is(err, engine.ErrNotFound) {
 		return false
 	}
-	never := false
+	dropped := false
 	w.locked(func() {
-		never = !w.r.out.any
-		w.r.ran = !never
+		dropped = !w.r.out.produced
+		w.r.ran = !dropped
 	})
-	return never
+	return dropped
 }
 
-// drainStream reads until the final event, which it turns into the run's end. An
-// engine from which nothing comes for too long may hold a connection that has
-// gone silent, so the stream is closed; silent reports that.
-func (w *worker) drainStream(stream engine.Stream) (silent bool, err error) {
-	var stalled atomic.Bool
+// drainStream reads the stream until its final event, with which it completes the
+// run. If the engine sends nothing for EngineStall, the connection may be
+// unresponsive, so the stream is closed; stalled reports that.
+func (w *worker) drainStream(stream engine.Stream) (stalled bool, err error) {
+	var timedOut atomic.Bool
 	stall := time.AfterFunc(w.s.set.Timing.EngineStall, func() {
-		stalled.Store(true)
+		timedOut.Store(true)
 		_ = stream.Close()
 	})
 	defer stall.Stop()
 	for {
 		ev, err := stream.Next()
 		if err != nil {
-			return stalled.Load(), err
+			return timedOut.Load(), err
 		}
 		stall.Reset(w.s.set.Timing.EngineStall)
 		if ev.Done {
@@ -174,7 +176,7 @@
 		w.locked(func() {
 			gap = !w.r.out.add(ev.Position, []string{ev.Token})
 			w.s.progress(time.Now(), w.r, ev.Position)
-			w.r.pump(w.s.set.Bounds.Window)
+			w.r.sendOutput(w.s.set.Bounds.Window)
 		})
 		if gap {
 			return false, io.ErrUnexpectedEOF
--- a/sidecar/decode_test.go
+++ b/sidecar/decode_test.go
@@ -17,14 +17,14 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// scriptEngine hands out its streams one after the other, first to Decode.
-type scriptEngine struct {
+// scriptedEngine returns its streams one after the other, the first from Decode.
+type scriptedEngine struct {
 	engine.Engine
-	streams []*scriptStream
+	streams []*scriptedStream
 	resumes int
 }
 
-func (e *scriptEngine) next() (engine.Stream, error) {
+func (e *scriptedEngine) next() (engine.Stream, error) {
 	if len(e.streams) == 0 {
 		return nil, engine.ErrNotFound
 	}
@@ -34,17 +34,17 @@
 	return s, s.open
 }
 
-func (e *scriptEngine) Decode(context.Context, engine.DecodeRequest) (engine.Stream, error) {
+func (e *scriptedEngine) Decode(context.Context, engine.DecodeRequest) (engine.Stream, error) {
 	return e.next()
 }
 
-func (e *scriptEngine) Resume(context.Context, string, int) (engine.Stream, error) {
+func (e *scriptedEngine) Resume(context.Context, string, int) (engine.Stream, error) {
 	e.resumes++
 	return e.next()
 }
 
-// scriptStream yields events, then err; with no err it stays silent until closed.
-type scriptStream struct {
+// scriptedStream yields events, then err; without err it blocks until closed.
+type scriptedStream struct {
 	open   error
 	events []engine.StreamEvent
 	err    error
@@ -52,7 +52,7 @@
 	closed chan struct{}
 }
 
-func (s *scriptStream) Next() (engine.StreamEvent, error) {
+func (s *scriptedStream) Next() (engine.StreamEvent, error) {
 	if len(s.events) > 0 {
 		ev := s.events[0]
 		s.events = s.events[1:]
@@ -65,12 +65,12 @@
 	return engine.StreamEvent{}, s.err
 }
 
-func (s *scriptStream) Close() error {
+func (s *scriptedStream) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return nil
 }
 
-func tokens(from, to int) []engine.StreamEvent {
+func tokenEvents(from, to int) []engine.StreamEvent {
 	var out []engine.StreamEvent
 	for i := from; i < to; i++ {
 		out = append(out, engine.StreamEvent{Position: i, Token: string(rune('a' + i))})
@@ -78,36 +78,36 @@
 	return out
 }
 
-func whole(from, to int) []engine.StreamEvent {
-	return append(tokens(from, to), engine.StreamEvent{Done: true, Total: to, FinishReason: "stop"})
+func completeAnswer(from, to int) []engine.StreamEvent {
+	return append(tokenEvents(from, to), engine.StreamEvent{Done: true, Total: to, FinishReason: "stop"})
 }
 
 func TestDecodeUnderStreamFaults(t *testing.T) {
 	cut := io.ErrUnexpectedEOF
 	for _, c := range []struct {
 		name    string
-		streams []*scriptStream
+		streams []*scriptedStream
 		text    string
-		end     string // reason, or "" for a whole answer
+		end     string // reason, or "" for a complete answer
 		kind    wire.Kind
 		resumes int
 	}{
-		{"unbroken", []*scriptStream{{events: whole(0, 4)}}, "abcd", "", 0, 0},
-		{"cut and joined", []*scriptStream{{events: tokens(0, 2), err: cut}, {events: whole(2, 4)}}, "abcd", "", 0, 1},
-		{"tokens again", []*scriptStream{{events: tokens(0, 3), err: cut}, {events: whole(1, 4)}}, "abcd", "", 0, 1},
-		{"silent, then joined", []*scriptStream{{events: tokens(0, 2)}, {events: whole(2, 4)}}, "abcd", "", 0, 1},
-		{"a token missing", []*scriptStream{{events: append(tokens(0, 1), tokens(2, 4)...)}, {events: whole(1, 4)}}, "abcd", "", 0, 1},
-		{"end before the last token", []*scriptStream{{events: append(tokens(0, 2), engine.StreamEvent{Done: true, Total: 4})}, {events: whole(2, 4)}}, "abcd", "", 0, 1},
-		{"cut for ever", []*scriptStream{{events: tokens(0, 2), err: cut}, {err: cut}, {err: cut}, {err: cut}}, "ab", string(outcome.EngineLost), wire.Kind_KIND_FAILED, 3},
-		{"gone after the cut", []*scriptStream{{events: tokens(0, 2), err: cut}}, "ab", string(outcome.EngineLost), wire.Kind_KIND_FAILED, 1},
-		{"start unanswered, yet begun", []*scriptStream{{open: engine.ErrIndeterminate}, {events: whole(0, 4)}}, "abcd", "", 0, 1},
-		{"start unanswered, not found", []*scriptStream{{open: engine.ErrIndeterminate}}, "", string(outcome.EngineLost), wire.Kind_KIND_UNKNOWN, 1},
-		{"start refused", []*scriptStream{{open: engine.ErrFull}}, "", string(outcome.NoPlace), wire.Kind_KIND_NOT_RUN, 0},
-		{"KV lost in the transfer", []*scriptStream{{err: engine.ErrNotFound}}, "", string(outcome.KVLost), wire.Kind_KIND_NOT_RUN, 0},
+		{"unbroken", []*scriptedStream{{events: completeAnswer(0, 4)}}, "abcd", "", 0, 0},
+		{"cut and resumed", []*scriptedStream{{events: tokenEvents(0, 2), err: cut}, {events: completeAnswer(2, 4)}}, "abcd", "", 0, 1},
+		{"repeated tokens", []*scriptedStream{{events: tokenEvents(0, 3), err: cut}, {events: completeAnswer(1, 4)}}, "abcd", "", 0, 1},
+		{"stalled and resumed", []*scriptedStream{{events: tokenEvents(0, 2)}, {events: completeAnswer(2, 4)}}, "abcd", "", 0, 1},
+		{"missing token", []*scriptedStream{{events: append(tokenEvents(0, 1), tokenEvents(2, 4)...)}, {events: completeAnswer(1, 4)}}, "abcd", "", 0, 1},
+		{"end before the last token", []*scriptedStream{{events: append(tokenEvents(0, 2), engine.StreamEvent{Done: true, Total: 4})}, {events: completeAnswer(2, 4)}}, "abcd", "", 0, 1},
+		{"every resumed stream cut", []*scriptedStream{{events: tokenEvents(0, 2), err: cut}, {err: cut}, {err: cut}, {err: cut}}, "ab", string(outcome.EngineLost), wire.Kind_KIND_FAILED, 3},
+		{"not found after the cut", []*scriptedStream{{events: tokenEvents(0, 2), err: cut}}, "ab", string(outcome.EngineLost), wire.Kind_KIND_FAILED, 1},
+		{"start unanswered, run found", []*scriptedStream{{open: engine.ErrIndeterminate}, {events: completeAnswer(0, 4)}}, "abcd", "", 0, 1},
+		{"start unanswered, run not found", []*scriptedStream{{open: engine.ErrIndeterminate}}, "", string(outcome.EngineLost), wire.Kind_KIND_UNKNOWN, 1},
+		{"start refused", []*scriptedStream{{open: engine.ErrFull}}, "", string(outcome.NoPlace), wire.Kind_KIND_NOT_RUN, 0},
+		{"KV lost in the transfer", []*scriptedStream{{err: engine.ErrNotFound}}, "", string(outcome.KVLost), wire.Kind_KIND_NOT_RUN, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				eng := &scriptEngine{streams: c.streams}
+				eng := &scriptedEngine{streams: c.streams}
 				s := NewServer(DefaultSettings(), eng, engine.Info{}, "i", event.New("test", "t", log.PanicLevel), metrics.NewSet())
 				r := &run{key: wire.Key{RequestID: "r", Attempt: 1}, phase: phaseRunning}
 				s.runs[r.key] = r
--- a/sidecar/delta_test.go
+++ b/sidecar/delta_test.go
@@ -12,8 +12,8 @@
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 )
 
-// A server whose own record is gone from the whole configuration takes no new
-// work, as if it had been told of the removal.
+// TestOwnRecordAbsentFromAFullDelta checks that a server whose own record is missing
+// from a full configuration takes no new work, as if its removal had been reported.
 func TestOwnRecordAbsentFromAFullDelta(t *testing.T) {
 	set := DefaultSettings()
 	set.ID = "vm-1"
--- a/sidecar/demand.go
+++ b/sidecar/demand.go
@@ -7,27 +7,27 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// demandInterval is how often one entry is told the demand of customers, at most.
-const demandInterval = 2 * time.Second
+// minDemandInterval is the minimum interval between reports of demand to one entry.
+const minDemandInterval = 2 * time.Second
 
-// meter counts a request that was asked for here, granted or not, once over all
+// recordDemand counts a request that was offered here, granted or not, once over all
 // of its attempts. The caller holds mu.
-func (s *Server) meter(t *wire.Terms) {
+func (s *Server) recordDemand(t *wire.Terms) {
 	if t.GetWeightMilli() == 0 {
 		return
 	}
-	above := limit.Load{Demand: float64(t.GetTellRateMilli()) / 1000, Running: int(t.GetTellRunning())}
-	s.demand.RecordOffered(t.GetCustomer(), float64(t.GetWeightMilli())/1000, above, time.Now())
+	threshold := limit.Load{Demand: float64(t.GetTellRateMilli()) / 1000, Running: int(t.GetTellRunning())}
+	s.demand.RecordOffered(t.GetCustomer(), float64(t.GetWeightMilli())/1000, threshold, time.Now())
 }
 
-// addDemand lets the demand of customers near a limit ride on a frame. The caller
-// holds mu.
+// addDemand attaches the demand of customers near a limit to a frame, at most once
+// per minDemandInterval. The caller holds mu.
 func (s *Server) addDemand(sess *session, f *wire.SidecarFrame, now time.Time) {
-	if now.Sub(sess.demandAt) < demandInterval {
+	if now.Sub(sess.demandSentAt) < minDemandInterval {
 		return
 	}
-	sess.demandAt = now
-	for _, e := range s.demand.Loads(s.runningOfOthers(sess), now) {
+	sess.demandSentAt = now
+	for _, e := range s.demand.Loads(s.runningFromOtherEntries(sess), now) {
 		f.Demands = append(f.Demands, &wire.Demand{
 			Customer:  e.Customer,
 			RateMilli: uint32(e.Demand * 1000),
@@ -36,9 +36,10 @@
 	}
 }
 
-// runningOfOthers counts the requests in progress that came through other
-// entries, by customer. Prefills for export are counted where they are decoded.
-func (s *Server) runningOfOthers(sess *session) map[string]int {
+// runningFromOtherEntries counts the requests in progress that came from other
+// entries, by customer. Prefills for export are counted by the server that decodes
+// them.
+func (s *Server) runningFromOtherEntries(sess *session) map[string]int {
 	out := make(map[string]int)
 	for _, r := range s.runs {
 		if r.owner != sess.entry.GetIncarnation() && (r.phase == phaseReserved || r.phase == phaseRunning) {
--- a/sidecar/demand_test.go
+++ b/sidecar/demand_test.go
@@ -10,12 +10,12 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-func TestDemandIsTold(t *testing.T) {
+func TestDemandIsReported(t *testing.T) {
 	s := &Server{demand: limit.NewMeter(), runs: map[wire.Key]*run{}}
 	mine := &session{entry: &wire.Hello{Incarnation: "mine"}}
 	near := &wire.Terms{Customer: "near", WeightMilli: 5000, TellRateMilli: 400, TellRunning: 2}
 	for _, terms := range []*wire.Terms{near, {Customer: "near"}, {Customer: "far", WeightMilli: 1000, TellRateMilli: 1000}, {Customer: "busy", WeightMilli: 1000, TellRunning: 2}} {
-		s.meter(terms)
+		s.recordDemand(terms)
 	}
 	for i, r := range []*run{
 		{owner: "mine", phase: phaseRunning}, {owner: "other", phase: phaseRunning},
@@ -33,12 +33,12 @@
 			assert.Assert(t, d.GetRateMilli() > 400 && d.GetRateMilli() <= 500, "five requests over ten seconds")
 			assert.Equal(t, d.GetRunning(), uint32(0))
 		case "busy":
-			assert.Equal(t, d.GetRunning(), uint32(2), "only those of others that are in progress")
+			assert.Equal(t, d.GetRunning(), uint32(2), "only requests in progress from other entries")
 		default:
-			t.Error("not near a limit:", d.GetCustomer())
+			t.Error("customer is not near a limit:", d.GetCustomer())
 		}
 	}
 	again := &wire.SidecarFrame{}
-	s.addDemand(mine, again, now.Add(demandInterval-1))
-	assert.Equal(t, len(again.Demands), 0, "not so often")
+	s.addDemand(mine, again, now.Add(minDemandInterval-1))
+	assert.Equal(t, len(again.Demands), 0, "at most once per interval")
 }
--- a/sidecar/engine.go
+++ b/sidecar/engine.go
@@ -7,12 +7,12 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// infoRetry is the pause between two questions to an engine that is not up yet.
-const infoRetry = 100 * time.Millisecond
+// infoRetryInterval is the interval between requests to an engine that is not up yet.
+const infoRetryInterval = 100 * time.Millisecond
 
-// waitInfo asks the engine for its properties until it answers or ctx ends.
-func waitInfo(ctx context.Context, eng engine.Engine) (engine.Info, error) {
-	t := time.NewTicker(infoRetry)
+// waitForInfo requests the engine's properties until it answers or ctx ends.
+func waitForInfo(ctx context.Context, eng engine.Engine) (engine.Info, error) {
+	t := time.NewTicker(infoRetryInterval)
 	defer t.Stop()
 	for {
 		info, err := eng.Info(ctx)
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -18,7 +18,7 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// fakeEngine answers every run with many tokens at once.
+// fakeEngine returns many tokens for every run without delay.
 type fakeEngine struct{ engine.Engine }
 
 const fakeTokens = 600
@@ -58,8 +58,8 @@
 	return b.Bytes()
 }
 
-// FuzzFrames holds that no sequence of frames stops a sidecar, whether it stands
-// beside an engine or a plain service.
+// FuzzFrames checks that no sequence of frames makes a sidecar panic or hang, whether
+// it serves an engine or a plain service.
 func FuzzFrames(f *testing.F) {
 	ref := &wire.Ref{RequestId: "r", Attempt: 1}
 	other := &wire.Ref{RequestId: "q", Attempt: 1}
@@ -89,13 +89,13 @@
 	}}}}))
 	f.Add(frames(f, &wire.EntryFrame{}, &wire.EntryFrame{Body: &wire.EntryFrame_Reserve{}}, &wire.EntryFrame{Body: &wire.EntryFrame_Hello{}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		synctest.Test(t, func(t *testing.T) { feed(t, fakeEngine{}, data) })
-		synctest.Test(t, func(t *testing.T) { feed(t, nil, data) })
+		synctest.Test(t, func(t *testing.T) { handleFrames(t, fakeEngine{}, data) })
+		synctest.Test(t, func(t *testing.T) { handleFrames(t, nil, data) })
 	})
 }
 
-// feed hands the frames in data to a new server.
-func feed(t *testing.T, eng engine.Engine, data []byte) {
+// handleFrames passes the frames in data to a new server.
+func handleFrames(t *testing.T, eng engine.Engine, data []byte) {
 	set := DefaultSettings()
 	set.ID = "sc"
 	set.Service = "http://127.0.0.1:1" // nothing listens there
@@ -105,9 +105,9 @@
 	sess := &session{entry: &wire.Hello{Incarnation: "e"}}
 	sess.link = link.New[wire.SidecarFrame, wire.EntryFrame](nil, link.Options[wire.SidecarFrame]{
 		Beat: set.Timing.Heartbeat, IdleBeat: set.Timing.IdleHeartbeat, Silence: set.Timing.Silence,
-		QueueLimit: 1 << 20, MakeBeat: s.beat, Active: sess.active.Load,
+		QueueLimit: 1 << 20, MakeBeat: s.heartbeat, Active: sess.active.Load,
 	})
-	s.join(sess)
+	s.addSession(sess)
 	in := bytes.NewReader(data)
 	for {
 		fr := &wire.EntryFrame{}
@@ -116,8 +116,8 @@
 			break
 		}
 		s.handle(sess, fr)
-		synctest.Wait() // until the workers have nothing left to do
+		synctest.Wait() // until all workers are blocked or done
 	}
-	s.leave(sess)
+	s.removeSession(sess)
 	s.Leaving()
 }
--- a/sidecar/handle.go
+++ b/sidecar/handle.go
@@ -15,10 +15,11 @@
 
 var errProtocol = merry.Sentinel("unknown protocol version or missing incarnation")
 
-// refusalRetry is the retry-after of refusals that another server may lift.
-const refusalRetry = 250 * time.Millisecond
+// refusalRetryAfter is the retry-after of refusals when another server may accept the
+// request.
+const refusalRetryAfter = 250 * time.Millisecond
 
-// handle takes one frame of an entry. It does not block on the engine.
+// handle processes one frame from an entry. It does not block on the engine.
 func (s *Server) handle(sess *session, f *wire.EntryFrame) {
 	if b, ok := f.GetBody().(*wire.EntryFrame_Records); ok {
 		s.applyRecords(sess, b.Records)
@@ -26,10 +27,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lease(sess).heard = time.Now()
+	s.lease(sess).lastFrame = time.Now()
 	switch b := f.GetBody().(type) {
 	case *wire.EntryFrame_Beat:
-		s.onBeat(sess, b.Beat)
+		s.onHeartbeat(sess, b.Beat)
 	case *wire.EntryFrame_Reserve:
 		s.onReserve(sess, b.Reserve)
 	case *wire.EntryFrame_Prefill:
@@ -61,18 +62,18 @@
 	}
 }
 
-func (s *Server) onBeat(sess *session, b *wire.EntryBeat) {
+func (s *Server) onHeartbeat(sess *session, b *wire.EntryBeat) {
 	interval := time.Duration(b.GetIntervalMs()) * time.Millisecond
 	sess.link.Heard(interval)
 	s.lease(sess).interval = max(interval, s.set.Timing.Heartbeat)
-	s.hearLeaving(func(now time.Time) { s.leaving.Listed(now, sess.entry.GetEntryId(), b.GetListedLeaving()) })
-	sess.has = max(sess.has, b.GetHeadRevision())
-	s.offered(sess)
-	s.heal(sess, sess.has)
+	s.updateLeaving(func(now time.Time) { s.leaving.Listed(now, sess.entry.GetEntryId(), b.GetListedLeaving()) })
+	sess.peerRevision = max(sess.peerRevision, b.GetHeadRevision())
+	s.pullIfBehind(sess)
+	s.sendRecords(sess, sess.peerRevision)
 }
 
-// admit makes the checks common to all new work and opens a ledger entry. It
-// returns nil after refusing. The caller holds mu.
+// admit makes the checks common to all new work and creates a ledger entry. It
+// returns nil after a refusal. The caller holds mu.
 func (s *Server) admit(sess *session, key wire.Key, t *wire.Terms, stage wire.Stage) *run {
 	refuse := func(reason outcome.Reason, after time.Duration) *run {
 		s.refuse(sess, key, stage, outcome.Refuse(reason, after))
@@ -80,20 +81,20 @@
 	}
 	if old, ok := s.runs[key]; ok {
 		if old.phase == phaseFenced {
-			return refuse(outcome.FencedOff, refusalRetry)
+			return refuse(outcome.FencedOff, refusalRetryAfter)
 		}
 		s.refuse(sess, key, stage, outcome.Unsure(outcome.Duplicate, "attempt known already"))
 		return nil
 	}
 	if s.leaving.Leaving() {
-		return refuse(outcome.Leaving, refusalRetry)
+		return refuse(outcome.Leaving, refusalRetryAfter)
 	}
 	if t.GetContractRevision() < s.state.Revision(dissemination.ContractPrefix+t.GetCustomer()) {
-		s.heal(sess, 0)
+		s.sendRecords(sess, 0)
 		return refuse(outcome.StaleRevision, 0)
 	}
 	if len(s.runs) >= s.set.Bounds.Runs {
-		return refuse(outcome.NoPlace, refusalRetry)
+		return refuse(outcome.NoPlace, refusalRetryAfter)
 	}
 	r := &run{
 		key:      key,
@@ -108,10 +109,10 @@
 }
 
 func (s *Server) onReserve(sess *session, m *wire.Reserve) {
-	s.meter(m.GetTerms())
+	s.recordDemand(m.GetTerms())
 	key := m.GetRef().Key()
 	if s.eng == nil || !s.serves(m.GetModel()) {
-		s.refuse(sess, key, wire.Stage_STAGE_RESERVE, outcome.Refuse(outcome.NoBackend, refusalRetry))
+		s.refuse(sess, key, wire.Stage_STAGE_RESERVE, outcome.Refuse(outcome.NoBackend, refusalRetryAfter))
 		return
 	}
 	r := s.admit(sess, key, m.GetTerms(), wire.Stage_STAGE_RESERVE)
@@ -124,7 +125,7 @@
 		return
 	}
 	r.phase = phaseWaiting
-	d := s.adm.places.Reserve(now, s.adm.request(now, m))
+	d := s.adm.decode.Reserve(now, s.adm.decodeRequest(now, m))
 	if d.Verdict == admission.Rejected {
 		delete(s.runs, key)
 		s.refuse(sess, key, wire.Stage_STAGE_RESERVE, outcome.Refuse(d.Reason, d.RetryAfter))
@@ -134,18 +135,18 @@
 	s.adm.wake()
 }
 
-// grantUnreserved is the baseline that says yes to every reservation and looks
-// for a place only when the KV cache is there. The caller holds mu.
+// grantUnreserved implements the baseline that grants every reservation and requests
+// a decode slot only after the KV cache has been computed. The caller holds mu.
 func (s *Server) grantUnreserved(now time.Time, r *run, m *wire.Reserve) {
-	hold := s.set.Timing.Hold + 2*millis(m.GetPrefillMs())
+	validFor := s.set.Timing.Hold + 2*millis(m.GetPrefillMs())
 	r.phase = phaseReserved
-	r.expires = now.Add(hold)
-	s.grant(r, admission.Decision{ExpiresIn: hold})
+	r.expires = now.Add(validFor)
+	s.grant(r, admission.Decision{ExpiresIn: validFor})
 }
 
 func (s *Server) onPrefill(sess *session, m *wire.Prefill) {
 	if s.eng == nil || !s.serves(m.GetModel()) {
-		s.refuse(sess, m.GetRef().Key(), wire.Stage_STAGE_PREFILL, outcome.Refuse(outcome.NoBackend, refusalRetry))
+		s.refuse(sess, m.GetRef().Key(), wire.Stage_STAGE_PREFILL, outcome.Refuse(outcome.NoBackend, refusalRetryAfter))
 		return
 	}
 	r := s.admit(sess, m.GetRef().Key(), m.GetTerms(), wire.Stage_STAGE_PREFILL)
@@ -153,7 +154,7 @@
 		return
 	}
 	now := time.Now()
-	d := s.adm.prefill.Submit(now, s.adm.prefillWork(m))
+	d := s.adm.prefill.Submit(now, s.adm.exportRequest(m))
 	if d.Verdict == admission.Rejected {
 		delete(s.runs, r.key)
 		s.refuse(sess, r.key, wire.Stage_STAGE_PREFILL, outcome.Refuse(d.Reason, d.RetryAfter))
@@ -170,38 +171,39 @@
 	r, ok := s.runs[key]
 	switch {
 	case !ok:
-		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.ReservationLapsed, refusalRetry))
+		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.ReservationLapsed, refusalRetryAfter))
 	case r.phase == phaseFenced:
-		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.FencedOff, refusalRetry))
+		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.FencedOff, refusalRetryAfter))
 	case r.phase == phaseReserved && r.start == nil:
 		r.sess = sess
 		r.start = m
 		s.startReserved(time.Now(), r)
 	default:
-		// A repeated start of the same attempt changes nothing.
+		// A repeated start of the same attempt has no effect.
 	}
 }
 
-// startReserved starts a run on its place, or lets it wait for one. The caller holds mu.
+// startReserved starts a run in its decode slot, or queues it for one. The caller
+// holds mu.
 func (s *Server) startReserved(now time.Time, r *run) {
 	if s.adm.reserve {
-		s.decided(now, r, s.adm.places.Start(now, admission.Key(r.key)))
+		s.applyDecodeDecision(now, r, s.adm.decode.Start(now, admission.Key(r.key)))
 		s.adm.wake()
 		return
 	}
 	m := r.start
 	r.phase = phaseWaiting
 	r.expires = time.Time{}
-	d := s.adm.places.Reserve(now, s.adm.request(now, &wire.Reserve{
+	d := s.adm.decode.Reserve(now, s.adm.decodeRequest(now, &wire.Reserve{
 		Ref: m.GetRef(), Terms: m.GetTerms(), PromptTokens: m.GetPromptTokens(), MaxTokens: m.GetMaxTokens(), KvBytes: m.GetKvBytes(),
 	}))
-	s.decided(now, r, d)
+	s.applyDecodeDecision(now, r, d)
 	s.advance(now)
 	s.adm.wake()
 }
 
 func (s *Server) onCall(sess *session, m *wire.Call) {
-	s.meter(m.GetTerms())
+	s.recordDemand(m.GetTerms())
 	key := m.GetRef().Key()
 	if s.caller == nil {
 		s.refuse(sess, key, wire.Stage_STAGE_CALL, outcome.Refuse(outcome.NoBackend, 0))
@@ -216,16 +218,18 @@
 	s.begin(r, func(w *worker) { w.call(m) })
 }
 
-// onCancel is the entry's last word on an attempt, ended or not.
+// onCancel closes an attempt, ended or not. A Cancel is the last frame that an entry
+// sends about it.
 func (s *Server) onCancel(key wire.Key) {
 	if r, ok := s.runs[key]; ok {
-		s.abandon(r, endOutcome(r, outcome.CallerGone))
+		s.abandon(r, abandonOutcome(r, outcome.CallerGone))
 		r.out.tokens, r.out.final = nil, nil
 		r.closed = true
 	}
 }
 
-// onFence makes sure that an attempt never runs from now on, and says whether it had.
+// onFence ensures that an attempt that has not run never will, and reports whether
+// it has run.
 func (s *Server) onFence(sess *session, key wire.Key) {
 	r, ok := s.runs[key]
 	if !ok {
@@ -233,32 +237,32 @@
 		s.runs[key] = r
 	}
 	if r.phase < phaseRunning {
-		s.stopUnstarted(r)
+		s.fenceUnstarted(r)
 	}
 	sess.send(&wire.SidecarFrame{Body: &wire.SidecarFrame_Fenced{Fenced: &wire.Fenced{Ref: key.Ref(), Ran: r.ran}}})
 }
 
-// stopUnstarted turns an attempt that has not run into a fence. The caller holds mu.
-func (s *Server) stopUnstarted(r *run) {
+// fenceUnstarted fences an attempt that has not run. The caller holds mu.
+func (s *Server) fenceUnstarted(r *run) {
 	if r.cancel != nil {
 		r.cancel()
 	}
 	s.release(r)
 	r.phase = phaseFenced
 	r.expires = time.Now().Add(s.set.Timing.Retain)
-	s.kickSweep()
+	s.triggerSweep()
 }
 
 func (s *Server) onAck(m *wire.Ack) {
 	if r, ok := s.runs[m.GetRef().Key()]; ok {
 		r.out.ack(int(m.GetPosition()))
-		r.pump(s.set.Bounds.Window)
+		r.sendOutput(s.set.Bounds.Window)
 	}
 }
 
-// onAttach re-joins a run. An attempt that is not known here was never started
-// here, and is fenced so that this stays true; of an entry whose runs were once
-// given up it may also have been forgotten.
+// onAttach reattaches a run to its entry. An unknown attempt was never started here
+// and is fenced so that it never will be; if runs of the entry were abandoned before,
+// it may also have been deleted from the ledger.
 func (s *Server) onAttach(sess *session, m *wire.Attach) {
 	key := m.GetRef().Key()
 	r, ok := s.runs[key]
@@ -271,7 +275,7 @@
 	r.owner = sess.entry.GetIncarnation()
 	switch {
 	case r.phase <= phaseReserved:
-		s.stopUnstarted(r)
+		s.fenceUnstarted(r)
 		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Refuse(outcome.LinkDown, 0))
 	case r.phase == phaseFenced:
 		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Refuse(outcome.FencedOff, 0))
@@ -282,12 +286,12 @@
 	case !r.out.rewind(int(m.GetPosition())):
 		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Fail(outcome.AnswerIncomplete, "position no longer held"))
 	default:
-		r.pump(s.set.Bounds.Window)
+		r.sendOutput(s.set.Bounds.Window)
 	}
 }
 
 func (s *Server) unknownAttempt(sess *session) outcome.Outcome {
-	if s.lapsed[sess.entry.GetIncarnation()] {
+	if s.lapsedOwners[sess.entry.GetIncarnation()] {
 		return outcome.Unsure(outcome.LeaseLapsed, "attempt not known any more")
 	}
 	return outcome.Refuse(outcome.LinkDown, 0)
--- a/sidecar/join_test.go
+++ b/sidecar/join_test.go
@@ -9,9 +9,10 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// TestJoiningEntryIsHandedRecordsWhenItAsks: an entry that links to many sidecars
-// gets the configuration from the one that it asks, not from all.
-func TestJoiningEntryIsHandedRecordsWhenItAsks(t *testing.T) {
+// TestNewEntryReceivesRecordsOnRequest checks that a newly connected entry receives
+// the configuration only after it has sent a heartbeat with its own revision, so that
+// an entry with many links does not receive it on each.
+func TestNewEntryReceivesRecordsOnRequest(t *testing.T) {
 	stream, s, _ := dialConfigured(t, dissemination.Delta{
 		Head:    7,
 		Records: []dissemination.Record{{Key: dissemination.ContractPrefix + "c", Revision: 7}},
@@ -34,8 +35,9 @@
 	assert.Equal(t, f.GetRecords().GetHead(), uint64(7))
 }
 
-// TestColdSidecarAsksTheFirstEntry: without any configuration it asks at once.
-func TestColdSidecarAsksTheFirstEntry(t *testing.T) {
+// TestUnconfiguredSidecarRequestsRecordsFromFirstEntry checks that a sidecar without
+// any configuration requests it as soon as an entry connects.
+func TestUnconfiguredSidecarRequestsRecordsFromFirstEntry(t *testing.T) {
 	stream, _, _ := dialConfigured(t, dissemination.Delta{})
 	hello := &wire.Hello{Protocol: wire.Protocol, Incarnation: "x", HeadRevision: 7}
 	assert.NilError(t, stream.Send(&wire.EntryFrame{Body: &wire.EntryFrame_Hello{Hello: hello}}))
--- a/sidecar/ledger_test.go
+++ b/sidecar/ledger_test.go
@@ -20,7 +20,7 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// memoryStream is the sidecar's end of a session in memory; it keeps what is sent.
+// memoryStream is the sidecar's end of an in-memory session; it records sent frames.
 type memoryStream struct {
 	drpc.Stream
 	mu     sync.Mutex
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// countingEngine begins runs that never produce anything.
+// countingEngine counts Decode calls and blocks each until its context ends.
 type countingEngine struct {
 	engine.Engine
 	decodes int
@@ -57,27 +57,27 @@
 	return nil, ctx.Err()
 }
 
-// bench is a server with sessions in memory.
-type bench struct {
+// testServer is a server with in-memory sessions.
+type testServer struct {
 	*Server
 	eng *countingEngine
 }
 
-func newBench() *bench {
+func newTestServer() *testServer {
 	eng := &countingEngine{}
 	info := engine.Info{DecodeSlots: 2, Models: []string{"m"}}
-	return &bench{NewServer(DefaultSettings(), eng, info, "i", event.New("test", "t", log.PanicLevel), metrics.NewSet()), eng}
+	return &testServer{NewServer(DefaultSettings(), eng, info, "i", event.New("test", "t", log.PanicLevel), metrics.NewSet()), eng}
 }
 
-func (b *bench) session(entry string) (*session, *memoryStream) {
+func (s *testServer) session(entry string) (*session, *memoryStream) {
 	st := &memoryStream{closed: make(chan struct{})}
 	sess := &session{entry: &wire.Hello{EntryId: entry, Incarnation: entry}}
 	sess.link = link.New(st, link.Options[wire.SidecarFrame]{
 		Beat: time.Hour, IdleBeat: time.Hour, Silence: time.Hour, QueueLimit: 64, Transport: st,
-		Active: func() bool { return false }, MakeBeat: b.beat,
+		Active: func() bool { return false }, MakeBeat: s.heartbeat,
 	})
-	go func() { _ = sess.link.Run(b.ctx, func(*wire.EntryFrame) {}) }()
-	b.join(sess)
+	go func() { _ = sess.link.Run(s.ctx, func(*wire.EntryFrame) {}) }()
+	s.addSession(sess)
 	return sess, st
 }
 
@@ -99,22 +99,22 @@
 	return &wire.EntryFrame{Body: &wire.EntryFrame_Cancel{Cancel: &wire.Cancel{Ref: key.Ref()}}}
 }
 
-// pause stands for time that passes without a frame.
-func pause(d time.Duration) *wire.EntryFrame {
+// elapse is a placeholder for time that passes without a frame.
+func elapse(d time.Duration) *wire.EntryFrame {
 	return &wire.EntryFrame{Body: &wire.EntryFrame_Beat{Beat: &wire.EntryBeat{IntervalMs: uint32(d.Milliseconds())}}}
 }
 
-// TestLedgerOrder holds the ledger to the truth of "not run" whatever the order
-// and the time in which the frames of one attempt come.
+// TestLedgerOrder checks that the ledger reports an attempt as not run only if it has
+// not run and never will, whatever the order and timing of its frames.
 func TestLedgerOrder(t *testing.T) {
 	const (
-		lapse  = 5 * time.Second
-		forget = 3 * time.Minute
+		untilLapsed  = 5 * time.Second
+		untilDeleted = 3 * time.Minute
 	)
 	for _, c := range []struct {
 		name   string
 		frames []*wire.EntryFrame
-		// want is the last answer, runs the number of decodes begun.
+		// want is the last answer, runs the number of decodes started.
 		want string
 		runs int
 	}{
@@ -128,18 +128,18 @@
 		{"fence before the start", []*wire.EntryFrame{reserve(), fence()}, "fenced ran=false", 0},
 		{"fence after the start", []*wire.EntryFrame{reserve(), startFrame(), fence()}, "fenced ran=true", 1},
 		{"attach in place of a lost reserve", []*wire.EntryFrame{attach()}, "NOT_RUN link_down", 0},
-		{"reserve that comes late", []*wire.EntryFrame{attach(), reserve()}, "NOT_RUN fenced", 0},
+		{"delayed reserve", []*wire.EntryFrame{attach(), reserve()}, "NOT_RUN fenced", 0},
 		{"attach in place of a lost start", []*wire.EntryFrame{reserve(), attach()}, "NOT_RUN link_down", 0},
-		{"start that comes late", []*wire.EntryFrame{reserve(), attach(), startFrame()}, "NOT_RUN fenced", 0},
-		{"start after the reservation", []*wire.EntryFrame{reserve(), pause(time.Second), startFrame()}, "NOT_RUN reservation_lapsed", 0},
-		{"attach after the lapse", []*wire.EntryFrame{reserve(), startFrame(), pause(lapse), attach()}, "FAILED lease_lapsed", 1},
-		{"attach after the lapse was forgotten", []*wire.EntryFrame{reserve(), startFrame(), pause(forget), attach()}, "UNKNOWN lease_lapsed", 1},
+		{"delayed start", []*wire.EntryFrame{reserve(), attach(), startFrame()}, "NOT_RUN fenced", 0},
+		{"start after the reservation lapsed", []*wire.EntryFrame{reserve(), elapse(time.Second), startFrame()}, "NOT_RUN reservation_lapsed", 0},
+		{"attach after the lease lapsed", []*wire.EntryFrame{reserve(), startFrame(), elapse(untilLapsed), attach()}, "FAILED lease_lapsed", 1},
+		{"attach after the lapsed attempt was deleted", []*wire.EntryFrame{reserve(), startFrame(), elapse(untilDeleted), attach()}, "UNKNOWN lease_lapsed", 1},
 		{"attach after the cancel", []*wire.EntryFrame{reserve(), startFrame(), cancel(), attach()}, "FAILED caller_gone", 1},
 		{"start after the cancel", []*wire.EntryFrame{reserve(), cancel(), startFrame()}, "NOT_RUN caller_gone", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench()
+				b := newTestServer()
 				defer b.Close()
 				b.work.Go(b.leaseLoop)
 				sess, st := b.session("e")
@@ -158,7 +158,7 @@
 	}
 }
 
-// last describes the last answer about an attempt.
+// last returns a description of the last answer about an attempt.
 func (s *memoryStream) last() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,45 +176,46 @@
 	return out
 }
 
-// TestListedByOneEntry: entries that cannot read the platform's list do not
-// outweigh one that can.
-func TestListedByOneEntry(t *testing.T) {
+// TestLeavingWhenListedByOneEntry checks that a server counts as leaving when one
+// entry reports it as listed, even if others, which may be unable to read the
+// platform's list, do not.
+func TestLeavingWhenListedByOneEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
+		b := newTestServer()
 		defer b.Close()
 		first, _ := b.session("e1")
 		second, _ := b.session("e2")
-		say := func(sess *session, leaving bool) {
+		reportListed := func(sess *session, leaving bool) {
 			b.handle(sess, &wire.EntryFrame{Body: &wire.EntryFrame_Beat{Beat: &wire.EntryBeat{ListedLeaving: leaving}}})
 		}
 		for i, step := range []struct {
 			sess    *session
-			says    bool
+			listed  bool
 			leaving bool
 		}{{first, true, true}, {second, false, true}, {second, true, true}, {first, false, true}, {second, false, false}} {
-			say(step.sess, step.says)
+			reportListed(step.sess, step.listed)
 			assert.Equal(t, b.Leaving(), step.leaving, "step %d", i)
 		}
-		say(first, true)
-		time.Sleep(2 * listedKeep)
-		say(second, false)
-		assert.Assert(t, !b.Leaving(), "the word of an entry that is gone")
+		reportListed(first, true)
+		time.Sleep(2 * listedTTL)
+		reportListed(second, false)
+		assert.Assert(t, !b.Leaving(), "the report of an entry that stopped sending has expired")
 	})
 }
 
-// TestDrainWaitsForTheLastWord: a run that has ended counts as active until its
-// entry knows, or is gone.
-func TestDrainWaitsForTheLastWord(t *testing.T) {
+// TestDrainWaitsUntilEntryHasOutcome checks that a run that has ended counts as active
+// until its entry has closed the attempt or the entry's lease has lapsed.
+func TestDrainWaitsUntilEntryHasOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		then func(b *bench, sess *session)
+		then func(b *testServer, sess *session)
 	}{
-		{"entry closes the attempt", func(b *bench, sess *session) { b.handle(sess, cancel()) }},
-		{"entry is gone", func(b *bench, _ *session) { time.Sleep(5 * time.Second); b.expire(time.Now()) }},
+		{"entry closes the attempt", func(b *testServer, sess *session) { b.handle(sess, cancel()) }},
+		{"entry is gone", func(b *testServer, _ *session) { time.Sleep(5 * time.Second); b.expire(time.Now()) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench()
+				b := newTestServer()
 				defer b.Close()
 				sess, _ := b.session("e")
 				b.handle(sess, reserve())
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -14,18 +14,18 @@
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 )
 
-// orderRetry is the pause before an order that failed is given again.
-const orderRetry = time.Second
+// orderRetryInterval is the delay before a failed order is retried.
+const orderRetryInterval = time.Second
 
-// target is what the backend record wants the engine to serve. The revision of the
-// record is the fencing number of the orders that lead there.
+// target is what the engine is to serve according to the backend record. The revision
+// of the record is the fencing number of the orders.
 type target struct {
 	revision uint64
 	models   []string
 	role     engine.Role
 }
 
-// targetOf returns the target in a backend record.
+// targetOf decodes the target from a backend record.
 func targetOf(revision uint64, value []byte) (target, error) {
 	var b contract.Backend
 	if err := yaml.Unmarshal(value, &b); err != nil {
@@ -34,8 +34,9 @@
 	return target{revision: revision, models: b.Models, role: engine.Role(b.Role)}, nil
 }
 
-// ordersFor returns the orders that bring an engine to the target, in the order in
-// which they are to be given: what is no longer wanted goes first, to make room.
+// ordersFor returns the orders that bring an engine to the target, in the sequence in
+// which they must be given: models that are no longer needed are unloaded first, to
+// free memory.
 func ordersFor(t target, have engine.Info) []engine.Order {
 	var out []engine.Order
 	for _, m := range have.Models {
@@ -54,8 +55,8 @@
 	return out
 }
 
-// orderLoop follows the targets until Close. It is the only place that gives
-// orders, so that an engine that ignores fencing numbers has one writer.
+// orderLoop reconciles the engine with each new target until Close. No other code
+// gives orders, so that an engine that ignores fencing numbers has a single writer.
 func (s *Server) orderLoop() {
 	for {
 		select {
@@ -67,7 +68,7 @@
 			select {
 			case <-s.ctx.Done():
 				return
-			case <-time.After(orderRetry):
+			case <-time.After(orderRetryInterval):
 			}
 		}
 	}
@@ -83,8 +84,8 @@
 	}
 }
 
-// reconcile gives the orders for the newest target and reports whether it is
-// reached, or is fenced off by a newer one that this sidecar does not know yet.
+// reconcile gives the orders for the latest target. It reports whether the target is
+// reached, or fenced off by a newer one that this sidecar has not received yet.
 func (s *Server) reconcile() bool {
 	ctx, cancel := context.WithTimeout(s.ctx, s.set.Timing.EngineCall)
 	defer cancel()
@@ -93,35 +94,35 @@
 	s.mu.Unlock()
 	have, err := s.eng.Info(ctx)
 	if err != nil {
-		s.orderFailed(err)
+		s.recordOrderFailure(err)
 		return false
 	}
 	for _, o := range ordersFor(t, have) {
 		err := s.eng.Order(ctx, o)
 		if errors.Is(err, engine.ErrFenced) {
-			s.orderFailed(err)
+			s.recordOrderFailure(err)
 			return true
 		}
 		if err != nil {
-			s.orderFailed(err)
+			s.recordOrderFailure(err)
 			return false
 		}
 		s.met.Counter(metrics.OrdersGiven).Inc(1)
 		event.OrderGiven.Log(s.log).Str("kind", string(o.Kind)).Str("model", o.Model).Uint64("fence", o.Fence).Msg("")
 	}
-	return s.learnInfo(ctx)
+	return s.refreshInfo(ctx)
 }
 
-func (s *Server) orderFailed(err error) {
+func (s *Server) recordOrderFailure(err error) {
 	s.met.Counter(metrics.OrdersFailed).Inc(1)
 	event.OrderFailed.Log(s.log).Err(err).Msg("")
 }
 
-// learnInfo takes over what the engine serves now.
-func (s *Server) learnInfo(ctx context.Context) bool {
+// refreshInfo stores the engine's present properties.
+func (s *Server) refreshInfo(ctx context.Context) bool {
 	info, err := s.eng.Info(ctx)
 	if err != nil {
-		s.orderFailed(err)
+		s.recordOrderFailure(err)
 		return false
 	}
 	s.mu.Lock()
--- a/sidecar/orders_test.go
+++ b/sidecar/orders_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// orderEngine is an engine that takes orders and checks fencing numbers, or not.
+// orderEngine accepts orders and, if checks is set, checks their fencing numbers.
 type orderEngine struct {
 	engine.Engine
 	info   engine.Info
@@ -68,7 +68,7 @@
 		given   int
 	}{
 		{"given", orderEngine{}, true, 1},
-		{"engine refuses", orderEngine{fail: []error{engine.ErrUnavailable}}, false, 0},
+		{"engine rejects the order", orderEngine{fail: []error{engine.ErrUnavailable}}, false, 0},
 		{"fenced off by a newer order", orderEngine{fence: 9, checks: true}, true, 0},
 		{"old order at an engine that ignores fences", orderEngine{fence: 9}, true, 1},
 	} {
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -8,21 +8,21 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// phase is how far an attempt has come at this sidecar.
+// phase is the state of an attempt at this sidecar.
 type phase uint8
 
 const (
-	// phaseWaiting waits for a decode place.
+	// phaseWaiting is queued for a decode slot.
 	phaseWaiting phase = iota + 1
-	// phaseReserved holds a decode place that is not used yet.
+	// phaseReserved has a decode slot that is not used yet.
 	phaseReserved
-	// phasePrefill waits for or does a prefill for export.
+	// phasePrefill is queued for or runs a prefill for export.
 	phasePrefill
-	// phaseExported holds a KV cache in the engine for another server.
+	// phaseExported retains a KV cache in the engine for another server.
 	phaseExported
 	// phaseRunning decodes, or calls the plain service.
 	phaseRunning
-	// phaseEnded is over; what was not acknowledged is kept for a while.
+	// phaseEnded has ended; unacknowledged output is retained for a while.
 	phaseEnded
 	// phaseFenced never ran here and never will.
 	phaseFenced
@@ -31,60 +31,63 @@
 // run is one attempt in the ledger. All fields are guarded by Server.mu.
 type run struct {
 	key wire.Key
-	// engineID names the run in the engine's listing.
+	// engineID identifies the run at the engine.
 	engineID string
 	// owner is the incarnation of the entry that holds the lease.
 	owner  string
 	phase  phase
 	terms  *wire.Terms
 	cancel context.CancelFunc
-	// handle is the exported KV cache.
+	// handle identifies the exported KV cache.
 	handle string
-	// expires ends a reservation, an export or the retention of an ended run.
+	// expires is the end of a reservation, of an export or of the retention of an
+	// ended run.
 	expires time.Time
-	// closed is true once the entry wants nothing more of the run.
+	// closed is true once the entry has sent a Cancel, after which it needs nothing of
+	// the run.
 	closed bool
-	// abandoned runs have ended without keeping their output.
+	// abandoned is true if the run ended without retaining its output.
 	abandoned bool
-	// prefill and start are what the entry has asked for, once it has.
+	// prefill and start are the entry's requests, nil until received.
 	prefill *wire.Prefill
 	start   *wire.Start
-	// begunAt is when the engine was told to begin, tokenAt when the last token came.
-	begunAt, tokenAt time.Time
-	// ran is true from the moment the engine or service may have begun.
+	// startedAt is when the engine was called to start the run, lastTokenAt when the
+	// last token was received.
+	startedAt, lastTokenAt time.Time
+	// ran is true from the moment that the engine or service may have started.
 	ran bool
 
-	// sess is the link on which the entry takes the output; nil since detached.
+	// sess is the session that receives the output; nil since detached.
 	sess     *session
 	detached time.Time
 	out      output
 }
 
-// output is what a run has produced and its entry has not yet acknowledged.
+// output is the output of a run that its entry has not acknowledged yet.
 type output struct {
 	// base is the position of tokens[0].
 	base int
-	// any is true once a token came.
-	any    bool
-	tokens []string
-	// next is the position of the next token to send on the present session.
+	// produced is true once a token was received.
+	produced bool
+	tokens   []string
+	// next is the position of the next token to send in the present session.
 	next int
-	// acked is the position up to which the entry has everything.
+	// acked is the position up to which the entry has acknowledged all tokens.
 	acked int
-	// final ends the output: a Done, Refused or Reply frame.
+	// final is the last frame of the output: Done, Refused or Reply.
 	final     *wire.SidecarFrame
 	finalSent bool
 }
 
 func (o *output) end() int { return o.base + len(o.tokens) }
 
-// add appends tokens that start at position; those already held are dropped.
-// It reports whether the position leaves no gap.
+// add appends tokens that start at position, except those already present. It returns
+// false if the position would leave a gap.
 func (o *output) add(position int, tokens []string) bool {
 	if position > o.end() {
 		return false
 	}
-	o.any = true
+	o.produced = true
 	skip := o.end() - position
 	if skip < len(tokens) {
 		o.tokens = append(o.tokens, tokens[skip:]...)
@@ -92,7 +95,7 @@
 	return true
 }
 
-// ack drops what lies below position.
+// ack drops the tokens before position.
 func (o *output) ack(position int) {
 	if position <= o.acked || position > o.end() {
 		return
@@ -105,7 +108,8 @@
 	}
 }
 
-// rewind makes the next chunk start at position, and reports whether it is still held.
+// rewind makes the next chunk start at position, and reports whether its tokens are
+// still retained.
 func (o *output) rewind(position int) bool {
 	if position < o.base || position > o.end() {
 		return false
@@ -116,8 +120,8 @@
 	return true
 }
 
-// take returns the next chunk within the window, or nil.
-func (o *output) take(window int) (position int, tokens []string) {
+// nextChunk returns the next chunk within the window, with nil tokens if there is none.
+func (o *output) nextChunk(window int) (position int, tokens []string) {
 	limit := min(o.end(), o.acked+window)
 	if o.next >= limit {
 		return o.next, nil
@@ -128,12 +132,12 @@
 	return position, tokens
 }
 
-// pump sends what the window allows. The caller holds Server.mu.
-func (r *run) pump(window int) {
+// sendOutput sends the output that the window allows. The caller holds Server.mu.
+func (r *run) sendOutput(window int) {
 	if r.sess == nil {
 		return
 	}
-	if pos, tokens := r.out.take(window); len(tokens) > 0 {
+	if pos, tokens := r.out.nextChunk(window); len(tokens) > 0 {
 		r.sess.send(&wire.SidecarFrame{Body: &wire.SidecarFrame_Chunk{Chunk: &wire.Chunk{
 			Ref: r.key.Ref(), Position: uint32(pos), Tokens: tokens,
 		}}})
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -19,8 +19,8 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// Server is the sidecar's logic without its listeners. One mutex guards all of
-// its state; calls to the engine are made outside of it.
+// Server is the sidecar's logic without its listeners. One mutex guards its state;
+// the engine is called without holding it.
 type Server struct {
 	set         Settings
 	log         *log.Logger
@@ -31,54 +31,55 @@
 	incarnation string
 	state       *dissemination.State
 
-	ctx  context.Context
-	stop context.CancelFunc
-	work sync.WaitGroup
-	kick chan struct{}
+	ctx      context.Context
+	stop     context.CancelFunc
+	work     sync.WaitGroup
+	sweepNow chan struct{}
 
 	mu     sync.Mutex
 	runs   map[wire.Key]*run
 	leases map[string]*lease
-	// lapsed are the entries of which runs were given up, and may be forgotten.
-	lapsed   map[string]bool
-	sessions map[*session]struct{}
-	adm      *admitter
-	leaving  *drain.Tracker
-	demand   *limit.Meter
-	tickets  *claim.Ledger
-	target   target
-	pull     dissemination.Pull[*session]
+	// lapsedOwners are the entry incarnations whose runs were abandoned when the lease
+	// lapsed, and may have been deleted since.
+	lapsedOwners map[string]bool
+	sessions     map[*session]struct{}
+	adm          *admitter
+	leaving      *drain.Tracker
+	demand       *limit.Meter
+	tickets      *claim.Ledger
+	target       target
+	pull         dissemination.Pull[*session]
 
 	newTarget chan struct{}
 }
 
-// listedKeep is how long the word of an entry that is heard no more counts.
-const listedKeep = time.Minute
+// listedTTL is how long the last report of an entry that stopped sending is valid.
+const listedTTL = time.Minute
 
-// NewServer returns a server for the engine or, when eng is nil, for the plain
-// service of the settings. incarnation is unique to this process.
+// NewServer returns a server for the engine or, if eng is nil, for the plain service
+// of the settings. incarnation is unique to this process.
 func NewServer(set Settings, eng engine.Engine, info engine.Info, incarnation string, l *log.Logger, m *metrics.Set) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
-		set:         set,
-		log:         l,
-		met:         m,
-		eng:         eng,
-		info:        info,
-		incarnation: incarnation,
-		state:       dissemination.NewState(),
-		ctx:         ctx,
-		stop:        stop,
-		kick:        make(chan struct{}, 1),
-		runs:        make(map[wire.Key]*run),
-		leases:      make(map[string]*lease),
-		lapsed:      make(map[string]bool),
-		sessions:    make(map[*session]struct{}),
-		adm:         newAdmitter(set, info),
-		leaving:     drain.New(listedKeep),
-		tickets:     claim.NewLedger(set.Bounds.Tickets),
-		newTarget:   make(chan struct{}, 1),
-		demand:      limit.NewMeter(),
+		set:          set,
+		log:          l,
+		met:          m,
+		eng:          eng,
+		info:         info,
+		incarnation:  incarnation,
+		state:        dissemination.NewState(),
+		ctx:          ctx,
+		stop:         stop,
+		sweepNow:     make(chan struct{}, 1),
+		runs:         make(map[wire.Key]*run),
+		leases:       make(map[string]*lease),
+		lapsedOwners: make(map[string]bool),
+		sessions:     make(map[*session]struct{}),
+		adm:          newAdmitter(set, info),
+		leaving:      drain.New(listedTTL),
+		tickets:      claim.NewLedger(set.Bounds.Tickets),
+		newTarget:    make(chan struct{}, 1),
+		demand:       limit.NewMeter(),
 	}
 	if eng == nil {
 		s.caller = newServiceCaller(set.Service, set.Bounds.ReplyBytes)
@@ -87,7 +88,7 @@
 	return s
 }
 
-// Loops runs the sweeper and the lease check until Close.
+// Loops starts the background loops, which run until Close.
 func (s *Server) Loops() {
 	s.work.Go(s.sweepLoop)
 	s.work.Go(s.leaseLoop)
@@ -103,8 +104,8 @@
 	s.work.Wait()
 }
 
-// onDelta notices changes of this server's own record: whether it is retired, and
-// what its engine is to serve.
+// onDelta applies changes of this server's own record: whether it is retired and what
+// its engine is to serve.
 func (s *Server) onDelta(d dissemination.Delta) {
 	event.RevisionApplied.Log(s.log).Uint64("revision", d.Head).Msg("")
 	key := dissemination.BackendPrefix + s.set.ID
@@ -120,7 +121,7 @@
 func (s *Server) onOwnRecord(r dissemination.Record) {
 	retired := r.Deleted || recordRetired(r.Value)
 	s.mu.Lock()
-	s.hearLeaving(func(now time.Time) { s.leaving.Retired(now, r.Revision, retired) })
+	s.updateLeaving(func(now time.Time) { s.leaving.Retired(now, r.Revision, retired) })
 	s.mu.Unlock()
 	if retired || s.eng == nil {
 		return
@@ -133,12 +134,12 @@
 	s.setTarget(t)
 }
 
-// hearLeaving tells the tracker something and logs a change of the result. What
-// still waits for a place when the server begins to leave is turned away. The
-// caller holds mu.
-func (s *Server) hearLeaving(tell func(now time.Time)) {
+// updateLeaving updates the tracker and logs a change of the result. When the server
+// begins to leave, requests that are queued for a decode slot are rejected. The caller
+// holds mu.
+func (s *Server) updateLeaving(update func(now time.Time)) {
 	was := s.leaving.Leaving()
-	tell(time.Now())
+	update(time.Now())
 	leaving := s.leaving.Leaving()
 	if leaving == was {
 		return
@@ -149,16 +150,16 @@
 	}
 	for _, r := range s.runs {
 		if r.phase == phaseWaiting {
-			s.turnAway(r, admission.Decision{Reason: outcome.Leaving, RetryAfter: refusalRetry})
+			s.reject(r, admission.Decision{Reason: outcome.Leaving, RetryAfter: refusalRetryAfter})
 		}
 	}
 }
 
-// Leave is the server's own signal that it is going away.
+// Leave signals that the server itself is shutting down.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hearLeaving(s.leaving.Signalled)
+	s.updateLeaving(s.leaving.Signalled)
 }
 
 // Leaving reports whether new work is refused.
@@ -168,15 +169,15 @@
 	return s.leaving.Leaving()
 }
 
-// placesUsed is the number of decode places reserved or in use.
-func (s *Server) placesUsed() int64 {
+// slotsUsed returns the number of decode slots that are reserved or in use.
+func (s *Server) slotsUsed() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return int64(s.adm.places.Load(time.Now()).UsedSlots)
+	return int64(s.adm.decode.Load(time.Now()).UsedSlots)
 }
 
-// Active returns the number of attempts that hold memory or run, or of whose end
-// an entry that lives does not know yet.
+// Active returns the number of attempts that are in progress or hold memory, or whose
+// end an entry with a valid lease has not acknowledged yet.
 func (s *Server) Active() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +190,7 @@
 	return n
 }
 
-// Drain refuses new work and waits until nothing is in progress or ctx ends.
+// Drain refuses new work and waits until no attempt is active or ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.Leave()
 	t := time.NewTicker(s.set.Timing.Heartbeat / 5)
@@ -208,7 +209,7 @@
 // refuse counts and sends a refusal. The caller holds mu.
 func (s *Server) refuse(sess *session, key wire.Key, stage wire.Stage, o outcome.Outcome) {
 	s.met.Refused(o.Reason)
-	s.sendLoaded(sess, refusal(key, stage, o, s.state.Head()))
+	s.sendWithLoad(sess, refusal(key, stage, o, s.state.Head()))
 }
 
 // finish ends a run with its final frame. The caller holds mu.
@@ -223,10 +224,10 @@
 	if r.sess != nil {
 		s.addLoad(r.sess, final)
 	}
-	r.pump(s.set.Bounds.Window)
+	r.sendOutput(s.set.Bounds.Window)
 }
 
-// release gives back what r holds of the places, the link and the prefill queue.
+// release frees what r holds of the decode slots, the link and the prefill queue.
 // The caller holds mu.
 func (s *Server) release(r *run) {
 	tokens := -1
@@ -236,7 +237,7 @@
 	s.adm.release(time.Now(), r.key, tokens)
 }
 
-// abandon ends a run of which nobody wants the rest. The caller holds mu.
+// abandon cancels a run whose output is no longer needed. The caller holds mu.
 func (s *Server) abandon(r *run, o outcome.Outcome) {
 	if r.phase >= phaseEnded {
 		return
@@ -249,22 +250,22 @@
 	r.abandoned = true
 	r.out.tokens = nil
 	r.out.base, r.out.next = r.out.end(), r.out.end()
-	s.kickSweep()
+	s.triggerSweep()
 }
 
-func (s *Server) kickSweep() {
+func (s *Server) triggerSweep() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.sweepNow <- struct{}{}:
 	default:
 	}
 }
 
-// Configure applies a delta of the configuration, as an entry's would be. It is
-// for processes that embed a Server.
+// Configure applies a delta of the configuration like one received from an entry. It
+// is for processes that embed a Server.
 func (s *Server) Configure(d dissemination.Delta) error {
 	_, err := s.state.Apply(d)
 	return err
 }
 
-// Head returns the revision of the configuration that is in force here.
+// Head returns the revision of the configuration that is in effect here.
 func (s *Server) Head() uint64 { return s.state.Head() }
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -24,23 +24,23 @@
 
 // Service runs a Server with its listeners; it is a kernel.Service.
 type Service struct {
-	set    Settings
-	log    *log.Logger
-	met    *metrics.Set
-	server *Server
-	admin  *httpserver.Server
-	addr   string
-	serve  context.CancelFunc
-	served chan error
-	meter  link.Meter
+	set         Settings
+	log         *log.Logger
+	met         *metrics.Set
+	server      *Server
+	admin       *httpserver.Server
+	addr        string
+	stopServing context.CancelFunc
+	serveResult chan error
+	meter       link.Meter
 }
 
 // New returns the service for checked settings.
 func New(set Settings, l *log.Logger, m *metrics.Set) *Service {
-	return &Service{set: set, log: l, met: m, served: make(chan error, 1)}
+	return &Service{set: set, log: l, met: m, serveResult: make(chan error, 1)}
 }
 
-// Addr is where entries connect, once started.
+// Addr returns the address where entries connect, once started.
 func (s *Service) Addr() string { return s.addr }
 
 // Name implements kernel.Service.
@@ -53,7 +53,7 @@
 		return err
 	}
 	s.server = NewServer(s.set, eng, info, rand.Text(), s.log, s.met)
-	s.met.GaugeFunc(metrics.PlacesUsed, s.server.placesUsed)
+	s.met.GaugeFunc(metrics.PlacesUsed, s.server.slotsUsed)
 	s.met.GaugeFunc(metrics.LinkBytesSent, s.meter.Sent)
 	s.met.GaugeFunc(metrics.LinkBytesReceived, s.meter.Received)
 	s.met.GaugeFunc(metrics.ConfigRevision, func() int64 { return int64(s.server.Head()) })
@@ -72,7 +72,7 @@
 	eng := engine.NewHTTP(s.set.Engine, nil)
 	ctx, cancel := context.WithTimeout(ctx, s.set.Timing.Drain)
 	defer cancel()
-	info, err := waitInfo(ctx, eng)
+	info, err := waitForInfo(ctx, eng)
 	if err != nil {
 		return nil, info, merry.Prependf(err, "engine at %s", s.set.Engine)
 	}
@@ -91,8 +91,8 @@
 	s.addr = lis.Addr().String()
 	lis = security.NewListener(s.meter.Listener(lis), conf)
 	ctx, cancel := context.WithCancel(context.Background())
-	s.serve = cancel
-	go func() { s.served <- link.Serve(ctx, lis, s.server) }()
+	s.stopServing = cancel
+	go func() { s.serveResult <- link.Serve(ctx, lis, s.server) }()
 	return nil
 }
 
@@ -100,8 +100,8 @@
 func (s *Service) Drain(ctx context.Context) error {
 	err := s.server.Drain(ctx)
 	s.server.Close()
-	s.serve()
-	<-s.served
+	s.stopServing()
+	<-s.serveResult
 	if s.admin != nil {
 		_ = s.admin.Shutdown(ctx)
 	}
@@ -126,7 +126,7 @@
 	return mux
 }
 
-// recordRetired reports whether a backend record says that the server is retired.
+// recordRetired reports whether a backend record marks the server as retired.
 func recordRetired(value []byte) bool {
 	var b contract.Backend
 	if err := yaml.Unmarshal(value, &b); err != nil {
--- a/sidecar/session.go
+++ b/sidecar/session.go
@@ -22,13 +22,13 @@
 	entry *wire.Hello
 	// active is true while runs of this entry are in progress.
 	active atomic.Bool
-	// loadAt is when the load was last told. Guarded by Server.mu.
-	loadAt time.Time
-	// demandAt is when demand was last told. Guarded by Server.mu.
-	demandAt time.Time
-	// has is the revision that the entry says it has, told the one handed to it.
-	// Guarded by Server.mu.
-	has, told uint64
+	// loadSentAt is when the load was last sent. Guarded by Server.mu.
+	loadSentAt time.Time
+	// demandSentAt is when demand was last sent. Guarded by Server.mu.
+	demandSentAt time.Time
+	// peerRevision is the revision that the entry has reported, sentRevision the latest
+	// one sent to it. Guarded by Server.mu.
+	peerRevision, sentRevision uint64
 }
 
 func (s *session) send(f *wire.SidecarFrame) { _ = s.link.Send(f) }
@@ -36,9 +36,9 @@
 // Session implements wire.DRPCSidecarServer. It returns when the link ends.
 func (s *Server) Session(stream wire.DRPCSidecar_SessionStream) error {
 	transport := transportOf(stream)
-	mute := time.AfterFunc(s.set.Timing.Silence, func() { _ = transport.Close() })
+	helloTimer := time.AfterFunc(s.set.Timing.Silence, func() { _ = transport.Close() })
 	first, err := stream.Recv()
-	mute.Stop()
+	helloTimer.Stop()
 	if err != nil {
 		return err
 	}
@@ -55,29 +55,29 @@
 		Silence:    s.set.Timing.Silence,
 		QueueLimit: s.set.Bounds.LinkQueue,
 		Active:     sess.active.Load,
-		MakeBeat:   func(interval time.Duration) *wire.SidecarFrame { return s.beatTo(sess, interval) },
+		MakeBeat:   func(interval time.Duration) *wire.SidecarFrame { return s.heartbeatTo(sess, interval) },
 		Transport:  transport,
 		Dropped: func(err error) {
 			event.FrameDropped.Log(s.log).Str("entry", hello.GetEntryId()).Err(err).Msg("")
 		},
 	}
 	sess.link = link.New(stream, opts)
-	s.join(sess)
-	defer s.leave(sess)
+	s.addSession(sess)
+	defer s.removeSession(sess)
 	err = sess.link.Run(s.ctx, func(f *wire.EntryFrame) { s.handle(sess, f) })
-	endOf(err).Log(s.log).Str("entry", hello.GetEntryId()).Err(err).Msg("")
+	linkEndEvent(err).Log(s.log).Str("entry", hello.GetEntryId()).Err(err).Msg("")
 	return err
 }
 
-// endOf is the event that tells why a link ended.
-func endOf(err error) event.Event {
+// linkEndEvent returns the log event for the error that ended a link.
+func linkEndEvent(err error) event.Event {
 	if errors.Is(err, link.ErrSilent) {
 		return event.LinkSilent
 	}
 	return event.LinkDown
 }
 
-// transportOf returns the connection under a stream, for closing it.
+// transportOf returns the connection of a stream, so that it can be closed.
 func transportOf(stream drpc.Stream) io.Closer {
 	if tr, ok := drpcctx.Transport(stream.Context()); ok {
 		return tr
@@ -85,7 +85,7 @@
 	return stream
 }
 
-func (s *Server) join(sess *session) {
+func (s *Server) addSession(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sessions[sess] = struct{}{}
@@ -101,12 +101,12 @@
 		LinkBytesPerSecond:     uint64(s.info.LinkBytesPerSecond),
 		KvBytesPerToken:        uint32(s.info.KVBytesPerToken),
 	}}})
-	sess.has = sess.entry.GetHeadRevision()
-	s.offered(sess)
+	sess.peerRevision = sess.entry.GetHeadRevision()
+	s.pullIfBehind(sess)
 	event.LinkUp.Log(s.log).Str("entry", sess.entry.GetEntryId()).Msg("")
 }
 
-func (s *Server) leave(sess *session) {
+func (s *Server) removeSession(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, sess)
@@ -119,70 +119,74 @@
 	}
 }
 
-// offered asks for the head that the entry has stated when this server lacks it.
-// An entry that lacks this server's asks for it likewise, so that one with many
-// links is not handed the same by each. The caller holds mu.
-func (s *Server) offered(sess *session) {
-	if s.pull.Offer(sess, sess.has, s.state.Head(), time.Now()) {
-		sess.send(s.makeBeat(sess.link.Interval()))
+// pullIfBehind requests the head revision that the entry has announced if this server
+// lacks it. An entry that lacks this server's revision requests it likewise, so that
+// an entry with many links does not receive the same records on each. The caller holds
+// mu.
+func (s *Server) pullIfBehind(sess *session) {
+	if s.pull.Offer(sess, sess.peerRevision, s.state.Head(), time.Now()) {
+		sess.send(s.makeHeartbeat(sess.link.Interval()))
 	}
 }
 
-// heal hands the entry what it lacks of the configuration. The caller holds mu.
-func (s *Server) heal(sess *session, has uint64) {
-	from := max(has, sess.told)
+// sendRecords sends the entry the configuration records newer than revision has and
+// not sent to it yet. The caller holds mu.
+func (s *Server) sendRecords(sess *session, has uint64) {
+	from := max(has, sess.sentRevision)
 	if from >= s.state.Head() {
 		return
 	}
 	d := s.state.Since(from)
-	sess.told = d.Head
+	sess.sentRevision = d.Head
 	sess.send(&wire.SidecarFrame{Body: &wire.SidecarFrame_Records{Records: dissemination.ToWire(d)}})
 }
 
-func (s *Server) beat(interval time.Duration) *wire.SidecarFrame {
+func (s *Server) heartbeat(interval time.Duration) *wire.SidecarFrame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.makeBeat(interval)
+	return s.makeHeartbeat(interval)
 }
 
-// beatTo is a heartbeat for one entry, which may tell the demand of customers.
-func (s *Server) beatTo(sess *session, interval time.Duration) *wire.SidecarFrame {
-	f := s.beat(interval)
+// heartbeatTo returns a heartbeat for one entry, which may report the demand of
+// customers.
+func (s *Server) heartbeatTo(sess *session, interval time.Duration) *wire.SidecarFrame {
+	f := s.heartbeat(interval)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addDemand(sess, f, time.Now())
 	return f
 }
 
-// announce tells every entry that is behind of a new head; one that lacks it
-// answers with its own and is handed the records. The caller must not hold mu.
+// announce announces a new head to every entry that is behind. The entry answers with
+// its own head and is then sent the records. The caller must not hold mu.
 func (s *Server) announce() {
-	for _, sess := range s.behind() {
+	for _, sess := range s.sessionsBehind() {
 		sess.link.BeatNow()
 	}
 }
 
-func (s *Server) behind() []*session {
+func (s *Server) sessionsBehind() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*session
 	for sess := range s.sessions {
-		if sess.has < s.state.Head() {
+		if sess.peerRevision < s.state.Head() {
 			out = append(out, sess)
 		}
 	}
 	return out
 }
 
-// pullRetry asks for a revision that was announced and has not come. The caller holds mu.
-func (s *Server) pullRetry(now time.Time) {
+// retryPull requests again an announced revision that has not arrived. The caller
+// holds mu.
+func (s *Server) retryPull(now time.Time) {
 	if sess, ok := s.pull.Retry(s.state.Head(), now); ok {
-		sess.send(s.makeBeat(sess.link.Interval()))
+		sess.send(s.makeHeartbeat(sess.link.Interval()))
 	}
 }
 
-// makeBeat builds a heartbeat. The caller holds mu.
-func (s *Server) makeBeat(interval time.Duration) *wire.SidecarFrame {
+// makeHeartbeat builds a heartbeat. The caller holds mu.
+func (s *Server) makeHeartbeat(interval time.Duration) *wire.SidecarFrame {
 	return &wire.SidecarFrame{
 		Load: s.load(),
 		Body: &wire.SidecarFrame_Beat{Beat: &wire.SidecarBeat{
@@ -193,23 +197,25 @@
 	}
 }
 
-// loadInterval is how often the load is told to one entry, at most.
-const loadInterval = 100 * time.Millisecond
+// minLoadInterval is the minimum interval between load reports to one entry, other
+// than in heartbeats.
+const minLoadInterval = 100 * time.Millisecond
 
-// addLoad lets the load ride on a frame. The caller holds mu.
+// addLoad attaches the load to a frame, at most once per minLoadInterval. The caller
+// holds mu.
 func (s *Server) addLoad(sess *session, f *wire.SidecarFrame) {
-	if now := time.Now(); now.Sub(sess.loadAt) >= loadInterval {
-		sess.loadAt = now
+	if now := time.Now(); now.Sub(sess.loadSentAt) >= minLoadInterval {
+		sess.loadSentAt = now
 		f.Load = s.load()
 	}
 }
 
-func (s *Server) sendLoaded(sess *session, f *wire.SidecarFrame) {
+func (s *Server) sendWithLoad(sess *session, f *wire.SidecarFrame) {
 	s.addLoad(sess, f)
 	sess.send(f)
 }
 
-// load is the sidecar's own view of its promises. The caller holds mu.
+// load returns the server's present load. The caller holds mu.
 func (s *Server) load() *wire.Load {
 	return s.adm.load(time.Now())
 }
--- a/sidecar/settings.go
+++ b/sidecar/settings.go
@@ -1,7 +1,7 @@
-// Package sidecar is the process beside each backend server. It is the only one
-// that talks to its engine or plain service: it grants places, runs prefill,
-// decode and calls, keeps the ledger of runs, and cancels what no entry holds a
-// lease on any more.
+// Package sidecar is the process that runs beside each backend server. It is the
+// only process that talks to the server's engine or plain service: it grants decode
+// slots, runs prefills, decodes and calls, maintains the ledger of runs, and cancels
+// runs on which no entry holds a lease any more.
 package sidecar
 
 import (
@@ -33,20 +33,19 @@
 	Policy   Policy            `yaml:"policy,omitempty"`
 }
 
-// Orders of admission.
+// Orders in which queued requests are admitted.
 const (
 	AdmissionFair = "fair"
 	AdmissionFIFO = "fifo"
 )
 
-// Policy chooses between the decisions as they ship and the baselines that they
-// are compared with.
+// Policy selects the default policies or the baselines that they are compared with.
 type Policy struct {
-	// Admission is the order in which waiting requests are taken: AdmissionFair
+	// Admission is the order in which queued requests are admitted: AdmissionFair
 	// by share and urgency, AdmissionFIFO by arrival.
 	Admission string `yaml:"admission"`
-	// Reserve makes a prefill wait for a decode place; without it the place is
-	// looked for only when the KV cache is there.
+	// Reserve makes a prefill wait for a decode slot. Without it, a slot is requested
+	// only after the KV cache has been computed.
 	Reserve bool `yaml:"reserve"`
 }
 
@@ -55,21 +54,24 @@
 	// Heartbeat is the interval of heartbeats on a link with work, IdleBeat without.
 	Heartbeat     time.Duration `yaml:"beat"`
 	IdleHeartbeat time.Duration `yaml:"idle_beat"`
-	// Lease is how long runs outlive the last heartbeat of their entry. It leaves
-	// time for both ends to notice a silent link and to join the run over a new one.
+	// Lease is how long runs continue after the last heartbeat of their entry. It leaves
+	// time for both ends to detect an unresponsive link and to reattach the run over a
+	// new one.
 	Lease time.Duration `yaml:"lease"`
-	// Silence is how long a link may be silent before it is closed.
+	// Silence is how long a peer may send nothing before the link is closed.
 	Silence time.Duration `yaml:"silence"`
-	// Sweep is the interval at which the engine's listing is compared with the ledger.
+	// Sweep is the interval at which the engine's runs and exports are compared with
+	// the ledger.
 	Sweep time.Duration `yaml:"sweep"`
-	// Hold is how long a granted place waits for its start beyond the expected prefill.
+	// Hold is how long a granted slot waits for its start beyond the expected prefill
+	// time.
 	Hold time.Duration `yaml:"hold"`
-	// Retain is how long ended and fenced attempts stay in the ledger.
+	// Retain is how long the ledger retains ended and fenced attempts.
 	Retain time.Duration `yaml:"retain"`
 	// EngineCall bounds one short call to the engine.
 	EngineCall time.Duration `yaml:"engine_call"`
-	// EngineStall is how long the engine may send nothing for a run before its
-	// stream is joined anew.
+	// EngineStall is how long the engine may send nothing for a run before the
+	// stream is reopened.
 	EngineStall time.Duration `yaml:"engine_stall"`
 	// Drain bounds a graceful shutdown.
 	Drain time.Duration `yaml:"drain"`
@@ -77,23 +79,23 @@
 
 // Bounds limit the sidecar's memory.
 type Bounds struct {
-	// Window is how many unacknowledged tokens of a run may be on the way to its entry.
+	// Window is how many unacknowledged tokens of a run may be in flight to its entry.
 	Window int `yaml:"window"`
-	// Queue is how many requests may wait.
+	// Queue is how many requests may be queued.
 	Queue int `yaml:"queue"`
-	// LinkQueue is how many frames may wait on one link.
+	// LinkQueue is how many frames may be queued on one link.
 	LinkQueue int `yaml:"link_queue"`
 	// Runs is how many attempts the ledger holds.
 	Runs int `yaml:"runs"`
 	// Tickets is how many tickets the ledger holds.
 	Tickets int `yaml:"tickets"`
-	// Prefills is how many prefills the engine is given at once.
+	// Prefills is how many prefills the engine is given concurrently.
 	Prefills int `yaml:"prefills"`
 	// ReplyBytes bounds the reply of a plain service.
 	ReplyBytes int64 `yaml:"reply_bytes"`
 }
 
-// DefaultSettings returns the defaults, on which a file is laid.
+// DefaultSettings returns the defaults, which a settings file overrides.
 func DefaultSettings() Settings {
 	return Settings{
 		LogLevel: "info",
--- a/sidecar/skew_test.go
+++ b/sidecar/skew_test.go
@@ -20,27 +20,27 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// lines is a log that a test reads line by line.
-type lines chan string
+// logLines is a log writer that passes each line to the test.
+type logLines chan string
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logLines) Write(p []byte) (int, error) {
 	l <- string(p)
 	return len(p), nil
 }
 
-// dialServer serves a sidecar on loopback and opens one session.
-func dialServer(t *testing.T) (wire.DRPCSidecar_SessionClient, lines) {
+// dialServer starts a sidecar on loopback and opens one session with it.
+func dialServer(t *testing.T) (wire.DRPCSidecar_SessionClient, logLines) {
 	t.Helper()
 	stream, _, logged := dialConfigured(t, dissemination.Delta{})
 	return stream, logged
 }
 
-// dialConfigured is dialServer with a configuration.
-func dialConfigured(t *testing.T, d dissemination.Delta) (wire.DRPCSidecar_SessionClient, *Server, lines) {
+// dialConfigured is like dialServer, but first applies a configuration.
+func dialConfigured(t *testing.T, d dissemination.Delta) (wire.DRPCSidecar_SessionClient, *Server, logLines) {
 	t.Helper()
-	logged := make(lines, 64)
+	logged := make(logLines, 64)
 	set := DefaultSettings()
-	set.Timing.Heartbeat = time.Hour // only what is asked for is sent
+	set.Timing.Heartbeat = time.Hour // no unsolicited heartbeats
 	s := NewServer(set, nil, engine.Info{}, "i", event.New("sidecar", "t", log.InfoLevel), metrics.NewSet())
 	s.log.Writer = &log.IOWriter{Writer: logged}
 	assert.NilError(t, s.Configure(d))
@@ -76,14 +76,14 @@
 	}
 }
 
-// TestUnknownFrameIsIgnored sends a frame of a kind that this build does not know,
-// then one that it answers.
+// TestUnknownFrameIsIgnored sends a frame of an unknown kind, then one that must be
+// answered.
 func TestUnknownFrameIsIgnored(t *testing.T) {
 	stream, _ := dialServer(t)
 	hello := &wire.Hello{Protocol: wire.Protocol, Incarnation: "x"}
 	assert.NilError(t, stream.Send(&wire.EntryFrame{Body: &wire.EntryFrame_Hello{Hello: hello}}))
 	unknown := new(wire.EntryFrame)
-	// Field 99, a message that is empty.
+	// Field 99, an empty message.
 	unknown.ProtoReflect().SetUnknown([]byte{0x9a, 0x06, 0x00})
 	assert.NilError(t, stream.Send(unknown))
 	ref := wire.Key{RequestID: "r", Attempt: 1}.Ref()
@@ -97,8 +97,9 @@
 	}
 }
 
-// A peer that opens a session and says nothing is hung up on.
-func TestMutePeerIsHungUpOn(t *testing.T) {
+// TestUnresponsivePeerIsDisconnected checks that a peer that opens a session and sends
+// nothing is disconnected.
+func TestUnresponsivePeerIsDisconnected(t *testing.T) {
 	stream, _ := dialServer(t)
 	_, err := stream.Recv()
 	assert.Assert(t, err != nil)
--- a/sidecar/sweep.go
+++ b/sidecar/sweep.go
@@ -9,13 +9,13 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-// lapse ends everything that an entry held. The caller holds mu.
-func (s *Server) lapse(owner string) {
+// lapseOwner abandons all runs of an entry whose lease has lapsed. The caller holds mu.
+func (s *Server) lapseOwner(owner string) {
 	n := 0
 	for _, r := range s.runs {
 		if r.owner == owner && r.phase < phaseEnded {
 			s.abandon(r, lapseOutcome(r))
-			s.lapsed[owner] = true
+			s.lapsedOwners[owner] = true
 			n++
 		}
 	}
@@ -24,19 +24,19 @@
 	}
 }
 
-func lapseOutcome(r *run) outcome.Outcome { return endOutcome(r, outcome.LeaseLapsed) }
+func lapseOutcome(r *run) outcome.Outcome { return abandonOutcome(r, outcome.LeaseLapsed) }
 
-// endOutcome is the end of a run that is given up.
-func endOutcome(r *run, reason outcome.Reason) outcome.Outcome {
+// abandonOutcome returns the outcome of a run that is abandoned.
+func abandonOutcome(r *run, reason outcome.Reason) outcome.Outcome {
 	if r.ran {
 		return outcome.Fail(reason, "")
 	}
-	return outcome.Refuse(reason, refusalRetry)
+	return outcome.Refuse(reason, refusalRetryAfter)
 }
 
-// sweepLoop compares the engine's listing with the ledger, for ever: a cancel
-// whose answer was lost, a run that the engine took late and runs of an earlier
-// incarnation all show up as runs that the ledger does not hold.
+// sweepLoop periodically compares the engine's runs and exports with the ledger. A
+// cancel whose answer was lost, a run that the engine accepted late and runs of an
+// earlier incarnation all show up as runs that are not in the ledger.
 func (s *Server) sweepLoop() {
 	if s.eng == nil {
 		return
@@ -49,7 +49,7 @@
 		case <-s.ctx.Done():
 			return
 		case <-t.C:
-		case <-s.kick:
+		case <-s.sweepNow:
 		}
 		if err := s.sweepRuns(); err != nil {
 			event.SweepFailed.Log(s.log).Err(err).Msg("")
@@ -92,9 +92,9 @@
 	return live
 }
 
-// sweepExports releases KV caches that the ledger does not hold. One whose
-// prefill has just ended may not have reached the ledger yet, so it is released
-// only when two sweeps in a row find it.
+// sweepExports releases KV caches that are not in the ledger. A KV cache whose prefill
+// has just ended may not be in the ledger yet, so it is released only if two
+// consecutive sweeps find it, unless another incarnation owns it.
 func (s *Server) sweepExports(suspects map[string]bool) map[string]bool {
 	ctx, cancel := context.WithTimeout(s.ctx, s.set.Timing.EngineCall)
 	defer cancel()
--- a/sidecar/worker.go
+++ b/sidecar/worker.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// worker does the engine calls of one run, outside of the server's lock.
+// worker makes the engine calls of one run without holding the server's lock.
 type worker struct {
 	s   *Server
 	r   *run
@@ -30,7 +30,7 @@
 	})
 }
 
-// locked runs f under the server's lock unless the run is over.
+// locked calls f under the server's lock unless the run has ended.
 func (w *worker) locked(f func()) {
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
@@ -45,11 +45,11 @@
 		w.s.met.Refused(o.Reason)
 		w.s.finish(w.r, refusal(w.r.key, stage, o, w.s.state.Head()))
 	})
-	w.s.kickSweep()
+	w.s.triggerSweep()
 }
 
-// pause waits for d; it reports false when the run was given up meanwhile.
-func (w *worker) pause(d time.Duration) bool {
+// sleep waits for d; it returns false if the run was abandoned meanwhile.
+func (w *worker) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -63,13 +63,13 @@
 	}
 }
 
-// enginePriority turns an urgency, of which the lowest goes first, into the
-// engine's priority, of which the highest does.
+// enginePriority converts an urgency, where the lowest goes first, into an engine
+// priority, where the highest goes first.
 func enginePriority(t *wire.Terms) int {
 	return int(contract.Deferred) - int(t.GetUrgency())
 }
 
-// prefill computes the KV cache and announces it.
+// prefill computes the KV cache and reports it to the entry.
 func (w *worker) prefill(m *wire.Prefill) {
 	kv, err := w.s.eng.Prefill(w.ctx, engine.PrefillRequest{
 		RunID:    w.r.engineID,
@@ -79,7 +79,7 @@
 		Priority: enginePriority(m.GetTerms()),
 	})
 	if err != nil {
-		w.fail(wire.Stage_STAGE_PREFILL, outcome.Refuse(outcome.EngineError, refusalRetry), err)
+		w.fail(wire.Stage_STAGE_PREFILL, outcome.Refuse(outcome.EngineError, refusalRetryAfter), err)
 		return
 	}
 	w.locked(func() {
