--- a/sidecar/session.go
+++ b/sidecar/session.go
@@ -129,10 +129,10 @@
 	}
 }
 
-// sendRecords sends the entry the configuration records newer than revision has and
-// not sent to it yet. The caller holds mu.
-func (s *Server) sendRecords(sess *session, has uint64) {
-	from := max(has, sess.sentRevision)
+// sendRecords sends the entry the configuration records newer than entryRevision that
+// were not sent to it yet. The caller holds mu.
+func (s *Server) sendRecords(sess *session, entryRevision uint64) {
+	from := max(entryRevision, sess.sentRevision)
 	if from >= s.state.Head() {
 		return
 	}
--- a/sidecar/settings.go
+++ b/sidecar/settings.go
@@ -51,7 +51,8 @@
 
 // Timing holds the sidecar's intervals and timeouts.
 type Timing struct {
-	// Heartbeat is the interval of heartbeats on a link with work, IdleBeat without.
+	// Heartbeat is the interval of heartbeats on a link with work, IdleHeartbeat on one
+	// without.
 	Heartbeat     time.Duration `yaml:"beat"`
 	IdleHeartbeat time.Duration `yaml:"idle_beat"`
 	// Lease is how long runs continue after the last heartbeat of their entry. It leaves
@@ -85,9 +86,9 @@
 	Queue int `yaml:"queue"`
 	// LinkQueue is how many frames may be queued on one link.
 	LinkQueue int `yaml:"link_queue"`
-	// Runs is how many attempts the ledger holds.
+	// Runs is the maximum number of attempts in the ledger.
 	Runs int `yaml:"runs"`
-	// Tickets is how many tickets the ledger holds.
+	// Tickets is the maximum number of claimed tickets.
 	Tickets int `yaml:"tickets"`
 	// Prefills is how many prefills the engine is given concurrently.
 	Prefills int `yaml:"prefills"`
