--- a/entry/peer.go
+++ b/entry/peer.go
@@ -133,8 +133,8 @@
 // newLink returns a link on which the hello has been sent.
 func (p *peer) newLink(stream wire.DRPCSidecar_SessionClient, transport io.Closer) *entryLink {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		Beat:       p.pool.set.Timing.Beat,
-		IdleBeat:   p.pool.set.Timing.IdleBeat,
+		Beat:       p.pool.set.Timing.Heartbeat,
+		IdleBeat:   p.pool.set.Timing.IdleHeartbeat,
 		Silence:    p.pool.set.Timing.Silence,
 		QueueLimit: p.pool.set.Bounds.LinkQueue,
 		Active:     func() bool { return p.outstanding() > 0 },
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -126,7 +126,7 @@
 func (p *pool) retire(pr *peer) {
 	p.work.Go(func() {
 		defer pr.stop()
-		pr.waitIdle(p.ctx, p.set.Timing.Beat)
+		pr.waitIdle(p.ctx, p.set.Timing.Heartbeat)
 	})
 }
 
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -42,9 +42,9 @@
 type Timing struct {
 	// Poll is the interval at which the table's head revision is read.
 	Poll time.Duration `yaml:"poll"`
-	// Beat is the interval of heartbeats on a link with work, IdleBeat without.
-	Beat     time.Duration `yaml:"beat"`
-	IdleBeat time.Duration `yaml:"idle_beat"`
+	// Heartbeat is the interval of heartbeats on a link with work, IdleHeartbeat without.
+	Heartbeat     time.Duration `yaml:"beat"`
+	IdleHeartbeat time.Duration `yaml:"idle_beat"`
 	// Silence is how long a link may be silent before it is redialled.
 	Silence time.Duration `yaml:"silence"`
 	// Dial bounds one connection attempt, Redial is the pause between two.
@@ -93,21 +93,21 @@
 	return Settings{
 		LogLevel: "info",
 		Timing: Timing{
-			Poll:         time.Second,
-			Beat:         250 * time.Millisecond,
-			IdleBeat:     10 * time.Second,
-			Silence:      600 * time.Millisecond,
-			Dial:         500 * time.Millisecond,
-			Redial:       100 * time.Millisecond,
-			Answer:       500 * time.Millisecond,
-			Reattach:     3 * time.Second,
-			CallerCheck:  20 * time.Millisecond,
-			Claim:        1500 * time.Millisecond,
-			Confirm:      2 * time.Second,
-			VMPoll:       2 * time.Second,
-			PlatformCall: time.Second,
-			Drain:        30 * time.Second,
-			Notice:       time.Second,
+			Poll:          time.Second,
+			Heartbeat:     250 * time.Millisecond,
+			IdleHeartbeat: 10 * time.Second,
+			Silence:       600 * time.Millisecond,
+			Dial:          500 * time.Millisecond,
+			Redial:        100 * time.Millisecond,
+			Answer:        500 * time.Millisecond,
+			Reattach:      3 * time.Second,
+			CallerCheck:   20 * time.Millisecond,
+			Claim:         1500 * time.Millisecond,
+			Confirm:       2 * time.Second,
+			VMPoll:        2 * time.Second,
+			PlatformCall:  time.Second,
+			Drain:         30 * time.Second,
+			Notice:        time.Second,
 		},
 		Bounds: Bounds{
 			BodyBytes:   4 << 20,
@@ -146,9 +146,9 @@
 func (s *Settings) checkTiming(fail func(field, format string, args ...any)) {
 	t := s.Timing
 	config.CheckRange(fail, "timing.poll", t.Poll, 50*time.Millisecond, 3*time.Second)
-	config.CheckRange(fail, "timing.beat", t.Beat, 10*time.Millisecond, 10*time.Second)
-	config.CheckRange(fail, "timing.idle_beat", t.IdleBeat, t.Beat, time.Minute)
-	config.CheckRange(fail, "timing.silence", t.Silence, 2*t.Beat, time.Minute)
+	config.CheckRange(fail, "timing.beat", t.Heartbeat, 10*time.Millisecond, 10*time.Second)
+	config.CheckRange(fail, "timing.idle_beat", t.IdleHeartbeat, t.Heartbeat, time.Minute)
+	config.CheckRange(fail, "timing.silence", t.Silence, 2*t.Heartbeat, time.Minute)
 	config.CheckRange(fail, "timing.dial", t.Dial, 10*time.Millisecond, time.Minute)
 	config.CheckRange(fail, "timing.redial", t.Redial, 10*time.Millisecond, time.Minute)
 	config.CheckRange(fail, "timing.answer", t.Answer, 10*time.Millisecond, time.Minute)
--- a/load/capacity/peer.go
+++ b/load/capacity/peer.go
@@ -49,7 +49,7 @@
 
 func serveIdle(ctx context.Context, conn *drpcconn.Conn, stream wire.DRPCSidecar_SessionClient, set entry.Settings, id string) error {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		Beat: set.Timing.Beat, IdleBeat: set.Timing.IdleBeat, Silence: set.Timing.Silence,
+		Beat: set.Timing.Heartbeat, IdleBeat: set.Timing.IdleHeartbeat, Silence: set.Timing.Silence,
 		QueueLimit: set.Bounds.LinkQueue,
 		Active:     func() bool { return false },
 		MakeBeat: func(interval time.Duration) *wire.EntryFrame {
