--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -12,39 +12,39 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// attempt is one try at a request on one placement, through the sidecars of its servers.
-// It implements lifecycle.Attempt; only the start of the decode counts as a run.
+// attempt is one attempt at a request on one placement, through the sidecars of its servers. It implements
+// lifecycle.Attempt; only the start of the decode counts as a run.
 type attempt struct {
-	s   *Service
-	r   *request
-	key wire.Key
-	sv  servers
+	s       *Service
+	r       *request
+	key     wire.Key
+	servers servers
 
 	decode *flow
-	// incarnation is that of the decode sidecar when the attempt began.
+	// incarnation is the decode sidecar's incarnation when the attempt began.
 	incarnation string
-	// kv is the exported KV cache; nil when the decode server reads the prompt.
+	// kv is the exported KV cache; nil when the decode server prefills the prompt.
 	kv      *wire.Prefilled
 	started bool
-	// acked is the position last acknowledged.
-	acked int
-	// worked tells that a prefill was done or begun.
-	worked bool
-	// fault is the server that ended the attempt; nil stands for the decode server.
-	fault *peer
+	// ackedPosition is the output position last acknowledged.
+	ackedPosition int
+	// workDone is set when a prefill was done or begun.
+	workDone bool
+	// endedBy is the server that ended the attempt; nil stands for the decode server.
+	endedBy *peer
 }
 
 // newAttempt returns an attempt that receives from its decode sidecar.
 func newAttempt(s *Service, r *request, n uint32, sv servers) *attempt {
-	a := &attempt{s: s, r: r, key: wire.Key{RequestID: r.id, Attempt: n}, sv: sv}
-	a.decode = sv.decode.open(a.key)
+	a := &attempt{s: s, r: r, key: wire.Key{RequestID: r.id, Attempt: n}, servers: sv}
+	a.decode = sv.decode.openFlow(a.key)
 	a.incarnation = sv.decode.incarnation()
 	return a
 }
 
-// Reserve implements lifecycle.Attempt. A baseline reserves only once the prompt was read.
+// Reserve implements lifecycle.Attempt. The baseline reserves only after the prefill.
 func (a *attempt) Reserve(ctx context.Context) (outcome.Outcome, bool) {
-	if !a.s.set.Policy.Reserve {
+	if !a.s.settings.Policy.Reserve {
 		return outcome.Outcome{}, true
 	}
 	return a.reserve(ctx)
@@ -52,7 +52,7 @@
 
 // Answer implements lifecycle.Attempt.
 func (a *attempt) Answer(ctx context.Context) outcome.Outcome {
-	if !a.s.set.Policy.Reserve {
+	if !a.s.settings.Policy.Reserve {
 		if o, ok := a.reserve(ctx); !ok {
 			return o
 		}
@@ -60,22 +60,22 @@
 	return a.answer(ctx)
 }
 
-// ending describes the end of the attempt to the retry policy.
-func (a *attempt) ending(o outcome.Outcome) retry.Attempt {
-	at := a.fault
+// retryAttempt describes the ended attempt to the retry policy.
+func (a *attempt) retryAttempt(o outcome.Outcome) retry.Attempt {
+	at := a.endedBy
 	if at == nil {
-		at = a.sv.decode
+		at = a.servers.decode
 	}
-	return endingAt(o, at, a.worked || a.started)
+	return retryAttemptAt(o, at, a.workDone || a.started)
 }
 
-// Release implements lifecycle.Attempt: it tells both sidecars that the attempt is over. What
-// they still hold for it is given up, and nothing of it needs to be kept or sent again.
+// Release implements lifecycle.Attempt: it notifies both sidecars that the attempt is over. They release what
+// they still hold for it, and nothing of it has to be kept or sent again.
 func (a *attempt) Release() {
 	defer a.decode.close()
 	_ = a.decode.send(cancelFrame(a.key))
-	if a.sv.prefill != nil {
-		_ = a.sv.prefill.send(cancelFrame(a.key))
+	if a.servers.prefill != nil {
+		_ = a.servers.prefill.send(cancelFrame(a.key))
 	}
 }
 
@@ -85,53 +85,53 @@
 
 func (a *attempt) reserve(ctx context.Context) (outcome.Outcome, bool) {
 	terms := a.r.terms()
-	a.r.allow.fill(terms, a.key.Attempt)
+	a.r.allowance.addTo(terms, a.key.Attempt)
 	err := a.decode.send(&wire.EntryFrame{Body: &wire.EntryFrame_Reserve{Reserve: &wire.Reserve{
 		Ref:          a.key.Ref(),
 		Terms:        terms,
 		Model:        a.r.model,
-		PromptTokens: uint32(a.r.tokens),
-		MaxTokens:    uint32(a.r.max),
-		PrefillMs:    uint32(a.sv.prefilled.Milliseconds()),
+		PromptTokens: uint32(a.r.promptTokens),
+		MaxTokens:    uint32(a.r.maxTokens),
+		PrefillMs:    uint32(a.servers.expectedPrefill.Milliseconds()),
 	}}})
 	if err != nil {
 		return outcome.Refuse(outcome.LinkDown, 0), false
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, a.s.set.Timing.Answer+a.placeWait(), errNoAnswer)
+	ctx, cancel := context.WithTimeoutCause(ctx, a.s.settings.Timing.Answer+a.slotWait(), errNoAnswer)
 	defer cancel()
 	f, err := a.decode.recv(ctx)
 	if err != nil {
 		return notStarted(err), false
 	}
 	if ref := f.GetRefused(); ref != nil {
-		return refused(ref), false
+		return refusedOutcome(ref), false
 	}
 	return outcome.Refuse(outcome.LinkDown, 0), f.GetGranted() != nil
 }
 
-// placeWait bounds how long the sidecar may keep the reservation waiting for a
-// place: what is left of the target, since it refuses what would come later.
-func (a *attempt) placeWait() time.Duration {
-	if left := a.r.class.TTFT - time.Since(a.r.begun); left > 0 {
+// slotWait bounds how long the sidecar may queue the reservation for a decode slot: for the time left of the
+// latency objective, since the sidecar rejects what would be later.
+func (a *attempt) slotWait() time.Duration {
+	if left := a.r.class.TTFT - time.Since(a.r.start); left > 0 {
 		return left
 	}
 	return admission.DefaultMaxWait
 }
 
-// Prefill implements lifecycle.Attempt. The KV cache is exported, unless the decode server
-// reads the prompt.
+// Prefill implements lifecycle.Attempt. The KV cache is exported, unless the decode server prefills the
+// prompt.
 func (a *attempt) Prefill(ctx context.Context) (outcome.Outcome, bool) {
-	if a.sv.prefill == nil {
+	if a.servers.prefill == nil {
 		return outcome.Outcome{}, true
 	}
-	fl := a.sv.prefill.open(a.key)
+	fl := a.servers.prefill.openFlow(a.key)
 	defer fl.close()
-	wait := a.s.set.Timing.Answer + 2*a.sv.prefilled
-	a.fault = a.sv.prefill
+	wait := a.s.settings.Timing.Answer + 2*a.servers.expectedPrefill
+	a.endedBy = a.servers.prefill
 	if err := fl.send(a.prefillFrame(wait)); err != nil {
 		return outcome.Refuse(outcome.LinkDown, 0), false
 	}
-	a.worked = true
+	a.workDone = true
 	ctx, cancel := context.WithTimeoutCause(ctx, 2*wait, errNoAnswer)
 	defer cancel()
 	f, err := fl.recv(ctx)
@@ -139,28 +139,28 @@
 		return notStarted(err), false
 	}
 	if ref := f.GetRefused(); ref != nil {
-		a.worked = false
-		return refused(ref), false
+		a.workDone = false
+		return refusedOutcome(ref), false
 	}
-	a.fault = nil
+	a.endedBy = nil
 	a.kv = f.GetPrefilled()
-	a.s.placer.prefilled(a.sv.prefill, a.r, int(a.kv.GetCachedTokens()))
+	a.s.placer.recordPrefillResult(a.servers.prefill, a.r, int(a.kv.GetCachedTokens()))
 	return outcome.Refuse(outcome.LinkDown, 0), a.kv != nil
 }
 
-// prefillFrame asks for the prompt to be read, with wait as the most that it may queue.
+// prefillFrame requests a prefill that may wait in the queue for at most wait.
 func (a *attempt) prefillFrame(wait time.Duration) *wire.EntryFrame {
 	return &wire.EntryFrame{Body: &wire.EntryFrame_Prefill{Prefill: &wire.Prefill{
 		Ref:          a.key.Ref(),
 		Terms:        a.r.terms(),
 		Model:        a.r.model,
 		Prompt:       a.r.prompt + string(a.r.text),
-		PromptTokens: uint32(a.r.tokens),
+		PromptTokens: uint32(a.r.promptTokens),
 		MaxWaitMs:    uint32(wait.Milliseconds()),
 	}}}
 }
 
-// answer starts the decode and receives until the end.
+// answer starts the decode and receives until the attempt has ended.
 func (a *attempt) answer(ctx context.Context) outcome.Outcome {
 	if err := a.start(); err != nil {
 		return outcome.Refuse(outcome.LinkDown, 0)
@@ -177,17 +177,17 @@
 		if err != nil {
 			return a.giveUp(err)
 		}
-		if out, ended := a.take(f); ended {
+		if out, ended := a.handle(f); ended {
 			return out
 		}
 	}
 }
 
-// start sends the start over the present link. One that broke before is of no
-// account: a sidecar that was restarted since refuses the start.
+// start sends the start over the current link. A link that broke before does not matter: a sidecar that has
+// been restarted since then refuses the start.
 func (a *attempt) start() error {
-	a.decode.forgetDown()
-	a.incarnation = a.sv.decode.incarnation()
+	a.decode.discardLinkDown()
+	a.incarnation = a.servers.decode.incarnation()
 	return a.decode.send(&wire.EntryFrame{Body: &wire.EntryFrame_Start{Start: &wire.Start{
 		Ref:          a.key.Ref(),
 		Terms:        a.r.terms(),
@@ -195,54 +195,53 @@
 		Handle:       a.kv.GetHandle(),
 		Source:       a.kv.GetSource(),
 		Prompt:       a.r.prompt,
-		PromptTokens: uint32(a.r.tokens),
-		MaxTokens:    uint32(a.r.max),
+		PromptTokens: uint32(a.r.promptTokens),
+		MaxTokens:    uint32(a.r.maxTokens),
 		Position:     uint32(a.r.received),
 		Prior:        string(a.r.text),
 		KvBytes:      a.kv.GetKvBytes(),
 	}}})
 }
 
-// reattach waits for the link and re-joins the run at the received position.
+// reattach waits for the link and resumes receiving the run at the received position.
 func (a *attempt) reattach(ctx context.Context) (outcome.Outcome, bool) {
-	wait, cancel := context.WithTimeoutCause(ctx, a.patience(), errNoAnswer)
+	wait, cancel := context.WithTimeoutCause(ctx, a.reattachTimeout(), errNoAnswer)
 	defer cancel()
-	if err := a.sv.decode.waitUp(wait); err != nil {
+	if err := a.servers.decode.waitUp(wait); err != nil {
 		if ctx.Err() != nil {
 			return a.giveUp(context.Cause(ctx)), false
 		}
-		return a.ended(outcome.Unsure(outcome.LinkDown, "")), false
+		return a.refine(outcome.Unsure(outcome.LinkDown, "")), false
 	}
-	if a.sv.decode.incarnation() != a.incarnation {
-		return a.ended(outcome.Unsure(outcome.SidecarRestarted, "")), false
+	if a.servers.decode.incarnation() != a.incarnation {
+		return a.refine(outcome.Unsure(outcome.SidecarRestarted, "")), false
 	}
 	a.attach()
 	return outcome.Outcome{}, true
 }
 
-// patience is how long a broken link is waited for. A run that may be repeated
-// elsewhere waits half as long, by when its lease is over; one that may not waits
-// for the sidecar's word.
-func (a *attempt) patience() time.Duration {
+// reattachTimeout is how long to wait for a broken link. A run that may be repeated elsewhere waits half as
+// long, by when its lease has expired; an unrepeatable one waits for the sidecar's report.
+func (a *attempt) reattachTimeout() time.Duration {
 	if a.r.class.Unrepeatable {
-		return a.s.set.Timing.Reattach
+		return a.s.settings.Timing.Reattach
 	}
-	return a.s.set.Timing.Reattach / 2
+	return a.s.settings.Timing.Reattach / 2
 }
 
 // giveUp ends a started attempt whose context ended.
 func (a *attempt) giveUp(err error) outcome.Outcome {
 	reason := causeReason(err)
 	if a.r.received > 0 || reason == outcome.CallerGone {
-		return a.ended(outcome.Unsure(reason, ""))
+		return a.refine(outcome.Unsure(reason, ""))
 	}
 	return a.fence(reason)
 }
 
-// fence has the sidecar refuse the run from now on, and learns whether it had
-// begun. Without an answer that stays unknown.
+// fence has the sidecar refuse the run from now on, and returns whether the run had begun. Without an answer
+// that stays unknown.
 func (a *attempt) fence(reason outcome.Reason) outcome.Outcome {
-	ctx, cancel := context.WithTimeoutCause(context.Background(), a.s.set.Timing.Answer, errNoAnswer)
+	ctx, cancel := context.WithTimeoutCause(context.Background(), a.s.settings.Timing.Answer, errNoAnswer)
 	defer cancel()
 	_ = a.decode.send(&wire.EntryFrame{Body: &wire.EntryFrame_Fence{Fence: &wire.Fence{Ref: a.key.Ref()}}})
 	for {
@@ -260,11 +259,11 @@
 	if ran {
 		return outcome.Fail(reason, "")
 	}
-	return outcome.Refuse(reason, noAnswerRetry)
+	return outcome.Refuse(reason, defaultRetryAfter)
 }
 
-// ended sharpens an outcome by what was received: a token proves a run.
-func (a *attempt) ended(o outcome.Outcome) outcome.Outcome {
+// refine makes an unknown outcome a failed one when tokens were received, since a token proves a run.
+func (a *attempt) refine(o outcome.Outcome) outcome.Outcome {
 	if o.Kind == outcome.Unknown && a.r.received > 0 {
 		o.Kind = outcome.Failed
 	}
@@ -284,11 +283,11 @@
 
 // notStarted is the outcome of an attempt that ended before its start was sent.
 func notStarted(err error) outcome.Outcome {
-	return outcome.Outcome{Kind: outcome.NotRun, Reason: causeReason(err), RetryAfter: noAnswerRetry}
+	return outcome.Outcome{Kind: outcome.NotRun, Reason: causeReason(err), RetryAfter: defaultRetryAfter}
 }
 
-// refused is the outcome in m. A kind that this build does not know proves nothing.
-func refused(m *wire.Refused) outcome.Outcome {
+// refusedOutcome returns the outcome in m. A kind that this build does not know counts as unknown.
+func refusedOutcome(m *wire.Refused) outcome.Outcome {
 	kind := outcome.Kind(m.GetKind())
 	if kind != outcome.NotRun && kind != outcome.Failed {
 		kind = outcome.Unknown
--- a/entry/body_test.go
+++ b/entry/body_test.go
@@ -7,24 +7,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// badField decodes a body in one of the two forms, and returns the field at fault.
-func badField(chat bool, data []byte) string {
+// invalidField decodes a body of one of the two kinds of request, and returns the field that can't be served.
+func invalidField(chat bool, data []byte) string {
 	var field string
 	if chat {
 		var b chatRequest
 		if field = decodeJSON(data, &b); field == "" {
-			field = b.check()
+			field = b.invalidField()
 		}
 		return field
 	}
 	var b completionRequest
 	if field = decodeJSON(data, &b); field == "" {
-		field = b.check()
+		field = b.invalidField()
 	}
 	return field
 }
 
-func TestFieldsAtFault(t *testing.T) {
+func TestInvalidFields(t *testing.T) {
 	for _, tc := range []struct{ body, chat, completion string }{
 		{`{}`, "", ""},
 		{`{"model":"m","stop":["x"],"temperature":0.3,"seed":1,"user":"u","tools":[],"logit_bias":{"1":2},"n":1,"new":{}}`, "", ""},
@@ -57,14 +57,14 @@
 		{strings.Repeat("[", 100_000), "body", "body"},
 	} {
 		t.Run(tc.body[:min(len(tc.body), 40)], func(t *testing.T) {
-			assert.Equal(t, badField(true, []byte(tc.body)), tc.chat)
-			assert.Equal(t, badField(false, []byte(tc.body)), tc.completion)
+			assert.Equal(t, invalidField(true, []byte(tc.body)), tc.chat)
+			assert.Equal(t, invalidField(false, []byte(tc.body)), tc.completion)
 		})
 	}
 }
 
-// FuzzBody holds that decoding never panics, and that what is accepted can go into
-// the frames of a link and is not larger than the body.
+// FuzzBody checks that decoding never panics, and that an accepted body can go into the frames of a link and
+// is not larger than the body that was sent.
 func FuzzBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":3,"stream":true,"stream_options":{"include_usage":true}}`,
@@ -81,11 +81,11 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var chat chatRequest
-		if decodeJSON(data, &chat) == "" && chat.check() == "" {
+		if decodeJSON(data, &chat) == "" && chat.invalidField() == "" {
 			checkText(t, data, chat.Model, chat.prompt(), 3*len(chat.Messages))
 		}
 		var comp completionRequest
-		if decodeJSON(data, &comp) == "" && comp.check() == "" {
+		if decodeJSON(data, &comp) == "" && comp.invalidField() == "" {
 			checkText(t, data, comp.Model, string(comp.Prompt), 0)
 		}
 	})
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -16,13 +16,13 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// Headers that are passed on to and from a plain service.
+// Headers that are forwarded to and from a plain service.
 var (
 	requestHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", idempotencyHeader}
 	replyHeaders   = []string{"Content-Type", "Content-Language", "Content-Disposition", "Location", "Etag", "Last-Modified", "Cache-Control", retryAfterHeader}
 )
 
-// servicePrefix is where plain services are found, by name.
+// servicePrefix begins the paths of plain services, which are called by name.
 const servicePrefix = "/services/"
 
 // callService routes one call of a plain service.
@@ -30,36 +30,36 @@
 	name := hr.PathValue("service")
 	svc, ok := c.contract.ServiceFor(name)
 	if !ok {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.NotFound, 0), "service")
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.NotFound, 0), "service")
 		return
 	}
 	key, param := checkCall(hr)
 	if param != "" {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.BadRequest, 0), param)
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.BadRequest, 0), param)
 		return
 	}
 	body, ok := s.readBody(w, hr, c)
 	if !ok {
 		return
 	}
-	allow, done, out, ok := s.limits.admit(c.contract, s.pool.coverOf(name))
+	allow, done, out, ok := s.limiter.admit(c.contract, s.pool.coverageOf(name))
 	if !ok {
-		s.refuseCaller(w, c.contract.Brand, out, "")
+		s.refuseRequest(w, c.contract.Brand, out, "")
 		return
 	}
 	defer done()
 	path := servicePath(hr)
 	r := &call{
-		allow:        allow,
+		allowance:    allow,
 		id:           rand.Text(),
 		caller:       c,
 		service:      svc,
 		unrepeatable: svc.IsUnrepeatable(hr.Method, path),
-		message: &wire.Call{
+		template: &wire.Call{
 			Service: name,
 			Method:  hr.Method,
 			Path:    withQuery(path, hr.URL.RawQuery),
-			Headers: passHeaders(hr.Header, w.Header().Get(requestIDHeader)),
+			Headers: forwardedHeaders(hr.Header, w.Header().Get(requestIDHeader)),
 			Body:    body,
 		},
 	}
@@ -76,8 +76,8 @@
 	return path + "?" + query
 }
 
-// checkCall returns the idempotency key, or what can't be passed on: the links
-// between processes carry text, and a service is to get what the caller sent.
+// checkCall returns the idempotency key, or the parameter that can't be forwarded: the links between
+// processes carry text, and a service has to receive what the caller sent.
 func checkCall(hr *http.Request) (key, param string) {
 	key, ok := idempotencyKey(hr.Header)
 	if !ok {
@@ -94,14 +94,14 @@
 	return key, ""
 }
 
-// servicePath is what follows the service's name, still escaped: decoded, an
-// escaped slash or question mark would mean something else to the service.
+// servicePath returns what follows the service's name, still escaped: decoded, an escaped slash or question
+// mark would mean something else to the service.
 func servicePath(hr *http.Request) string {
 	_, path, _ := strings.Cut(strings.TrimPrefix(hr.URL.EscapedPath(), servicePrefix), "/")
 	return "/" + path
 }
 
-func passHeaders(h http.Header, requestID string) []*wire.Header {
+func forwardedHeaders(h http.Header, requestID string) []*wire.Header {
 	out := []*wire.Header{{Name: requestIDHeader, Value: requestID}}
 	for _, n := range requestHeaders {
 		if v := h.Get(n); v != "" {
@@ -117,8 +117,8 @@
 	caller       caller
 	service      *contract.Service
 	unrepeatable bool
-	message      *wire.Call
-	allow        allowance
+	template     *wire.Call
+	allowance    allowance
 }
 
 // executeCallGuarded claims the idempotency key of an unrepeatable call first.
@@ -127,57 +127,57 @@
 		return s.executeCall(ctx, r)
 	}
 	var reply *wire.Reply
-	out := s.guard.around(ctx, r.caller.contract.Customer, key, r.id, func() (o outcome.Outcome) {
+	out := s.guard.runWithKey(ctx, r.caller.contract.Customer, key, r.id, func() (o outcome.Outcome) {
 		reply, o = s.executeCall(ctx, r)
 		return o
 	})
 	return reply, out
 }
 
-// executeCall runs the call to its one end.
+// executeCall runs the call to its one outcome.
 func (s *Service) executeCall(ctx context.Context, r *call) (*wire.Reply, outcome.Outcome) {
 	deadline, _ := ctx.Deadline()
 	t := s.retrier.tracker(r.caller.contract.Customer, r.unrepeatable, deadline)
 	for n := uint32(1); ; n++ {
-		p := pick(s.pool.candidates(r.service.Name, t.next.ExcludeIDs, roleService))
+		p := pickLessLoaded(s.pool.candidates(r.service.Name, t.decision.ExcludeIDs, roleService))
 		if p == nil {
-			return nil, t.conclude(outcome.Refuse(outcome.NoBackend, noBackendRetry))
+			return nil, t.conclude(outcome.Refuse(outcome.NoBackend, noBackendRetryAfter))
 		}
 		reply, out := s.tryCall(ctx, r, p, n)
-		final, again := t.ended(ctx, endingAt(out, p, out.Kind != outcome.NotRun), 0, 0)
+		final, again := t.attemptEnded(ctx, retryAttemptAt(out, p, out.Kind != outcome.NotRun), 0, 0)
 		if !again {
 			return reply, final
 		}
 	}
 }
 
-// attempt returns the message of one attempt. It is a new one each time, since a
-// frame belongs to the link that it was sent on.
-func (r *call) attempt(key wire.Key) *wire.Call {
+// newMessage returns the message of one attempt. It is a new one each time, since a frame belongs to the link
+// that it was sent on.
+func (r *call) newMessage(key wire.Key) *wire.Call {
 	terms := &wire.Terms{
 		Customer:         r.caller.contract.Customer,
 		ContractRevision: r.caller.revision,
 		Unrepeatable:     r.unrepeatable,
 	}
-	r.allow.fill(terms, key.Attempt)
+	r.allowance.addTo(terms, key.Attempt)
 	return &wire.Call{
 		Ref:     key.Ref(),
 		Terms:   terms,
-		Service: r.message.GetService(),
-		Method:  r.message.GetMethod(),
-		Path:    r.message.GetPath(),
-		Headers: r.message.GetHeaders(),
-		Body:    r.message.GetBody(),
+		Service: r.template.GetService(),
+		Method:  r.template.GetMethod(),
+		Path:    r.template.GetPath(),
+		Headers: r.template.GetHeaders(),
+		Body:    r.template.GetBody(),
 	}
 }
 
 func (s *Service) tryCall(ctx context.Context, r *call, p *peer, n uint32) (*wire.Reply, outcome.Outcome) {
 	key := wire.Key{RequestID: r.id, Attempt: n}
-	fl := p.open(key)
+	fl := p.openFlow(key)
 	defer fl.close()
 	defer func() { _ = fl.send(cancelFrame(key)) }()
 	incarnation := p.incarnation()
-	if err := fl.send(&wire.EntryFrame{Body: &wire.EntryFrame_Call{Call: r.attempt(key)}}); err != nil {
+	if err := fl.send(&wire.EntryFrame{Body: &wire.EntryFrame_Call{Call: r.newMessage(key)}}); err != nil {
 		return nil, outcome.Refuse(outcome.LinkDown, 0)
 	}
 	for {
@@ -192,13 +192,13 @@
 		case f.GetReply() != nil:
 			return f.GetReply(), outcome.Outcome{Kind: outcome.Completed}
 		case f.GetRefused() != nil:
-			return nil, refused(f.GetRefused())
+			return nil, refusedOutcome(f.GetRefused())
 		}
 	}
 }
 
 func (s *Service) reattachCall(ctx context.Context, fl *flow, incarnation string) (outcome.Outcome, bool) {
-	wait, cancel := context.WithTimeoutCause(ctx, s.set.Timing.Reattach, errNoAnswer)
+	wait, cancel := context.WithTimeoutCause(ctx, s.settings.Timing.Reattach, errNoAnswer)
 	defer cancel()
 	if err := fl.peer.waitUp(wait); err != nil {
 		return outcome.Unsure(outcome.LinkDown, ""), false
@@ -211,11 +211,11 @@
 }
 
 func (s *Service) finishCall(w http.ResponseWriter, r *call, reply *wire.Reply, o outcome.Outcome) {
-	s.met.Ended(o.Kind)
+	s.metrics.Ended(o.Kind)
 	event.RequestEnded.Log(s.log).Str("request", w.Header().Get(requestIDHeader)).Str("run", r.id).Str("customer", r.caller.contract.Customer).
 		Str("service", r.service.Name).Str("outcome", o.String()).Msg("")
 	if reply == nil {
-		s.met.Refused(o.Reason)
+		s.metrics.Refused(o.Reason)
 		writeError(w, r.caller.contract.Brand, o, "", !r.unrepeatable)
 		return
 	}
--- a/entry/client_drain_test.go
+++ b/entry/client_drain_test.go
@@ -15,16 +15,15 @@
 	"github.com/hibiscusspur/hibiscusspur/internal/pathtest"
 )
 
-// An entry that shuts down while callers go on asking over open connections
-// finishes every answer that it has begun, and does not wait for a moment without
-// a request.
+// An entry that shuts down while callers continue to send requests over open connections completes every
+// answer in progress, and does not wait for a moment without requests.
 func TestDrainUnderLoad(t *testing.T) {
 	p := pathtest.Start(t, pathtest.Options{})
 	const callers = 8
-	var whole, cut atomic.Int64
+	var complete, incomplete atomic.Int64
 	var wg sync.WaitGroup
 	for i := range callers {
-		// Of different lengths, so that they don't all end at once.
+		// Answers of different lengths do not all end at once.
 		body := fmt.Sprintf(`{"model":"lookup","prompt":"[[len=%d]]","max_tokens":200,"stream":true}`, 30+7*i)
 		wg.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
@@ -34,25 +33,25 @@
 				req.Header.Set("Authorization", "Bearer "+pathtest.Key)
 				res, err := client.Do(req)
 				if err != nil {
-					return // the entry takes no connection any more
+					return // the entry no longer accepts connections
 				}
 				body, err := io.ReadAll(res.Body)
 				_ = res.Body.Close()
 				if err == nil && strings.HasSuffix(string(body), "data: [DONE]\n\n") {
-					whole.Add(1)
+					complete.Add(1)
 				} else {
-					cut.Add(1)
+					incomplete.Add(1)
 				}
 			}
 		})
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if whole.Load() < 2*callers {
-			return poll.Continue("%d answers", whole.Load())
+		if complete.Load() < 2*callers {
+			return poll.Continue("%d answers", complete.Load())
 		}
 		return poll.Success()
 	}, poll.WithTimeout(bound))
 	assert.NilError(t, p.DrainEntry())
 	wg.Wait()
-	assert.Equal(t, cut.Load(), int64(0))
+	assert.Equal(t, incomplete.Load(), int64(0))
 }
--- a/entry/client_test.go
+++ b/entry/client_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// answer is what the engine says to one user message.
+// answer returns the engine's answer to one user message.
 func answer(model, text string, maxTokens int) string {
 	return strings.Join(standin.Answer(model, "user: "+text+"\n", maxTokens), "")
 }
@@ -46,8 +46,8 @@
 	return e
 }
 
-// begun is how many runs the engine has begun to decode.
-func begun(p *pathtest.Path) (n int) {
+// decodeStarts returns how many runs the engine has begun to decode.
+func decodeStarts(p *pathtest.Path) (n int) {
 	p.Node.Do(func(c *standin.Core) {
 		for _, times := range c.State().BegunRuns {
 			n += times
@@ -145,10 +145,10 @@
 			defer cancel()
 			params := chat(pathtest.Lookup, "endless [[len=90000]]")
 			params.MaxTokens = openai.Int(90000)
-			before := begun(p)
+			before := decodeStarts(p)
 			go func() {
 				poll.WaitOn(t, func(poll.LogT) poll.Result {
-					if begun(p) > before {
+					if decodeStarts(p) > before {
 						return poll.Success()
 					}
 					return poll.Continue("not begun")
@@ -169,10 +169,9 @@
 	}
 }
 
-// An engine that breaks off for good ends a stream with an error object, and a
-// whole answer with an error status; what may not be repeated is not, and the
-// client library is told not to do so either.
-func TestBrokenAnswers(t *testing.T) {
+// An engine that fails permanently ends a stream with an error object, and a buffered answer with an error
+// status. An unrepeatable request is not repeated, and the client library is told not to repeat it either.
+func TestInterruptedAnswers(t *testing.T) {
 	p := pathtest.Start(t, pathtest.Options{})
 	c := newClient(p) // with the library's own retries
 	fail := func(op string, kind fault.Kind, after int) {
@@ -180,7 +179,7 @@
 	}
 	fail(standin.OpDecode, fault.Cut, 5)
 	fail(standin.OpResume, fault.Refuse, 0)
-	before := begun(p)
+	before := decodeStarts(p)
 
 	stream := c.Chat.Completions.NewStreaming(t.Context(), chat(pathtest.Ruling, "May a group enter?"))
 	var got strings.Builder
@@ -190,9 +189,9 @@
 		finished = finished || stream.Current().Choices[0].FinishReason != ""
 	}
 	assert.Assert(t, stream.Err() != nil)
-	assert.Assert(t, !finished, "a broken answer looks whole")
+	assert.Assert(t, !finished, "an interrupted answer looks complete")
 	assert.Assert(t, strings.HasPrefix(answer(pathtest.Ruling, "May a group enter?", 100), got.String()))
-	assert.Equal(t, begun(p), before+1)
+	assert.Equal(t, decodeStarts(p), before+1)
 
 	_, err := c.Chat.Completions.New(t.Context(), chat(pathtest.Ruling, "And on Sunday?"))
 	e := asAPIError(t, err)
@@ -200,7 +199,7 @@
 	assert.Equal(t, e.Response.Header.Get("X-Should-Retry"), "false")
 	assert.Equal(t, e.Response.Header.Get("Retry-After"), "")
 	assert.Assert(t, strings.HasPrefix(e.Message, pathtest.Brand+": "), e.Message)
-	assert.Equal(t, begun(p), before+2)
+	assert.Equal(t, decodeStarts(p), before+2)
 }
 
 func TestRefusals(t *testing.T) {
@@ -256,11 +255,11 @@
 			assert.Assert(t, !strings.Contains(strings.ToLower(e.Message), "hibiscus"))
 		})
 	}
-	assert.Equal(t, begun(p), 1) // the one that waited for the path
+	assert.Equal(t, decodeStarts(p), 1) // the request by which pathtest.Start waits until the path serves
 	assert.Assert(t, !strings.Contains(p.Log.String(), pathtest.Key), "an API key was logged")
 }
 
-// A refusal that may be repeated says when; the client library obeys.
+// A refusal that allows a retry says when; the client library obeys.
 func TestRetryAfter(t *testing.T) {
 	p := pathtest.Start(t, pathtest.Options{Engine: func(c *standin.Config) { c.Places = 1 }})
 	c := newClient(p)
@@ -291,14 +290,14 @@
 	}
 	assert.NilError(t, c.Post(t.Context(), "tickets", nil, &ticket))
 	for _, key := range []string{"ruling-17", ticket.Ticket} {
-		before := begun(p)
+		before := decodeStarts(p)
 		_, err := c.Chat.Completions.New(t.Context(), chat(pathtest.Ruling, "May a group enter?"), option.WithHeader("Idempotency-Key", key))
 		assert.NilError(t, err)
 		_, err = c.Chat.Completions.New(t.Context(), chat(pathtest.Ruling, "May a group enter?"), option.WithHeader("Idempotency-Key", key))
 		e := asAPIError(t, err)
 		assert.Equal(t, e.Code, "idempotency_key_in_use")
 		assert.Equal(t, e.Response.Header.Get("X-Should-Retry"), "false")
-		assert.Equal(t, begun(p), before+1)
+		assert.Equal(t, decodeStarts(p), before+1)
 	}
 	assert.Assert(t, !strings.Contains(p.Log.String(), ticket.Ticket), "a ticket was logged")
 }
@@ -320,7 +319,7 @@
 	res, body = call("POST", "/receipts", "{}", "Idempotency-Key: receipt-1")
 	assert.Equal(t, res.StatusCode, http.StatusConflict, body)
 
-	// An answer that is lost leaves the outcome of an unrepeatable call unknown.
+	// A lost answer leaves the outcome of an unrepeatable call unknown.
 	assert.NilError(t, p.ServiceFaults.Add(fault.Rule{Op: fault.AnyOp, Kind: fault.LoseAnswer}))
 	res, body = call("POST", "/receipts", "{}", "Idempotency-Key: receipt-2")
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
--- a/entry/client_tls_test.go
+++ b/entry/client_tls_test.go
@@ -15,8 +15,7 @@
 	"github.com/hibiscusspur/hibiscusspur/security"
 )
 
-// The links between entry and sidecars carry work only when both sides prove who
-// they are.
+// The links between entry and sidecars carry work only when both sides authenticate each other.
 func TestLinksWithTLS(t *testing.T) {
 	ours := pathtest.NewAuthority(t)
 	sidecars := ours.Issue("sidecar", time.Hour, "entry")
@@ -37,7 +36,7 @@
 				assert.NilError(t, err)
 				return
 			}
-			// The entry has tried, and knows the contract.
+			// The entry has tried to link, and has the contract.
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if _, err := c.Models.List(t.Context()); err != nil {
 					return poll.Continue("%v", err)
--- a/entry/confirm.go
+++ b/entry/confirm.go
@@ -15,32 +15,30 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// confirmer writes which revision this entry and the sidecars that it is linked to
-// have in force, in one row: when one of them has reached a higher revision, and
-// otherwise every dissemination.ConfirmRefresh.
+// confirmer writes the revisions that this entry and its linked sidecars have in force, in one row: when one
+// of them reaches a higher revision, and otherwise every dissemination.ConfirmRefresh.
 type confirmer struct {
-	set   Settings
-	table store.Table
-	pool  *pool
-	state *dissemination.State
-	// written is the revision by process in the row written last, at the time at.
-	written map[string]uint64
-	at      time.Time
+	settings Settings
+	table    store.Table
+	pool     *pool
+	state    *dissemination.State
+	// writtenRevisions holds the revisions by process in the latest row, which was written at writtenAt.
+	writtenRevisions map[string]uint64
+	writtenAt        time.Time
 }
 
-// run writes until ctx ends, and then deletes the row, so that nobody waits for an
-// entry that has shut down. The interval is jittered, so that entries do not all
-// write at once after a change.
+// run writes the row until ctx ends, and then deletes it, so that nobody waits for an entry that has shut
+// down. The interval is jittered, so that entries do not all write at once after a change.
 func (c *confirmer) run(ctx context.Context, failed func(error)) {
 	for {
-		pause := c.set.Timing.Confirm/2 + rand.N(c.set.Timing.Confirm)
+		interval := c.settings.Timing.Confirm/2 + rand.N(c.settings.Timing.Confirm)
 		select {
 		case <-ctx.Done():
-			if err := c.withdraw(); err != nil {
+			if err := c.deleteRow(); err != nil {
 				failed(err)
 			}
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 		if err := c.write(ctx, time.Now()); err != nil && ctx.Err() == nil {
 			failed(err)
@@ -57,36 +55,36 @@
 	if err != nil {
 		return err
 	}
-	w := store.Write{Key: dissemination.ConfirmPrefix + c.set.ID, Value: value}
+	w := store.Write{Key: dissemination.ConfirmPrefix + c.settings.ID, Value: value}
 	if err := c.table.Commit(ctx, store.Txn{Writes: []store.Write{w}}); err != nil {
 		return err
 	}
-	c.written, c.at = revisions, now
+	c.writtenRevisions, c.writtenAt = revisions, now
 	return nil
 }
 
-// due reports whether the row is to be written: a process has reached a higher
-// revision than written, or the row is old.
+// due reports whether the row has to be written: a process has reached a higher revision than the row has, or
+// the row is old.
 func (c *confirmer) due(revisions map[string]uint64, now time.Time) bool {
-	if now.Sub(c.at) >= dissemination.ConfirmRefresh {
+	if now.Sub(c.writtenAt) >= dissemination.ConfirmRefresh {
 		return true
 	}
 	for id, revision := range revisions {
-		if revision > c.written[id] {
+		if revision > c.writtenRevisions[id] {
 			return true
 		}
 	}
 	return false
 }
 
-// confirmation returns the row, and the revisions in it by process.
+// confirmation returns the row and its revisions by process.
 func (c *confirmer) confirmation(now time.Time) (dissemination.Confirmation, map[string]uint64) {
 	row := dissemination.Confirmation{
-		ID: c.set.ID, Role: dissemination.RoleEntry, Zone: c.set.Zone, Revision: c.state.Head(), Time: now.UTC(),
+		ID: c.settings.ID, Role: dissemination.RoleEntry, Zone: c.settings.Zone, Revision: c.state.Head(), Time: now.UTC(),
 	}
-	revisions := map[string]uint64{c.set.ID: row.Revision}
+	revisions := map[string]uint64{c.settings.ID: row.Revision}
 	for _, p := range c.pool.all() {
-		if revision, ok := p.inForce(); ok {
+		if revision, ok := p.revisionInForce(); ok {
 			revisions[p.backend.ID] = revision
 			row.Sidecars = addSidecar(row.Sidecars, p.backend, revision)
 		}
@@ -105,37 +103,36 @@
 	return groups
 }
 
-// inForce returns the revision that the sidecar has in force; false without a
-// link, and for a seed, which no backend record names yet.
-func (p *peer) inForce() (uint64, bool) {
+// revisionInForce returns the revision that the sidecar has in force. It returns false without a link, and
+// for a seed, which no backend record names yet.
+func (p *peer) revisionInForce() (uint64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.confirmed, p.link != nil && !strings.HasPrefix(p.backend.ID, seedPrefix)
+	return p.confirmedRevision, p.link != nil && !strings.HasPrefix(p.backend.ID, seedPrefix)
 }
 
-func (c *confirmer) withdraw() error {
-	ctx, cancel := context.WithTimeout(context.Background(), c.set.Timing.PlatformCall)
+func (c *confirmer) deleteRow() error {
+	ctx, cancel := context.WithTimeout(context.Background(), c.settings.Timing.PlatformCall)
 	defer cancel()
-	w := store.Write{Key: dissemination.ConfirmPrefix + c.set.ID, Delete: true}
+	w := store.Write{Key: dissemination.ConfirmPrefix + c.settings.ID, Delete: true}
 	return c.table.Commit(ctx, store.Txn{Writes: []store.Write{w}})
 }
 
 func (s *Service) confirmLoop(ctx context.Context) {
-	c := &confirmer{set: s.set, table: s.table, pool: s.pool, state: s.state}
+	c := &confirmer{settings: s.settings, table: s.table, pool: s.pool, state: s.state}
 	c.run(ctx, func(err error) {
-		s.met.Counter(metrics.StoreErrors).Inc(1)
+		s.metrics.Counter(metrics.StoreErrors).Inc(1)
 		event.StoreFailed.Log(s.log).Err(err).Msg("")
 	})
 }
 
-// claimSweepLoop deletes claim rows that are over; the pause is jittered, since
-// one entry suffices.
+// claimSweepLoop deletes expired claim rows. The interval is jittered, since one entry suffices.
 func (s *Service) claimSweepLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(claimSweep/2 + rand.N(claimSweep)):
+		case <-time.After(claimSweepInterval/2 + rand.N(claimSweepInterval)):
 		}
 		for more := true; more && ctx.Err() == nil; {
 			var err error
@@ -146,5 +143,5 @@
 	}
 }
 
-// claimSweep is the mean pause between two deletions of old claim rows.
-const claimSweep = 10 * time.Minute
+// claimSweepInterval is the mean interval between two deletions of expired claim rows.
+const claimSweepInterval = 10 * time.Minute
--- a/entry/confirm_test.go
+++ b/entry/confirm_test.go
@@ -26,7 +26,7 @@
 			p.peers[id].link = new(entryLink)
 		}
 		p.peers["vm-3"].link = nil
-		c := &confirmer{set: set, table: table, pool: p, state: st}
+		c := &confirmer{settings: set, table: table, pool: p, state: st}
 		key := dissemination.ConfirmPrefix + "e1"
 		row := func() (store.Row, dissemination.Confirmation) {
 			var v dissemination.Confirmation
@@ -43,7 +43,7 @@
 			{"first", func() {}, 1},
 			{"nothing new", func() { time.Sleep(10 * time.Second) }, 1},
 			{"own revision", func() { _, _ = st.Apply(dissemination.Delta{Head: 4}) }, 2},
-			{"a sidecar's revision", func() { p.peers["vm-1"].confirmed = 4 }, 3},
+			{"a sidecar's revision", func() { p.peers["vm-1"].confirmedRevision = 4 }, 3},
 			{"link lost", func() { p.peers["vm-2"].link = nil }, 3},
 			{"refresh", func() { time.Sleep(dissemination.ConfirmRefresh) }, 4},
 		} {
@@ -55,7 +55,7 @@
 		_, v := row()
 		assert.Equal(t, v.Revision, uint64(4))
 		assert.DeepEqual(t, v.Sidecars, []dissemination.SidecarsInZone{{Zone: "a", Revision: 4, IDs: []string{"vm-1"}}})
-		assert.NilError(t, c.withdraw())
+		assert.NilError(t, c.deleteRow())
 		_, err := table.Get(t.Context(), key)
 		assert.ErrorIs(t, err, store.ErrNotFound)
 	})
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -17,11 +17,11 @@
 	errProtocol = merry.Sentinel("sidecar speaks another protocol version")
 )
 
-// noAnswerRetry is the retry-after of refusals that carry none.
-const noAnswerRetry = 500 * time.Millisecond
+// defaultRetryAfter is the retry-after of refusals that carry none.
+const defaultRetryAfter = 500 * time.Millisecond
 
-// messages are shown to callers; they name nobody.
-var messages = map[outcome.Reason]string{
+// callerMessages are shown to callers; they do not identify the system or anyone behind it.
+var callerMessages = map[outcome.Reason]string{
 	outcome.BadRequest:         "The request is malformed.",
 	outcome.BodyTooLarge:       "The request body is larger than allowed.",
 	outcome.PromptTooLong:      "The prompt is longer than allowed.",
@@ -41,7 +41,7 @@
 
 // errorOf returns the body for an outcome that is not completed.
 func errorOf(brand string, o outcome.Outcome, param string) errorBody {
-	text, ok := messages[o.Reason]
+	text, ok := callerMessages[o.Reason]
 	if !ok {
 		text = defaultMessage
 	}
@@ -71,11 +71,11 @@
 	}
 }
 
-// writeError answers with an outcome that is not completed. again says that a
-// request of this kind may be run twice.
-func writeError(w http.ResponseWriter, brand string, o outcome.Outcome, param string, again bool) {
+// writeError responds with an outcome that is not completed. repeatable says that a request of this kind may
+// be run twice.
+func writeError(w http.ResponseWriter, brand string, o outcome.Outcome, param string, repeatable bool) {
 	status := o.Reason.HTTPStatus()
-	o = withRetryAfter(o, again)
+	o = withRetryAfter(o, repeatable)
 	h := w.Header()
 	h.Set(shouldRetryHeader, strconv.FormatBool(o.RetryAfter > 0))
 	if o.RetryAfter > 0 {
@@ -88,26 +88,25 @@
 	_ = writeJSON(w, status, errorOf(brand, o, param))
 }
 
-// withRetryAfter says when to come back if the same request may succeed later: one
-// that was not run, or one that may be run twice. For all others it says nothing.
-func withRetryAfter(o outcome.Outcome, again bool) outcome.Outcome {
-	if !mayComeBack(o.Reason.HTTPStatus()) || (o.Kind != outcome.NotRun && !again) {
+// withRetryAfter sets when to retry if the same request may succeed later: one that was not run, or one that
+// may be run twice. For all others it clears the time.
+func withRetryAfter(o outcome.Outcome, repeatable bool) outcome.Outcome {
+	if !mayRetry(o.Reason.HTTPStatus()) || (o.Kind != outcome.NotRun && !repeatable) {
 		o.RetryAfter = 0
 		return o
 	}
 	if o.RetryAfter <= 0 {
-		o.RetryAfter = noAnswerRetry
+		o.RetryAfter = defaultRetryAfter
 	}
 	return o
 }
 
-// mayComeBack reports whether the same request may succeed later.
-func mayComeBack(status int) bool {
+// mayRetry reports whether the same request may succeed later.
+func mayRetry(status int) bool {
 	return status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 }
 
-// earlyRefusal counts a request that the HTTP server refuses by itself, and
-// returns its answer.
+// earlyRefusal counts a request that the HTTP server refuses by itself, and returns its response.
 func (s *Service) earlyRefusal(status int) (http.Header, []byte) {
 	o := outcome.Refuse(outcome.BadRequest, 0)
 	switch status {
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -13,8 +13,8 @@
 // errLinkDown means that the link to the sidecar broke while a frame was awaited.
 var errLinkDown = merry.Sentinel("link to sidecar down")
 
-// flow is what one attempt receives from one sidecar. Frames arrive in order;
-// a broken link shows as errLinkDown after the frames received before it.
+// flow queues the frames that one attempt receives from one sidecar. Frames arrive in order; a broken link is
+// reported as errLinkDown after the frames received before it.
 type flow struct {
 	peer *peer
 	key  wire.Key
@@ -25,8 +25,8 @@
 }
 
 type flowItem struct {
-	frame *wire.SidecarFrame
-	down  bool
+	frame    *wire.SidecarFrame
+	linkDown bool
 }
 
 func (f *flow) push(it flowItem) {
@@ -54,7 +54,7 @@
 func (f *flow) recv(ctx context.Context) (*wire.SidecarFrame, error) {
 	for {
 		if it, ok := f.pop(); ok {
-			if it.down {
+			if it.linkDown {
 				return nil, errLinkDown
 			}
 			return it.frame, nil
@@ -67,15 +67,15 @@
 	}
 }
 
-// forgetDown drops what is known of links that broke before now. Frames stay.
-func (f *flow) forgetDown() {
+// discardLinkDown drops the reports of links that broke before now. Frames stay.
+func (f *flow) discardLinkDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.queue = slices.DeleteFunc(f.queue, func(it flowItem) bool { return it.down })
+	f.queue = slices.DeleteFunc(f.queue, func(it flowItem) bool { return it.linkDown })
 }
 
-// send queues a frame on the present link of the peer.
+// send queues a frame on the current link of the peer.
 func (f *flow) send(frame *wire.EntryFrame) error { return f.peer.send(frame) }
 
-// close ends the flow; frames that still come are dropped.
-func (f *flow) close() { f.peer.forget(f.key) }
+// close ends the flow; frames that still arrive are dropped.
+func (f *flow) close() { f.peer.closeFlow(f.key) }
--- a/entry/frames.go
+++ b/entry/frames.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// handle takes one frame of the sidecar.
+// handle processes one frame of the sidecar.
 func (p *peer) handle(l *entryLink, f *wire.SidecarFrame) {
 	if f.GetLoad() != nil {
 		p.onLoad(f.GetLoad())
@@ -19,11 +19,11 @@
 	switch b := f.GetBody().(type) {
 	case *wire.SidecarFrame_Welcome:
 		p.onWelcome(l, b.Welcome)
-		p.pool.offered(p, b.Welcome.GetHeadRevision())
+		p.pool.headAnnounced(p, b.Welcome.GetHeadRevision())
 	case *wire.SidecarFrame_Beat:
 		l.Heard(time.Duration(b.Beat.GetIntervalMs()) * time.Millisecond)
 		p.onBeat(b.Beat)
-		p.pool.offered(p, b.Beat.GetHeadRevision())
+		p.pool.headAnnounced(p, b.Beat.GetHeadRevision())
 	case *wire.SidecarFrame_Records:
 		p.onRecords(b.Records)
 	default:
@@ -36,15 +36,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link != nil {
-		return // a second welcome on one link says nothing new
+		return // a repeated welcome on a link carries no new information
 	}
 	if w.GetIncarnation() != p.welcome.GetIncarnation() {
 		p.leaving = false
 	}
 	p.link = l
 	p.welcome = w
-	p.told = w.GetHeadRevision()
-	p.confirmed = w.GetHeadRevision() // a new incarnation knows less than the earlier one
+	p.sentRevision = w.GetHeadRevision()
+	p.confirmedRevision = w.GetHeadRevision() // a new incarnation may have less than the earlier one
 	close(p.up)
 }
 
@@ -53,20 +53,20 @@
 	defer p.mu.Unlock()
 	p.load = load
 	p.loadAt = time.Now()
-	p.placedSince, p.tokensSince = 0, 0
+	p.placedSinceReport, p.tokensSinceReport = 0, 0
 }
 
 func (p *peer) onBeat(b *wire.SidecarBeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = b.GetLeaving()
-	p.told = max(p.told, b.GetHeadRevision())
-	p.confirmed = max(p.confirmed, b.GetHeadRevision())
-	p.heal()
+	p.sentRevision = max(p.sentRevision, b.GetHeadRevision())
+	p.confirmedRevision = max(p.confirmedRevision, b.GetHeadRevision())
+	p.sendMissingRecords()
 }
 
-// beatNow sends a heartbeat at once when a link is up.
-func (p *peer) beatNow() {
+// sendHeartbeat sends a heartbeat at once when a link is up.
+func (p *peer) sendHeartbeat() {
 	p.mu.Lock()
 	l := p.link
 	p.mu.Unlock()
@@ -75,14 +75,14 @@
 	}
 }
 
-// heal hands the sidecar what it lacks of the configuration. One that has just
-// been linked asks for it by a heartbeat, and not every entry. The caller holds mu.
-func (p *peer) heal() {
-	if p.link == nil || p.told >= p.pool.state.Head() {
+// sendMissingRecords sends the sidecar the configuration records that it lacks. A newly linked sidecar
+// requests them by a heartbeat, and not from every entry. The caller holds mu.
+func (p *peer) sendMissingRecords() {
+	if p.link == nil || p.sentRevision >= p.pool.state.Head() {
 		return
 	}
-	d := p.pool.state.Since(p.told)
-	p.told = d.Head
+	d := p.pool.state.Since(p.sentRevision)
+	p.sentRevision = d.Head
 	_ = p.link.Send(&wire.EntryFrame{Body: &wire.EntryFrame_Records{Records: dissemination.ToWire(d)}})
 }
 
@@ -96,8 +96,7 @@
 	}
 }
 
-// deliver hands a frame to the attempt that it belongs to; frames of attempts
-// that are over are dropped.
+// deliver passes a frame to the attempt that it belongs to; frames of attempts that have ended are dropped.
 func (p *peer) deliver(f *wire.SidecarFrame) {
 	key, ok := frameKey(f)
 	if !ok {
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -19,11 +19,11 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// recorder is a sink that keeps what a caller would see.
+// recorder is a sink that records what a caller would receive.
 type recorder struct {
-	got   []string
-	whole bool
-	total int
+	got       []string
+	completed bool
+	total     int
 }
 
 func (r *recorder) tokens(t []string) error {
@@ -32,12 +32,12 @@
 }
 
 func (r *recorder) done(d *wire.Done) error {
-	r.whole, r.total = true, int(d.GetTotal())
+	r.completed, r.total = true, int(d.GetTotal())
 	return nil
 }
 
-// FuzzFrames holds that no sequence of frames stops an entry, and that an answer
-// counts as completed only when the caller has as many tokens as its end says.
+// FuzzFrames checks that no sequence of frames crashes an entry, and that an answer counts as completed only
+// when the caller has as many tokens as its done frame says.
 func FuzzFrames(f *testing.F) {
 	ref := &wire.Ref{RequestId: "r", Attempt: 1}
 	chunk := func(pos uint32, t ...string) *wire.SidecarFrame {
@@ -67,24 +67,24 @@
 	f.Fuzz(receiveAll)
 }
 
-// receiveAll hands the frames in data to an attempt that has started.
+// receiveAll passes the frames in data to an attempt that has started.
 func receiveAll(t *testing.T, data []byte) {
 	s := New(DefaultSettings(), event.New("entry", "t", log.PanicLevel), metrics.NewSet())
 	s.index = dissemination.NewIndex(s.state, func(string, uint64, error) {})
 	var err error
-	s.placer, err = newPlacer(s.set.Policy)
+	s.placer, err = newPlacer(s.settings.Policy)
 	assert.NilError(t, err)
-	s.pool = newPool(s.set, s.log, nil, "i", s.state, s.index)
+	s.pool = newPool(s.settings, s.log, nil, "i", s.state, s.index)
 	defer s.pool.close()
 	p := newPeer(s.pool, contract.Backend{ID: "b"})
 	l := link.New[wire.EntryFrame, wire.SidecarFrame](nil, link.Options[wire.EntryFrame]{
-		Beat: time.Second, IdleBeat: time.Second, Silence: time.Second, QueueLimit: 1 << 20, MakeBeat: p.beat,
+		Beat: time.Second, IdleBeat: time.Second, Silence: time.Second, QueueLimit: 1 << 20, MakeBeat: p.makeHeartbeat,
 		Active: func() bool { return true },
 	})
 	sink := &recorder{}
-	r := &request{id: "r", class: &contract.Class{}, out: sink, begun: time.Now()}
-	a := &attempt{s: s, r: r, key: wire.Key{RequestID: "r", Attempt: 1}, sv: servers{decode: p}, started: true}
-	a.decode = p.open(a.key)
+	r := &request{id: "r", class: &contract.Class{}, out: sink, start: time.Now()}
+	a := &attempt{s: s, r: r, key: wire.Key{RequestID: "r", Attempt: 1}, servers: servers{decode: p}, started: true}
+	a.decode = p.openFlow(a.key)
 	in := bytes.NewReader(data)
 	for {
 		fr := &wire.SidecarFrame{}
@@ -96,9 +96,9 @@
 		if !ok {
 			continue
 		}
-		if out, ended := a.take(it.frame); ended {
-			assert.Equal(t, out.Kind == outcome.Completed, sink.whole)
-			assert.Assert(t, !sink.whole || sink.total == len(sink.got))
+		if out, ended := a.handle(it.frame); ended {
+			assert.Equal(t, out.Kind == outcome.Completed, sink.completed)
+			assert.Assert(t, !sink.completed || sink.total == len(sink.got))
 			assert.Equal(t, strings.Join(sink.got, ""), string(r.text))
 			return
 		}
--- a/entry/giveup_test.go
+++ b/entry/giveup_test.go
@@ -25,7 +25,7 @@
 	fenced := func(ran bool) *wire.SidecarFrame {
 		return &wire.SidecarFrame{Body: &wire.SidecarFrame_Fenced{Fenced: &wire.Fenced{Ran: ran}}}
 	}
-	late := &wire.SidecarFrame{Body: &wire.SidecarFrame_Chunk{Chunk: &wire.Chunk{}}}
+	chunk := &wire.SidecarFrame{Body: &wire.SidecarFrame_Chunk{Chunk: &wire.Chunk{}}}
 	for _, c := range []struct {
 		name     string
 		cause    error
@@ -34,16 +34,16 @@
 		want     outcome.Kind
 	}{
 		{"fenced in time", httpserver.ErrDeadline, 0, []*wire.SidecarFrame{fenced(false)}, outcome.NotRun},
-		{"had begun", httpserver.ErrDeadline, 0, []*wire.SidecarFrame{late, fenced(true)}, outcome.Failed},
+		{"had begun", httpserver.ErrDeadline, 0, []*wire.SidecarFrame{chunk, fenced(true)}, outcome.Failed},
 		{"no answer", httpserver.ErrDeadline, 0, nil, outcome.Unknown},
-		{"tokens had come", httpserver.ErrDeadline, 3, []*wire.SidecarFrame{fenced(false)}, outcome.Failed},
+		{"tokens received", httpserver.ErrDeadline, 3, []*wire.SidecarFrame{fenced(false)}, outcome.Failed},
 		{"caller gone", httpserver.ErrCallerGone, 0, nil, outcome.Unknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPeer(&pool{}, contract.Backend{})
-				a := &attempt{s: &Service{set: DefaultSettings()}, r: &request{received: c.received}, key: wire.Key{RequestID: "r", Attempt: 1}}
-				a.decode = p.open(a.key)
+				a := &attempt{s: &Service{settings: DefaultSettings()}, r: &request{received: c.received}, key: wire.Key{RequestID: "r", Attempt: 1}}
+				a.decode = p.openFlow(a.key)
 				for _, f := range c.frames {
 					a.decode.push(flowItem{frame: f})
 				}
@@ -53,8 +53,8 @@
 	}
 }
 
-// A request whose contract was withdrawn or changed meanwhile is not tried again.
-func TestResolve(t *testing.T) {
+// A request whose contract was withdrawn or changed meanwhile is not retried.
+func TestRefreshContract(t *testing.T) {
 	const with = "customer: c\nbrand: B\nkeys: [{name: k, sha256: a000000000000000000000000000000000000000000000000000000000000000}]\n" +
 		"share: 0.5\nlimits: {requests_per_second: 1, burst: 1, concurrent: 1, max_prompt_tokens: 1, max_output_tokens: 1}\n" +
 		"classes: [{name: a, models: [%], urgency: prompt, ttft: 1s, tbt: 1s, deadline: 10s}]\n"
@@ -78,7 +78,7 @@
 			_, err := s.state.Apply(dissemination.Delta{Head: 4, Records: []dissemination.Record{rec}})
 			assert.NilError(t, err)
 			r := &request{customer: "c", model: "m", class: &contract.Class{Name: "a"}, deadline: time.Now()}
-			o, ok := s.resolve(r)
+			o, ok := s.refreshContract(r)
 			assert.Equal(t, ok, c.want == "")
 			assert.Equal(t, o.Reason, c.want)
 			assert.Assert(t, !ok || r.revision == 4)
@@ -86,8 +86,9 @@
 	}
 }
 
-// A broken link is waited for while waiting can help.
-func TestReattachPatience(t *testing.T) {
+// An attempt waits for a broken link only while waiting can help, which is half as long for a repeatable
+// request.
+func TestReattachTimeout(t *testing.T) {
 	for _, c := range []struct {
 		unrepeatable bool
 		want         time.Duration
@@ -95,12 +96,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newPeer(&pool{}, contract.Backend{})
 			r := &request{class: &contract.Class{Unrepeatable: c.unrepeatable}}
-			a := &attempt{s: &Service{set: DefaultSettings()}, r: r, sv: servers{decode: p}}
-			begun := time.Now() // fake time
+			a := &attempt{s: &Service{settings: DefaultSettings()}, r: r, servers: servers{decode: p}}
+			start := time.Now() // fake time
 			out, ok := a.reattach(context.Background())
 			assert.Assert(t, !ok)
 			assert.Equal(t, out.Kind, outcome.Unknown)
-			assert.Equal(t, time.Since(begun), c.want)
+			assert.Equal(t, time.Since(start), c.want)
 		})
 	}
 }
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -16,26 +16,25 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// ticketLife is how long a ticket may be used.
-const ticketLife = 10 * time.Minute
+// ticketTTL is how long a ticket may be used.
+const ticketTTL = 10 * time.Minute
 
 // claimAttempt is the attempt number under which a ticket is claimed; runs count from 1.
 const claimAttempt = 0
 
-// storeRetry is the retry-after of requests that need the platform's table while
-// it does not answer.
-const storeRetry = 2 * time.Second
+// storeRetryAfter is the retry-after of requests that need the platform's table while it does not answer.
+const storeRetryAfter = 2 * time.Second
 
-// guard makes idempotency keys of unrepeatable requests belong to one request.
-type guard struct {
-	set    Settings
-	pool   *pool
-	table  *claim.Table
-	sealer *claim.Sealer // nil when no ticket secret is set
+// keyGuard ensures that each idempotency key of unrepeatable requests belongs to one request.
+type keyGuard struct {
+	settings Settings
+	pool     *pool
+	table    *claim.Table
+	sealer   *claim.Sealer // nil when no ticket secret is set
 }
 
-func newGuard(set Settings, p *pool, table store.Table) (*guard, error) {
-	g := &guard{set: set, pool: p, table: claim.NewTable(table, time.Now)}
+func newKeyGuard(set Settings, p *pool, table store.Table) (*keyGuard, error) {
+	g := &keyGuard{settings: set, pool: p, table: claim.NewTable(table, time.Now)}
 	if len(set.TicketSecrets) == 0 {
 		return g, nil
 	}
@@ -52,57 +51,57 @@
 	return g, err
 }
 
-// hold is a key that belongs to a request, until release.
-type hold struct {
+// keyClaim is a key that belongs to a request until release is called.
+type keyClaim struct {
 	release func()
 }
 
-// around runs a request with its key claimed, and gives the key back when the
-// request was not run. Without the key run is not called.
-func (g *guard) around(ctx context.Context, customer, key, requestID string, run func() outcome.Outcome) outcome.Outcome {
-	h, out, ok := g.take(ctx, customer, key, requestID)
+// runWithKey runs a request with its key claimed, and releases the key when the request was not run. When the
+// key can't be claimed, run is not called.
+func (g *keyGuard) runWithKey(ctx context.Context, customer, key, requestID string, run func() outcome.Outcome) outcome.Outcome {
+	held, out, ok := g.claimKey(ctx, customer, key, requestID)
 	if !ok {
 		return out
 	}
 	out = run()
 	if out.Kind == outcome.NotRun {
-		h.release()
+		held.release()
 	}
 	return out
 }
 
-// take claims key for the request. When ok is false the request must not run.
-func (g *guard) take(ctx context.Context, customer, key, requestID string) (h hold, o outcome.Outcome, ok bool) {
+// claimKey claims key for the request. When ok is false the request must not run.
+func (g *keyGuard) claimKey(ctx context.Context, customer, key, requestID string) (h keyClaim, o outcome.Outcome, ok bool) {
 	if strings.HasPrefix(key, claim.TicketPrefix) {
-		return g.takeTicket(ctx, customer, key, requestID)
+		return g.claimTicket(ctx, customer, key, requestID)
 	}
-	ctx, cancel := context.WithTimeout(ctx, g.set.Timing.Claim)
+	ctx, cancel := context.WithTimeout(ctx, g.settings.Timing.Claim)
 	defer cancel()
 	c := claim.Claim{Customer: customer, Key: key, RequestID: requestID}
 	switch g.table.Take(ctx, c) {
 	case claim.Granted:
-		return hold{release: func() { g.table.Release(c) }}, outcome.Outcome{}, true
+		return keyClaim{release: func() { g.table.Release(c) }}, outcome.Outcome{}, true
 	case claim.InUse:
-		return hold{}, outcome.Unsure(outcome.KeyInUse, ""), false
+		return keyClaim{}, outcome.Unsure(outcome.KeyInUse, ""), false
 	default:
-		return hold{}, outcome.Refuse(outcome.StoreUnavailable, storeRetry), false
+		return keyClaim{}, outcome.Refuse(outcome.StoreUnavailable, storeRetryAfter), false
 	}
 }
 
-// takeTicket asks the sidecar that the ticket names.
-func (g *guard) takeTicket(ctx context.Context, customer, text, requestID string) (hold, outcome.Outcome, bool) {
+// claimTicket claims a ticket at the sidecar that it names.
+func (g *keyGuard) claimTicket(ctx context.Context, customer, text, requestID string) (keyClaim, outcome.Outcome, bool) {
 	if g.sealer == nil {
-		return hold{}, outcome.Refuse(outcome.BadRequest, 0), false
+		return keyClaim{}, outcome.Refuse(outcome.BadRequest, 0), false
 	}
 	t, err := g.sealer.Open(text, customer, time.Now())
 	if err != nil {
-		return hold{}, outcome.Unsure(outcome.TicketLost, "ticket not valid"), false
+		return keyClaim{}, outcome.Unsure(outcome.TicketLost, "ticket not valid"), false
 	}
 	p := g.pool.peer(t.Backend)
 	if p == nil {
-		return hold{}, outcome.Unsure(outcome.TicketLost, "backend server gone"), false
+		return keyClaim{}, outcome.Unsure(outcome.TicketLost, "backend server gone"), false
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, g.set.Timing.Claim, errNoAnswer)
+	ctx, cancel := context.WithTimeoutCause(ctx, g.settings.Timing.Claim, errNoAnswer)
 	defer cancel()
 	m := &wire.Claim{
 		Ref:         wire.Key{RequestID: requestID, Attempt: claimAttempt}.Ref(),
@@ -112,15 +111,15 @@
 	}
 	answer, err := askClaim(ctx, p, m)
 	if err != nil {
-		return hold{}, notStarted(err), false
+		return keyClaim{}, notStarted(err), false
 	}
-	return verdict(p, m, answer)
+	return claimResult(p, m, answer)
 }
 
-// askClaim sends a claim until it is answered or ctx ends. Asking again is
-// harmless: the ledger knows the request.
+// askClaim sends a claim until it is answered or ctx ends. Sending it again is idempotent, since the ledger
+// records the request.
 func askClaim(ctx context.Context, p *peer, m *wire.Claim) (*wire.Claimed, error) {
-	fl := p.open(m.GetRef().Key())
+	fl := p.openFlow(m.GetRef().Key())
 	defer fl.close()
 	for {
 		if err := p.waitUp(ctx); err != nil {
@@ -139,38 +138,38 @@
 	}
 }
 
-func verdict(p *peer, m *wire.Claim, answer *wire.Claimed) (hold, outcome.Outcome, bool) {
+func claimResult(p *peer, m *wire.Claim, answer *wire.Claimed) (keyClaim, outcome.Outcome, bool) {
 	switch {
 	case answer.GetIncarnationGone():
-		return hold{}, outcome.Unsure(outcome.TicketLost, "sidecar restarted"), false
+		return keyClaim{}, outcome.Unsure(outcome.TicketLost, "sidecar restarted"), false
 	case answer.GetGranted():
-		return hold{release: func() {
+		return keyClaim{release: func() {
 			m.Release = true
 			_ = p.send(&wire.EntryFrame{Body: &wire.EntryFrame_Claim{Claim: m}})
 		}}, outcome.Outcome{}, true
 	case answer.GetHolderRequestId() == "":
-		return hold{}, outcome.Refuse(outcome.NoPlace, storeRetry), false
+		return keyClaim{}, outcome.Refuse(outcome.NoPlace, storeRetryAfter), false
 	default:
-		return hold{}, outcome.Unsure(outcome.KeyInUse, ""), false
+		return keyClaim{}, outcome.Unsure(outcome.KeyInUse, ""), false
 	}
 }
 
-// ticketReply is the body of a new ticket.
+// ticketReply is the response body with a new ticket.
 type ticketReply struct {
 	Object    string    `json:"object"`
 	Ticket    string    `json:"ticket"`
 	ExpiresAt time.Time `json:"expires_at"`
 }
 
-// tickets issues a ticket that names a sidecar. It needs no store.
+// tickets issues a ticket that names a sidecar. It does not need the platform's table.
 func (s *Service) tickets(w http.ResponseWriter, _ *http.Request, c caller) {
 	if s.guard.sealer == nil {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.NotFound, 0), "")
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.NotFound, 0), "")
 		return
 	}
-	p := pick(s.pool.usable())
+	p := pickLessLoaded(s.pool.usable())
 	if p == nil {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.NoBackend, noBackendRetry), "")
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.NoBackend, noBackendRetryAfter), "")
 		return
 	}
 	t := claim.Ticket{
@@ -178,11 +177,11 @@
 		Incarnation: p.incarnation(),
 		Customer:    c.contract.Customer,
 		Nonce:       rand.Text(),
-		Expires:     time.Now().Add(ticketLife),
+		Expires:     time.Now().Add(ticketTTL),
 	}
 	text, err := s.guard.sealer.Seal(t)
 	if err != nil {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.NoBackend, noBackendRetry), "")
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.NoBackend, noBackendRetryAfter), "")
 		return
 	}
 	_ = writeJSON(w, http.StatusOK, ticketReply{Object: "ticket", Ticket: text, ExpiresAt: t.Expires})
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -29,9 +29,9 @@
 	s.route(mux, http.MethodGet, "/healthz", s.health)
 	mux.HandleFunc("/services/{service}/{path...}", s.authenticated(s.callService))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
-		s.refuseCaller(w, "", outcome.Refuse(outcome.NotFound, 0), "")
+		s.refuseRequest(w, "", outcome.Refuse(outcome.NotFound, 0), "")
 	})
-	return identified(mux)
+	return withRequestID(mux)
 }
 
 // route serves one method of a path, and refuses all others.
@@ -39,12 +39,12 @@
 	mux.HandleFunc(method+" "+path, h)
 	mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Allow", method)
-		s.refuseCaller(w, "", outcome.Refuse(outcome.MethodNotAllowed, 0), "")
+		s.refuseRequest(w, "", outcome.Refuse(outcome.MethodNotAllowed, 0), "")
 	})
 }
 
-// identified gives every answer the id of its request.
-func identified(h http.Handler) http.Handler {
+// withRequestID sets the id of the request on every response.
+func withRequestID(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(requestIDHeader, requestID(r.Header))
 		h.ServeHTTP(w, r)
@@ -53,19 +53,19 @@
 
 type handlerFunc func(w http.ResponseWriter, r *http.Request, c caller)
 
-// authenticated finds the caller's contract by its bearer key.
+// authenticated looks up the caller's contract by its bearer key.
 func (s *Service) authenticated(h handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !s.informed.Load() {
-			s.refuseCaller(w, "", outcome.Refuse(outcome.StoreUnavailable, storeRetry), "")
+		if !s.configured.Load() {
+			s.refuseRequest(w, "", outcome.Refuse(outcome.StoreUnavailable, storeRetryAfter), "")
 			return
 		}
-		if err := s.poller.refresh(r.Context()); err != nil {
-			s.polled(r.Context(), err)
+		if err := s.poller.refreshIfOverdue(r.Context()); err != nil {
+			s.recordPoll(r.Context(), err)
 		}
 		c, ok := s.authenticate(r)
 		if !ok {
-			s.refuseCaller(w, "", outcome.Refuse(outcome.Unauthenticated, 0), "")
+			s.refuseRequest(w, "", outcome.Refuse(outcome.Unauthenticated, 0), "")
 			return
 		}
 		h(w, r, c)
@@ -85,15 +85,15 @@
 	return caller{contract: c, revision: rev}, ok
 }
 
-func (s *Service) refuseCaller(w http.ResponseWriter, brand string, o outcome.Outcome, param string) {
+func (s *Service) refuseRequest(w http.ResponseWriter, brand string, o outcome.Outcome, param string) {
 	s.countRefusal(w.Header(), o, param)
 	writeError(w, brand, o, param, true)
 }
 
-// countRefusal counts and logs a refusal whose answer has the headers h.
+// countRefusal counts and logs a refusal whose response has the headers h.
 func (s *Service) countRefusal(h http.Header, o outcome.Outcome, param string) {
-	s.met.Refused(o.Reason)
-	s.met.Ended(o.Kind)
+	s.metrics.Refused(o.Reason)
+	s.metrics.Ended(o.Kind)
 	event.RequestRefused.Log(s.log).Str("request", h.Get(requestIDHeader)).
 		Str("outcome", o.String()).Str("param", param).Msg("")
 }
@@ -103,16 +103,16 @@
 	if !s.decode(w, r, c, &body) {
 		return
 	}
-	s.serve(w, r, c, ask{
-		invalid: body.check(),
-		chat:    true,
-		model:   body.Model,
-		prompt:  body.prompt(),
-		max:     max(body.MaxTokens, body.MaxCompletionTokens),
-		empty:   len(body.Messages) == 0,
-		field:   "messages",
-		stream:  body.Stream,
-		usage:   body.StreamOptions.IncludeUsage,
+	s.serve(w, r, c, modelRequest{
+		invalidField: body.invalidField(),
+		chat:         true,
+		model:        body.Model,
+		prompt:       body.prompt(),
+		maxTokens:    max(body.MaxTokens, body.MaxCompletionTokens),
+		promptEmpty:  len(body.Messages) == 0,
+		promptField:  "messages",
+		stream:       body.Stream,
+		usage:        body.StreamOptions.IncludeUsage,
 	})
 }
 
@@ -121,90 +121,89 @@
 	if !s.decode(w, r, c, &body) {
 		return
 	}
-	s.serve(w, r, c, ask{
-		invalid: body.check(),
-		model:   body.Model,
-		prompt:  string(body.Prompt),
-		max:     body.MaxTokens,
-		empty:   body.Prompt == "",
-		field:   "prompt",
-		stream:  body.Stream,
-		usage:   body.StreamOptions.IncludeUsage,
+	s.serve(w, r, c, modelRequest{
+		invalidField: body.invalidField(),
+		model:        body.Model,
+		prompt:       string(body.Prompt),
+		maxTokens:    body.MaxTokens,
+		promptEmpty:  body.Prompt == "",
+		promptField:  "prompt",
+		stream:       body.Stream,
+		usage:        body.StreamOptions.IncludeUsage,
 	})
 }
 
-// ask is what a caller wants, in either form of the interface.
-type ask struct {
+// modelRequest is a decoded chat or completion request.
+type modelRequest struct {
 	chat   bool
 	model  string
 	prompt string
-	// field is the name of the field that gave the prompt; empty is set when
-	// nothing was in it.
-	field string
-	empty bool
-	// invalid names a field that can't be served.
-	invalid string
-	max     int
-	stream  bool
-	usage   bool
+	// promptField is the name of the field with the prompt; promptEmpty is set when it was empty.
+	promptField string
+	promptEmpty bool
+	// invalidField names a field that can't be served.
+	invalidField string
+	maxTokens    int
+	stream       bool
+	usage        bool
 }
 
-// serve runs one request and writes its one end.
-func (s *Service) serve(w http.ResponseWriter, hr *http.Request, c caller, a ask) {
-	if param := checkAsk(hr, a); param != "" {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.BadRequest, 0), param)
+// serve runs one request and writes its response.
+func (s *Service) serve(w http.ResponseWriter, hr *http.Request, c caller, m modelRequest) {
+	if param := invalidParam(hr, m); param != "" {
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.BadRequest, 0), param)
 		return
 	}
-	class, out, param := classFor(hr, c, a.model)
+	class, out, param := classFor(hr, c, m.model)
 	if class == nil {
-		s.refuseCaller(w, c.contract.Brand, out, param)
+		s.refuseRequest(w, c.contract.Brand, out, param)
 		return
 	}
-	r := s.newRequest(hr, c, class, a)
-	if m := c.contract.Limits.MaxPromptTokens; m > 0 && r.tokens > m {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.PromptTooLong, 0), a.field)
+	r := s.newRequest(hr, c, class, m)
+	if limit := c.contract.Limits.MaxPromptTokens; limit > 0 && r.promptTokens > limit {
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.PromptTooLong, 0), m.promptField)
 		return
 	}
-	allow, done, out, ok := s.limits.admit(c.contract, s.pool.coverOf(r.model))
+	allow, done, out, ok := s.limiter.admit(c.contract, s.pool.coverageOf(r.model))
 	if !ok {
-		s.refuseCaller(w, c.contract.Brand, out, "")
+		s.refuseRequest(w, c.contract.Brand, out, "")
 		return
 	}
 	defer done()
-	r.allow = allow
-	sh := shape{id: r.id, model: a.model, chat: a.chat, usage: a.usage, created: r.begun}
+	r.allowance = allow
+	format := answerFormat{id: r.id, model: m.model, chat: m.chat, usage: m.usage, created: r.start}
 	var stream *streamSink
-	if a.stream {
-		stream = newStreamSink(sh, w)
+	if m.stream {
+		stream = newStreamSink(format, w)
 		r.out = stream
 	} else {
-		r.out = &wholeSink{shape: sh, w: w}
+		r.out = &bufferedSink{answerFormat: format, w: w}
 	}
 	ctx, end := s.callers.Watch(httpserver.CallerOf(w), r.deadline)
 	defer end()
 	s.finish(w, c, r, stream, s.executeGuarded(ctx, r))
 }
 
-// checkAsk returns the field or header that can't be served, or nothing.
-func checkAsk(hr *http.Request, a ask) string {
-	if a.invalid != "" {
-		return a.invalid
+// invalidParam returns the name of a field or header that can't be served, or an empty string.
+func invalidParam(hr *http.Request, m modelRequest) string {
+	if m.invalidField != "" {
+		return m.invalidField
 	}
 	if _, ok := idempotencyKey(hr.Header); !ok {
 		return idempotencyHeader
 	}
 	switch {
-	case a.model == "":
+	case m.model == "":
 		return "model"
-	case a.empty:
-		return a.field
-	case a.stream && !hr.ProtoAtLeast(1, 1):
+	case m.promptEmpty:
+		return m.promptField
+	case m.stream && !hr.ProtoAtLeast(1, 1):
 		return "stream"
 	}
 	return ""
 }
 
-// classFor returns the class of a request, or how it is refused and for which parameter.
+// classFor returns the class of a request, or the refusal and the parameter at fault.
 func classFor(hr *http.Request, c caller, model string) (*contract.Class, outcome.Outcome, string) {
 	class, ok := c.contract.ClassFor(model, hr.Header.Get(classHeader))
 	if ok {
@@ -216,45 +215,45 @@
 	return nil, outcome.Refuse(outcome.ModelNotInContract, 0), "model"
 }
 
-// finish writes what is left to say: nothing after a whole answer, an error
-// event in a stream that has begun, an error body otherwise.
+// finish writes what is left of the response: nothing after a complete answer, an error event in a stream
+// that has begun, an error body otherwise.
 func (s *Service) finish(w http.ResponseWriter, c caller, r *request, stream *streamSink, o outcome.Outcome) {
-	s.met.Ended(o.Kind)
+	s.metrics.Ended(o.Kind)
 	event.RequestEnded.Log(s.log).Str("request", w.Header().Get(requestIDHeader)).Str("run", r.id).Str("customer", r.customer).Str("class", r.class.Name).
-		Str("outcome", o.String()).Int("tokens", r.received).Dur("took", time.Since(r.begun)).Msg("")
+		Str("outcome", o.String()).Int("tokens", r.received).Dur("took", time.Since(r.start)).Msg("")
 	if o.Kind == outcome.Completed {
 		return
 	}
-	s.met.Refused(o.Reason)
-	again := !r.class.Unrepeatable
-	if stream != nil && stream.begun {
-		_ = stream.event(errorOf(c.contract.Brand, withRetryAfter(o, again), ""))
+	s.metrics.Refused(o.Reason)
+	repeatable := !r.class.Unrepeatable
+	if stream != nil && stream.started {
+		_ = stream.writeEvent(errorOf(c.contract.Brand, withRetryAfter(o, repeatable), ""))
 		return
 	}
-	writeError(w, c.contract.Brand, o, "", again)
+	writeError(w, c.contract.Brand, o, "", repeatable)
 }
 
-func (s *Service) newRequest(hr *http.Request, c caller, class *contract.Class, a ask) *request {
+func (s *Service) newRequest(hr *http.Request, c caller, class *contract.Class, m modelRequest) *request {
 	now := time.Now()
 	key, _ := idempotencyKey(hr.Header)
 	limit := c.contract.Limits.MaxOutputTokens
-	if a.max <= 0 || (limit > 0 && a.max > limit) {
-		a.max = limit
+	if m.maxTokens <= 0 || (limit > 0 && m.maxTokens > limit) {
+		m.maxTokens = limit
 	}
 	return &request{
-		id:       rand.Text(),
-		customer: c.contract.Customer,
-		key:      key,
-		class:    class,
-		revision: c.revision,
-		share:    c.contract.Share,
-		model:    a.model,
-		prompt:   a.prompt,
-		tokens:   engine.EstimateTokens(a.prompt),
-		hashes:   engine.PrefixHashes(a.prompt),
-		max:      a.max,
-		begun:    now,
-		deadline: now.Add(class.Deadline),
+		id:             rand.Text(),
+		customer:       c.contract.Customer,
+		idempotencyKey: key,
+		class:          class,
+		revision:       c.revision,
+		share:          c.contract.Share,
+		model:          m.model,
+		prompt:         m.prompt,
+		promptTokens:   engine.EstimateTokens(m.prompt),
+		prefixHashes:   engine.PrefixHashes(m.prompt),
+		maxTokens:      m.maxTokens,
+		start:          now,
+		deadline:       now.Add(class.Deadline),
 	}
 }
 
@@ -265,7 +264,7 @@
 		for _, m := range cl.Models {
 			if !seen[m] {
 				seen[m] = true
-				list.Data = append(list.Data, infoOf(m, c))
+				list.Data = append(list.Data, modelInfoOf(m, c))
 			}
 		}
 	}
@@ -275,17 +274,17 @@
 func (s *Service) model(w http.ResponseWriter, r *http.Request, c caller) {
 	m := r.PathValue("model")
 	if _, ok := c.contract.ClassFor(m, ""); !ok {
-		s.refuseCaller(w, c.contract.Brand, outcome.Refuse(outcome.ModelNotInContract, 0), "model")
+		s.refuseRequest(w, c.contract.Brand, outcome.Refuse(outcome.ModelNotInContract, 0), "model")
 		return
 	}
-	_ = writeJSON(w, http.StatusOK, infoOf(m, c))
+	_ = writeJSON(w, http.StatusOK, modelInfoOf(m, c))
 }
 
-func infoOf(model string, c caller) modelInfo {
+func modelInfoOf(model string, c caller) modelInfo {
 	return modelInfo{ID: model, Object: "model", OwnedBy: c.contract.Brand}
 }
 
-// Answers of the health check; all but ready have status 503.
+// Responses of the health check; all but ready have status 503.
 const (
 	healthReady    = "ready"
 	healthStarting = "starting"
@@ -297,7 +296,7 @@
 	switch {
 	case s.draining.Load():
 		state = healthDraining
-	case !s.informed.Load():
+	case !s.configured.Load():
 		state = healthStarting
 	}
 	if state != healthReady {
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -13,15 +13,14 @@
 	classHeader        = "X-Request-Class"
 	retryAfterHeader   = "Retry-After"
 	retryAfterMsHeader = "Retry-After-Ms"
-	// shouldRetryHeader tells client libraries, which send a request again by
-	// themselves after some statuses, whether to do so.
+	// shouldRetryHeader tells client libraries that retry by themselves after some statuses whether to do so.
 	shouldRetryHeader = "X-Should-Retry"
 
 	maxHeaderValue = 255
 )
 
-// requestID returns the caller's id for the request, or a new one when there is
-// none that can be logged as it is.
+// requestID returns the caller's id for the request, or a new one when there is none that can be logged
+// verbatim.
 func requestID(h http.Header) string {
 	if id := strings.TrimSpace(h.Get(requestIDHeader)); id != "" && isPlain(id) {
 		return id
@@ -29,8 +28,8 @@
 	return rand.Text()
 }
 
-// idempotencyKey returns the key, which may be empty. It is not ok when the key
-// can't be told from others: more than one, too long, or not printable ASCII.
+// idempotencyKey returns the key, which may be empty. ok is false when the key is not usable: more than one,
+// too long, or not printable ASCII.
 func idempotencyKey(h http.Header) (key string, ok bool) {
 	values := h.Values(idempotencyHeader)
 	if len(values) > 1 {
--- a/entry/limiter.go
+++ b/entry/limiter.go
@@ -12,54 +12,55 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// limits locks the limiter. It is safe for concurrent use.
-type limits struct {
-	mu      sync.Mutex
-	limiter limit.Limiter
-	rng     *rand.Rand
+// limiter guards the limit policy with a lock. It is safe for concurrent use.
+type limiter struct {
+	mu     sync.Mutex
+	policy limit.Limiter
+	rng    *rand.Rand
 }
 
-func newLimits(p Policy) (*limits, error) {
+func newLimiter(p Policy) (*limiter, error) {
 	l, err := limit.New(p.Limits, p.Entries)
 	if err != nil {
 		return nil, err
 	}
-	return &limits{limiter: l, rng: newSource()}, nil
+	return &limiter{policy: l, rng: newRand()}, nil
 }
 
-// newSource returns a source of randomness with a seed of its own.
-func newSource() *rand.Rand {
+// newRand returns a random number generator with its own seed.
+func newRand() *rand.Rand {
 	var seed [32]byte
 	_, _ = crand.Read(seed[:])
 	return rand.New(rand.NewChaCha8(seed))
 }
 
-// allowance is what an admitted request tells sidecars for the limits' sake.
+// allowance is what an attempt carries to the sidecars that meter demand: the weight of the request, and the
+// demand and running requests of the customer from which a sidecar reports them.
 type allowance struct {
-	weightMilli, tellRateMilli, tellRunning uint32
+	weightMilli, reportRateMilli, reportRunning uint32
 }
 
-// admit decides whether a request for a model, or a plain service, keeps within
-// the contract's limits. done has to be called once when it has ended.
-func (l *limits) admit(c *contract.Contract, at cover) (a allowance, done func(), o outcome.Outcome, ok bool) {
+// admit decides whether a request for a model, or a plain service, is within the contract's limits. done has
+// to be called once when the request has ended.
+func (l *limiter) admit(c *contract.Contract, cov coverage) (a allowance, done func(), o outcome.Outcome, ok bool) {
 	t := limit.Terms{
 		Rate:       c.Limits.RequestsPerSecond,
 		Burst:      float64(c.Limits.Burst),
 		Concurrent: c.Limits.Concurrent,
-		Scale:      at.scale(),
+		Scale:      cov.scale(),
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := l.limiter.Admit(c.Customer, t, time.Now(), l.rng)
+	d := l.policy.Admit(c.Customer, t, time.Now(), l.rng)
 	if !d.Admitted {
 		return allowance{}, nil, outcome.Refuse(d.Reason, d.RetryAfter), false
 	}
-	above := limit.ReportThreshold(t, at.all)
-	a = allowance{weightMilli: milli(d.Weight), tellRateMilli: milli(above.Demand), tellRunning: uint32(above.Running)}
+	threshold := limit.ReportThreshold(t, cov.all)
+	a = allowance{weightMilli: milli(d.Weight), reportRateMilli: milli(threshold.Demand), reportRunning: uint32(threshold.Running)}
 	return a, func() { l.done(c.Customer) }, outcome.Outcome{}, true
 }
 
-// milli returns thousandths, at least one of what is more than zero.
+// milli returns v in thousandths, and at least one for a v above zero.
 func milli(v float64) uint32 {
 	if v <= 0 {
 		return 0
@@ -67,47 +68,47 @@
 	return max(uint32(min(v*1000, 1<<31)), 1)
 }
 
-func (l *limits) done(customer string) {
+func (l *limiter) done(customer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limiter.Done(customer)
+	l.policy.Done(customer)
 }
 
-// observe takes what a sidecar tells of the demand of customers.
-func (l *limits) observe(backend string, at cover, demands []*wire.Demand) {
+// observe passes the demand of customers that a sidecar reports to the limit policy.
+func (l *limiter) observe(backend string, cov coverage, demands []*wire.Demand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, d := range demands {
-		e := limit.Load{Demand: float64(d.GetRateMilli()) / 1000, Running: int(d.GetRunning())}
-		l.limiter.Observe(d.GetCustomer(), backend, e, at.scale(), now)
+		load := limit.Load{Demand: float64(d.GetRateMilli()) / 1000, Running: int(d.GetRunning())}
+		l.policy.Observe(d.GetCustomer(), backend, load, cov.scale(), now)
 	}
 }
 
-// fill puts the allowance on the terms of an attempt. Only the first attempt
-// carries the weight, so that a request is counted once.
-func (a allowance) fill(t *wire.Terms, attempt uint32) {
+// addTo sets the allowance on the terms of an attempt. Only the first attempt carries the weight, so that a
+// request is counted once.
+func (a allowance) addTo(t *wire.Terms, attempt uint32) {
 	if attempt == 1 {
 		t.WeightMilli = a.weightMilli
 	}
-	t.TellRateMilli, t.TellRunning = a.tellRateMilli, a.tellRunning
+	t.TellRateMilli, t.TellRunning = a.reportRateMilli, a.reportRunning
 }
 
-// coverOf returns how a model, or a plain service, is linked.
-func (p *pool) coverOf(model string) cover {
+// coverageOf returns the coverage of a model, or of a plain service.
+func (p *pool) coverageOf(model string) coverage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view == nil {
-		return cover{}
+		return coverage{}
 	}
-	return p.view.cover[model]
+	return p.view.coverage[model]
 }
 
-// onDemand hands on what the sidecar tells of the demand of customers.
+// onDemand passes the demand of customers that the sidecar reports to the limiter.
 func (p *peer) onDemand(demands []*wire.Demand) {
-	var at cover
+	var cov coverage
 	if len(p.backend.Models) > 0 {
-		at = p.pool.coverOf(p.backend.Models[0])
+		cov = p.pool.coverageOf(p.backend.Models[0])
 	}
-	p.pool.limits.observe(p.backend.ID, at, demands)
+	p.pool.limiter.observe(p.backend.ID, cov, demands)
 }
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -6,32 +6,32 @@
 	"strings"
 )
 
-// The request and response bodies are those that clients of language models
-// already use; fields that do not matter for routing are left out.
+// The request and response bodies follow the API that clients of language models already use; fields that do
+// not matter for routing are left out.
 
-// options are the fields common to both requests. Others, such as stop or
-// temperature, are accepted and have no effect.
+// options are the fields common to both requests. Other fields, such as stop or temperature, are accepted and
+// ignored.
 type options struct {
 	Model         string        `json:"model"`
 	MaxTokens     int           `json:"max_tokens"`
 	Stream        bool          `json:"stream"`
 	StreamOptions streamOptions `json:"stream_options"`
-	// N and BestOf ask for several answers, which is not served.
+	// N and BestOf request several answers, which is not supported.
 	N      *int `json:"n"`
 	BestOf *int `json:"best_of"`
 }
 
-// maxAsked bounds what a caller may write where a count of tokens is meant.
-const maxAsked = 1 << 24
+// maxTokenCount bounds the token counts that a caller may set.
+const maxTokenCount = 1 << 24
 
-// check returns the field that can't be served, or nothing.
-func (o options) check() string {
+// invalidField returns the name of a field that can't be served, or an empty string.
+func (o options) invalidField() string {
 	switch {
 	case o.N != nil && *o.N != 1:
 		return "n"
 	case o.BestOf != nil && *o.BestOf != 1:
 		return "best_of"
-	case o.MaxTokens < 0 || o.MaxTokens > maxAsked:
+	case o.MaxTokens < 0 || o.MaxTokens > maxTokenCount:
 		return "max_tokens"
 	}
 	return ""
@@ -43,11 +43,11 @@
 	MaxCompletionTokens int           `json:"max_completion_tokens"`
 }
 
-func (c *chatRequest) check() string {
-	if c.MaxCompletionTokens < 0 || c.MaxCompletionTokens > maxAsked {
+func (c *chatRequest) invalidField() string {
+	if c.MaxCompletionTokens < 0 || c.MaxCompletionTokens > maxTokenCount {
 		return "max_completion_tokens"
 	}
-	return c.options.check()
+	return c.options.invalidField()
 }
 
 type streamOptions struct {
@@ -59,7 +59,7 @@
 	Content chatContent `json:"content"`
 }
 
-// chatContent is a text, or a list of parts of which the text parts are joined.
+// chatContent is a text, or a list of text parts, which are concatenated.
 type chatContent string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// typeError is an error for which package json fills in the path of the field.
+// typeError returns an error in which package json sets the path of the field.
 func typeError[T any](data []byte) error {
 	return &json.UnmarshalTypeError{Value: string(data[:1]), Type: reflect.TypeFor[T]()}
 }
@@ -164,9 +164,9 @@
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 	Param   string `json:"param,omitempty"`
-	// Outcome says what is known about the run: not_run, failed or unknown.
+	// Outcome is what is known about the run: not_run, failed or unknown.
 	Outcome string `json:"outcome"`
-	// RetryAfterMs is when to come back, in milliseconds.
+	// RetryAfterMs is when to retry, in milliseconds.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -18,7 +18,7 @@
 
 type entryLink = link.Link[wire.EntryFrame, wire.SidecarFrame]
 
-// peer is one sidecar as this entry knows it. It keeps a link up by redialling.
+// peer is this entry's local state of one sidecar. It keeps a link up by redialling.
 type peer struct {
 	pool    *pool
 	backend contract.Backend
@@ -30,54 +30,55 @@
 	welcome *wire.Welcome
 	load    *wire.Load
 	loadAt  time.Time
-	// placedSince and tokensSince count this entry's own requests, and their
-	// tokens to be prefilled, since the latest load report.
-	placedSince int
-	tokensSince int
-	// guestSince is set while the peer is outside the entry's subset: it answers
-	// for tickets and gets no new work.
-	guestSince time.Time
-	leaving    bool
-	listed     bool
-	// told is the revision handed to the sidecar, confirmed that which it says it has.
-	told      uint64
-	confirmed uint64
-	flows     map[wire.Key]*flow
+	// placedSinceReport and tokensSinceReport count this entry's own requests, and their tokens to be
+	// prefilled, since the latest load report.
+	placedSinceReport int
+	tokensSinceReport int
+	// temporaryUsedAt is when a peer outside the entry's subset was last used, or zero for a peer of the
+	// subset. A temporary peer answers claims of tickets and gets no new work.
+	temporaryUsedAt time.Time
+	leaving         bool
+	listedLeaving   bool
+	// sentRevision is the latest revision that was sent to the sidecar or reported by it, confirmedRevision
+	// the latest that it has reported.
+	sentRevision      uint64
+	confirmedRevision uint64
+	flows             map[wire.Key]*flow
 }
 
 func newPeer(p *pool, b contract.Backend) *peer {
 	return &peer{pool: p, backend: b, up: make(chan struct{}), flows: make(map[wire.Key]*flow)}
 }
 
-// refusedRedial is the pause before a sidecar that speaks another protocol version
-// is dialled again; it speaks ours only once it has been replaced.
-const refusedRedial = time.Second
+// protocolRedialInterval is the minimum interval before a sidecar of another protocol version is dialled
+// again; it changes its version only when it is replaced.
+const protocolRedialInterval = time.Second
 
-// run dials and serves links until ctx ends. A sidecar that stays away is logged once.
+// run dials and serves links until ctx ends. An unreachable sidecar is logged once.
 func (p *peer) run(ctx context.Context) {
-	away := false
+	unreachable := false
 	for ctx.Err() == nil {
 		served, err := p.connect(ctx)
-		if (served || !away) && ctx.Err() == nil {
-			endOf(err).Log(p.pool.log).Str("backend", p.backend.ID).Err(err).Msg("")
+		if (served || !unreachable) && ctx.Err() == nil {
+			disconnectEvent(err).Log(p.pool.log).Str("backend", p.backend.ID).Err(err).Msg("")
 		}
-		away = true
-		pause := p.pool.set.Timing.Redial
+		unreachable = true
+		interval := p.pool.settings.Timing.Redial
 		if served {
-			pause = 0
+			interval = 0
 		}
 		if errors.Is(err, errProtocol) {
-			pause = max(pause, refusedRedial)
+			interval = max(interval, protocolRedialInterval)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// endOf is the event that tells why a link ended.
-func endOf(err error) event.Event {
+// disconnectEvent returns the log event for the error that ended a link.
+func disconnectEvent(err error) event.Event {
 	switch {
 	case errors.Is(err, errProtocol):
 		return event.LinkRefused
@@ -88,9 +89,9 @@
 	}
 }
 
-// connect serves one link until it breaks, and reports whether it ever was up.
+// connect serves one link until it breaks, and reports whether it was ever up.
 func (p *peer) connect(ctx context.Context) (served bool, err error) {
-	conn, err := link.Dial(ctx, p.backend.Address, p.pool.tls, p.pool.set.Timing.Dial, &p.pool.meter)
+	conn, err := link.Dial(ctx, p.backend.Address, p.pool.tls, p.pool.settings.Timing.Dial, &p.pool.meter)
 	if err != nil {
 		return false, err
 	}
@@ -100,28 +101,28 @@
 		return false, err
 	}
 	l := p.newLink(stream, conn.Transport())
-	var skew error
+	var protocolErr error
 	err = l.Run(ctx, func(f *wire.SidecarFrame) {
-		if skew != nil {
+		if protocolErr != nil {
 			return
 		}
-		if skew = checkProtocol(f); skew != nil {
+		if protocolErr = checkProtocol(f); protocolErr != nil {
 			l.Close()
 			return
 		}
 		p.handle(l, f)
 	})
-	served = p.down(l)
+	served = p.dropLink(l)
 	switch {
-	case skew != nil:
-		return served, skew
+	case protocolErr != nil:
+		return served, protocolErr
 	case drpcerr.Code(err) == wire.CodeProtocol:
 		return served, merry.Wrap(errProtocol, merry.AppendMessage(err.Error()))
 	}
 	return served, err
 }
 
-// checkProtocol refuses a welcome of another version.
+// checkProtocol returns an error for a welcome of another protocol version.
 func checkProtocol(f *wire.SidecarFrame) error {
 	w := f.GetWelcome()
 	if w == nil || w.GetProtocol() == wire.Protocol {
@@ -133,12 +134,12 @@
 // newLink returns a link on which the hello has been sent.
 func (p *peer) newLink(stream wire.DRPCSidecar_SessionClient, transport io.Closer) *entryLink {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		Beat:       p.pool.set.Timing.Heartbeat,
-		IdleBeat:   p.pool.set.Timing.IdleHeartbeat,
-		Silence:    p.pool.set.Timing.Silence,
-		QueueLimit: p.pool.set.Bounds.LinkQueue,
+		Beat:       p.pool.settings.Timing.Heartbeat,
+		IdleBeat:   p.pool.settings.Timing.IdleHeartbeat,
+		Silence:    p.pool.settings.Timing.Silence,
+		QueueLimit: p.pool.settings.Bounds.LinkQueue,
 		Active:     func() bool { return p.outstanding() > 0 },
-		MakeBeat:   p.beat,
+		MakeBeat:   p.makeHeartbeat,
 		Transport:  transport,
 		Dropped: func(err error) {
 			event.FrameDropped.Log(p.pool.log).Str("backend", p.backend.ID).Err(err).Msg("")
@@ -146,26 +147,26 @@
 	})
 	_ = l.Send(&wire.EntryFrame{Body: &wire.EntryFrame_Hello{Hello: &wire.Hello{
 		Protocol:     wire.Protocol,
-		EntryId:      p.pool.set.ID,
+		EntryId:      p.pool.settings.ID,
 		Incarnation:  p.pool.incarnation,
-		Zone:         p.pool.set.Zone,
+		Zone:         p.pool.settings.Zone,
 		HeadRevision: p.pool.state.Head(),
 	}}})
 	return l
 }
 
-func (p *peer) beat(interval time.Duration) *wire.EntryFrame {
+func (p *peer) makeHeartbeat(interval time.Duration) *wire.EntryFrame {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &wire.EntryFrame{Body: &wire.EntryFrame_Beat{Beat: &wire.EntryBeat{
 		HeadRevision:  p.pool.state.Head(),
 		IntervalMs:    uint32(interval.Milliseconds()),
-		ListedLeaving: p.listed,
+		ListedLeaving: p.listedLeaving,
 	}}}
 }
 
-// down tells every flow that the link broke, and reports whether it had been up.
-func (p *peer) down(l *entryLink) bool {
+// dropLink notifies every flow that the link broke, and reports whether the link had been up.
+func (p *peer) dropLink(l *entryLink) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link != l {
@@ -174,13 +175,13 @@
 	p.link = nil
 	p.up = make(chan struct{})
 	for _, f := range p.flows {
-		f.push(flowItem{down: true})
+		f.push(flowItem{linkDown: true})
 	}
 	return true
 }
 
-// open begins receiving for an attempt.
-func (p *peer) open(key wire.Key) *flow {
+// openFlow begins receiving for an attempt.
+func (p *peer) openFlow(key wire.Key) *flow {
 	f := &flow{peer: p, key: key, wake: make(chan struct{}, 1)}
 	p.mu.Lock()
 	p.flows[key] = f
@@ -192,7 +193,7 @@
 	return f
 }
 
-func (p *peer) forget(key wire.Key) {
+func (p *peer) closeFlow(key wire.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.flows, key)
@@ -207,7 +208,7 @@
 	return p.link.Send(f)
 }
 
-// incarnation returns that of the sidecar last heard of.
+// incarnation returns the incarnation in the sidecar's latest welcome.
 func (p *peer) incarnation() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,33 +228,33 @@
 	}
 }
 
-// revision is the configuration revision that the sidecar is known to have.
+// revision returns the configuration revision that the sidecar has confirmed.
 func (p *peer) revision() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.confirmed
+	return p.confirmedRevision
 }
 
-// setListed notes what the platform's list of VMs says of the backend server.
-// A change is told at once.
-func (p *peer) setListed(leaving bool) {
+// setListedLeaving records whether the platform's list of VMs marks the backend server as leaving. A change
+// is reported to the sidecar at once.
+func (p *peer) setListedLeaving(leaving bool) {
 	p.mu.Lock()
-	changed := p.listed != leaving
-	p.listed = leaving
+	changed := p.listedLeaving != leaving
+	p.listedLeaving = leaving
 	p.mu.Unlock()
 	if changed {
-		p.beatNow()
+		p.sendHeartbeat()
 	}
 }
 
-// usable reports whether new work may be asked of the sidecar.
+// usable reports whether new work may be sent to the sidecar.
 func (p *peer) usable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.link != nil && !p.leaving && !p.listed && p.guestSince.IsZero()
+	return p.link != nil && !p.leaving && !p.listedLeaving && p.temporaryUsedAt.IsZero()
 }
 
-// outstanding is the entry's own count of attempts there.
+// outstanding returns the entry's own count of attempts there.
 func (p *peer) outstanding() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -13,18 +13,16 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/retry"
 )
 
-// servers is a placement: decode runs the request; prefill is nil when the
-// decode server prefills by itself.
+// servers is a placement: decode runs the request; prefill is nil when the decode server prefills by itself.
 type servers struct {
 	decode, prefill *peer
-	// expected is the expected time to the first token.
-	expected time.Duration
-	// prefilled is the expected time until the prefill is done, queue included.
-	prefilled time.Duration
+	// expectedTTFT is the expected time to the first token.
+	expectedTTFT time.Duration
+	// expectedPrefill is the expected time until the prefill is done, including queueing.
+	expectedPrefill time.Duration
 }
 
-// placer feeds the placement policy with what the peers know. It is safe for
-// concurrent use.
+// placer passes the state of the peers to the placement policy. It is safe for concurrent use.
 type placer struct {
 	cfg placement.Config
 
@@ -44,32 +42,31 @@
 	return &placer{
 		cfg:    cfg,
 		picker: picker,
-		rng:    newSource(),
+		rng:    newRand(),
 		cache:  prefixcache.New(prefixcache.DefaultConfig()),
 	}, nil
 }
 
-// modelRoles are the roles of servers that take model work.
+// modelRoles are the roles of servers that run models.
 var modelRoles = []string{string(engine.RolePrefill), string(engine.RoleDecode), string(engine.RoleMixed)}
 
-// place chooses servers for r, other than those that d excludes as long as there
-// are any.
+// place chooses servers for r. A server that d excludes is chosen only when there is no other.
 func (p *placer) place(pool *pool, r *request, d retry.Decision) (servers, bool) {
 	peers := pool.candidates(r.model, nil, modelRoles...)
 	slices.SortFunc(peers, func(a, b *peer) int { return strings.Compare(a.backend.ID, b.backend.ID) })
 	now := time.Now()
 	req := placement.Request{
-		Zone:         pool.set.Zone,
-		PromptTokens: r.tokens + engine.EstimateTokens(string(r.text)),
-		MaxTokens:    r.max,
+		Zone:         pool.settings.Zone,
+		PromptTokens: r.promptTokens + engine.EstimateTokens(string(r.text)),
+		MaxTokens:    r.maxTokens,
 		Urgency:      r.class.Urgency,
-		TTFTLeft:     max(r.class.TTFT-now.Sub(r.begun), 0),
+		TTFTLeft:     max(r.class.TTFT-now.Sub(r.start), 0),
 		ExcludeIDs:   d.ExcludeIDs,
 		AvoidZones:   d.AvoidZones,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.describe(peers, r, now)
+	p.buildCandidates(peers, r, now)
 	choices := p.picker.Pick(req, p.candidates, p.rng)
 	if len(choices) == 0 && len(d.ExcludeIDs) > 0 {
 		req.ExcludeIDs = nil
@@ -78,44 +75,44 @@
 	if len(choices) == 0 {
 		return servers{}, false
 	}
-	return p.take(peers, r, &req, choices[0], now), true
+	return p.recordChoice(peers, r, &req, choices[0], now), true
 }
 
-// describe makes the candidates of peers, in the same order.
-func (p *placer) describe(peers []*peer, r *request, now time.Time) {
+// buildCandidates describes peers to the placement policy, in the same order.
+func (p *placer) buildCandidates(peers []*peer, r *request, now time.Time) {
 	p.candidates = p.candidates[:0]
 	for _, pr := range peers {
 		c := pr.candidate(now)
-		hit := p.cache.Lookup(c.ID, r.hashes, now)
+		hit := p.cache.Lookup(c.ID, r.prefixHashes, now)
 		c.CachedTokens, c.CacheConfidence = hit.Tokens, hit.Confidence
 		p.candidates = append(p.candidates, c)
 	}
 }
 
-// take notes the choice at the peers and in the index of prefixes.
-func (p *placer) take(peers []*peer, r *request, req *placement.Request, c placement.Choice, now time.Time) servers {
-	find := func(id string) int {
+// recordChoice records the choice at the peers and in the prefix index, and returns its servers.
+func (p *placer) recordChoice(peers []*peer, r *request, req *placement.Request, c placement.Choice, now time.Time) servers {
+	indexOf := func(id string) int {
 		return slices.IndexFunc(peers, func(pr *peer) bool { return pr.backend.ID == id })
 	}
-	d, f := find(c.Decode), find(c.Prefill)
-	times := placement.Estimate(p.cfg, *req, &p.candidates[f], &p.candidates[d])
-	sv := servers{decode: peers[d], expected: times.TTFT, prefilled: times.Queue + times.Prefill}
+	decode, prefill := indexOf(c.Decode), indexOf(c.Prefill)
+	times := placement.Estimate(p.cfg, *req, &p.candidates[prefill], &p.candidates[decode])
+	sv := servers{decode: peers[decode], expectedTTFT: times.TTFT, expectedPrefill: times.Queue + times.Prefill}
 	if !c.Mixed() {
-		sv.prefill = peers[f]
+		sv.prefill = peers[prefill]
 	}
-	hit := p.candidates[f]
+	hit := p.candidates[prefill]
 	uncached := req.PromptTokens - int(float64(hit.CachedTokens)*hit.CacheConfidence)
-	peers[f].notePrefill(max(uncached, 0))
-	peers[d].notePlaced()
-	p.cache.RecordPlacement(c.Prefill, r.hashes, now)
+	peers[prefill].recordPrefill(max(uncached, 0))
+	peers[decode].recordPlaced()
+	p.cache.RecordPlacement(c.Prefill, r.prefixHashes, now)
 	return sv
 }
 
-// prefilled notes what a prefill found in the cache of a server.
-func (p *placer) prefilled(at *peer, r *request, cached int) {
+// recordPrefillResult records how much of the prompt a prefill found in the cache of a server.
+func (p *placer) recordPrefillResult(at *peer, r *request, cached int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.RecordResult(at.backend.ID, r.hashes, cached, time.Now())
+	p.cache.RecordResult(at.backend.ID, r.prefixHashes, cached, time.Now())
 }
 
 // candidate describes the peer to the placement policy.
@@ -127,8 +124,8 @@
 		Zone:              p.backend.Zone,
 		Role:              engine.Role(p.backend.Role),
 		Outstanding:       len(p.flows),
-		PlacedSinceReport: p.placedSince,
-		TokensSinceReport: p.tokensSince,
+		PlacedSinceReport: p.placedSinceReport,
+		TokensSinceReport: p.tokensSinceReport,
 		Rates: placement.Rates{
 			PrefillTokensPerSecond: float64(p.welcome.GetPrefillTokensPerSecond()),
 			LinkBytesPerSecond:     float64(p.welcome.GetLinkBytesPerSecond()),
@@ -150,14 +147,14 @@
 	return c
 }
 
-func (p *peer) notePlaced() {
+func (p *peer) recordPlaced() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.placedSince++
+	p.placedSinceReport++
 }
 
-func (p *peer) notePrefill(tokens int) {
+func (p *peer) recordPrefill(tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokensSince += tokens
+	p.tokensSinceReport += tokens
 }
--- a/entry/policy_test.go
+++ b/entry/policy_test.go
@@ -54,9 +54,9 @@
 	assert.DeepEqual(t, count, map[string]int{"prefill": 6, "decode": 6, roleService: 20})
 }
 
-// testPool has peers with links that look up.
+// testPool returns a pool of peers that appear linked.
 func testPool(roles ...string) *pool {
-	p := &pool{set: Settings{Zone: "a"}, peers: map[string]*peer{}}
+	p := &pool{settings: Settings{Zone: "a"}, peers: map[string]*peer{}}
 	for i, role := range roles {
 		id := fmt.Sprint(role, i)
 		pr := newPeer(p, contract.Backend{ID: id, Zone: "a", Role: role, Models: []string{"m"}})
@@ -67,7 +67,7 @@
 }
 
 func TestPlace(t *testing.T) {
-	r := &request{model: "m", tokens: 500, begun: time.Now(), class: &contract.Class{TTFT: time.Hour}, hashes: []uint64{1, 2}}
+	r := &request{model: "m", promptTokens: 500, start: time.Now(), class: &contract.Class{TTFT: time.Hour}, prefixHashes: []uint64{1, 2}}
 	for _, tc := range []struct {
 		name    string
 		roles   []string
@@ -80,7 +80,7 @@
 		{"pair", []string{"prefill", "decode"}, nil, "decode1", "prefill0"},
 		{"mixed", []string{"mixed"}, nil, "mixed0", ""},
 		{"excluded", []string{"prefill", "decode", "decode"}, []string{"decode1"}, "decode2", "prefill0"},
-		{"only the excluded are left", []string{"prefill", "decode"}, []string{"decode1"}, "decode1", "prefill0"},
+		{"only excluded servers are left", []string{"prefill", "decode"}, []string{"decode1"}, "decode1", "prefill0"},
 	} {
 		for _, name := range placement.Names() {
 			p, err := newPlacer(Policy{Placement: name})
@@ -93,28 +93,28 @@
 			}
 			assert.Equal(t, sv.decode.backend.ID, tc.decode, "%s %s", tc.name, name)
 			assert.Equal(t, sv.prefill == nil, tc.prefill == "")
-			assert.Equal(t, sv.prefilled, 600*time.Millisecond, "the prior for the queue and 1,000 tokens a second")
-			assert.Equal(t, sv.decode.placedSince, 1)
+			assert.Equal(t, sv.expectedPrefill, 600*time.Millisecond, "the prior for the queue and 1,000 tokens a second")
+			assert.Equal(t, sv.decode.placedSinceReport, 1)
 		}
 	}
 }
 
 func TestTracker(t *testing.T) {
 	at := &peer{backend: contract.Backend{ID: "b", Zone: "z"}}
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, tc := range []struct {
 		name         string
 		ctx          context.Context
 		unrepeatable bool
-		ends         []outcome.Outcome
+		outcomes     []outcome.Outcome
 		again        bool
 		kind         outcome.Kind
 	}{
 		{"completed", context.Background(), false, []outcome.Outcome{{Kind: outcome.Completed}}, false, outcome.Completed},
 		{"failed", context.Background(), false, []outcome.Outcome{outcome.Fail(outcome.EngineLost, "")}, true, 0},
 		{"failed, unrepeatable", context.Background(), true, []outcome.Outcome{outcome.Fail(outcome.EngineLost, "")}, false, outcome.Failed},
-		{"caller gone", gone, false, []outcome.Outcome{outcome.Fail(outcome.EngineLost, "")}, false, outcome.Failed},
+		{"caller gone", cancelled, false, []outcome.Outcome{outcome.Fail(outcome.EngineLost, "")}, false, outcome.Failed},
 		{"refused after a failure", context.Background(), false, []outcome.Outcome{
 			outcome.Fail(outcome.EngineLost, ""), outcome.Refuse(outcome.NoPlace, 0),
 		}, false, outcome.Failed},
@@ -122,19 +122,19 @@
 		tr := newRetrier(2, metrics.NewSet()).tracker("x", tc.unrepeatable, time.Time{})
 		var final outcome.Outcome
 		var again bool
-		for _, o := range tc.ends {
-			final, again = tr.ended(tc.ctx, endingAt(o, at, true), 0, 0)
+		for _, o := range tc.outcomes {
+			final, again = tr.attemptEnded(tc.ctx, retryAttemptAt(o, at, true), 0, 0)
 		}
 		assert.Equal(t, again, tc.again, tc.name)
 		assert.Equal(t, final.Kind, tc.kind, tc.name)
 	}
 	tr := newRetrier(3, metrics.NewSet()).tracker("x", false, time.Time{})
-	_, again := tr.ended(context.Background(), endingAt(outcome.Unsure(outcome.LinkDown, ""), at, true), 0, 0)
+	_, again := tr.attemptEnded(context.Background(), retryAttemptAt(outcome.Unsure(outcome.LinkDown, ""), at, true), 0, 0)
 	assert.Assert(t, again)
 	assert.Equal(t, tr.conclude(outcome.Refuse(outcome.NoBackend, time.Second)).Kind, outcome.Unknown, "an attempt may have run")
 }
 
-func TestViewIsMadeAnewOnlyForANewList(t *testing.T) {
+func TestBackendViewIsRebuiltOnlyForNewList(t *testing.T) {
 	list := []contract.Backend{{ID: "a", Role: "mixed", Models: []string{"m"}}, {ID: "b", Retired: true}}
 	set := DefaultSettings()
 	first := newView(nil, set, list)
@@ -148,39 +148,39 @@
 
 func TestLimits(t *testing.T) {
 	c := &contract.Contract{Customer: "x", Limits: contract.Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrent: 3}}
-	at := cover{all: 8, linked: 2}
-	l, err := newLimits(DefaultPolicy())
+	cov := coverage{all: 8, linked: 2}
+	l, err := newLimiter(DefaultPolicy())
 	assert.NilError(t, err)
-	a, done, _, ok := l.admit(c, at)
+	a, done, _, ok := l.admit(c, cov)
 	assert.Assert(t, ok)
-	assert.Equal(t, a, allowance{weightMilli: 1000, tellRateMilli: 62500, tellRunning: 1})
+	assert.Equal(t, a, allowance{weightMilli: 1000, reportRateMilli: 62500, reportRunning: 1})
 	first, second := &wire.Terms{}, &wire.Terms{}
-	a.fill(first, 1)
-	a.fill(second, 2)
+	a.addTo(first, 1)
+	a.addTo(second, 2)
 	assert.Equal(t, first.WeightMilli, uint32(1000))
 	assert.Equal(t, second.WeightMilli, uint32(0), "a request counts once over its attempts")
-	l.observe("s1", at, []*wire.Demand{{Customer: "x", Running: 1}})
-	_, _, o, ok := l.admit(c, at)
-	assert.Assert(t, !ok, "four run through other entries, as far as two of eight sidecars tell")
+	l.observe("s1", cov, []*wire.Demand{{Customer: "x", Running: 1}})
+	_, _, o, ok := l.admit(c, cov)
+	assert.Assert(t, !ok, "four run through other entries, estimated from the reports of two of eight sidecars")
 	assert.Equal(t, o.Reason, outcome.ConcurrencyLimited)
 	assert.Assert(t, o.RetryAfter > 0)
-	l.observe("s1", at, []*wire.Demand{{Customer: "x"}})
+	l.observe("s1", cov, []*wire.Demand{{Customer: "x"}})
 	done()
 	for range 3 {
-		_, _, _, ok = l.admit(c, at)
+		_, _, _, ok = l.admit(c, cov)
 		assert.Assert(t, ok)
 	}
-	_, _, _, ok = l.admit(c, at)
+	_, _, _, ok = l.admit(c, cov)
 	assert.Assert(t, !ok)
 }
 
-func TestCovers(t *testing.T) {
+func TestCoverageByModel(t *testing.T) {
 	active := activeBackends([]contract.Backend{
 		{ID: "p", Role: "prefill", Models: []string{"m"}}, {ID: "d1", Role: "decode", Models: []string{"m"}},
 		{ID: "d2", Role: "decode", Models: []string{"m", "n"}}, {ID: "x", Role: "mixed", Models: []string{"n"}},
 	})
-	got := covers(active, map[string]contract.Backend{"p": {}, "d2": {}})
-	assert.Equal(t, got["m"], cover{all: 2, linked: 1})
-	assert.Equal(t, got["n"], cover{all: 2, linked: 1})
-	assert.Equal(t, cover{}.scale(), 1.0)
+	got := coverageByModel(active, map[string]contract.Backend{"p": {}, "d2": {}})
+	assert.Equal(t, got["m"], coverage{all: 2, linked: 1})
+	assert.Equal(t, got["n"], coverage{all: 2, linked: 1})
+	assert.Equal(t, coverage{}.scale(), 1.0)
 }
--- a/entry/poller.go
+++ b/entry/poller.go
@@ -8,53 +8,52 @@
 	"github.com/hibiscusspur/hibiscusspur/dissemination"
 )
 
-// poller reads what has changed in the platform's table. Decisions of an entry
-// that has not tried to for long, since it was paused, wait for it.
+// poller polls the platform's table for changes. When an entry has not polled for long, since its process was
+// suspended, its decisions wait for a poll.
 type poller struct {
 	reader *dissemination.Reader
-	// overdue is how long after the last attempt a decision waits for the next.
-	overdue time.Duration
-	// call bounds the wait.
-	call time.Duration
-
-	begun time.Time
-	turn  chan struct{} // holds one item during an attempt
-	last  atomic.Int64  // end of the last attempt, since begun on the monotonic clock
+	// overdueAfter is the time since the last attempt from which a decision waits for the next.
+	overdueAfter time.Duration
+	// callTimeout bounds the wait.
+	callTimeout time.Duration
+
+	start    time.Time
+	polling  chan struct{} // holds one item during an attempt
+	lastPoll atomic.Int64  // end of the last attempt, since start on the monotonic clock
 }
 
 func newPoller(r *dissemination.Reader, t Timing) *poller {
-	return &poller{reader: r, overdue: 2*t.Poll + t.PlatformCall, call: t.PlatformCall, turn: make(chan struct{}, 1), begun: time.Now()}
+	return &poller{reader: r, overdueAfter: 2*t.Poll + t.PlatformCall, callTimeout: t.PlatformCall, polling: make(chan struct{}, 1), start: time.Now()}
 }
 
-// poll reads what has changed.
+// poll polls the table once, after any poll in progress.
 func (p *poller) poll(ctx context.Context) error {
-	p.turn <- struct{}{}
-	defer func() { <-p.turn }()
-	return p.inTurn(ctx)
+	p.polling <- struct{}{}
+	defer func() { <-p.polling }()
+	return p.pollLocked(ctx)
 }
 
-func (p *poller) inTurn(ctx context.Context) error {
-	defer func() { p.last.Store(int64(time.Since(p.begun))) }()
+func (p *poller) pollLocked(ctx context.Context) error {
+	defer func() { p.lastPoll.Store(int64(time.Since(p.start))) }()
 	return p.reader.Poll(ctx)
 }
 
 func (p *poller) isOverdue() bool {
-	return time.Since(p.begun)-time.Duration(p.last.Load()) > p.overdue
+	return time.Since(p.start)-time.Duration(p.lastPoll.Load()) > p.overdueAfter
 }
 
-// refresh returns at once unless the last attempt is overdue. Then it polls once:
-// when the platform does not answer, the entry goes on with what it knows, which
-// the sidecars bring up to date.
-func (p *poller) refresh(ctx context.Context) error {
+// refreshIfOverdue returns at once unless the last attempt is overdue. Otherwise it polls once: when the
+// platform does not answer, the entry continues with its local state, which the sidecars bring up to date.
+func (p *poller) refreshIfOverdue(ctx context.Context) error {
 	if !p.isOverdue() {
 		return nil
 	}
-	p.turn <- struct{}{}
-	defer func() { <-p.turn }()
+	p.polling <- struct{}{}
+	defer func() { <-p.polling }()
 	if !p.isOverdue() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.call)
+	ctx, cancel := context.WithTimeout(ctx, p.callTimeout)
 	defer cancel()
-	return p.inTurn(ctx)
+	return p.pollLocked(ctx)
 }
--- a/entry/poller_test.go
+++ b/entry/poller_test.go
@@ -13,31 +13,31 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// slowTable answers each call after a time, or with the end of its context.
+// slowTable answers each call after a delay, or fails when its context ends.
 type slowTable struct {
 	store.Table
-	takes time.Duration
+	delay time.Duration
 	calls int
 }
 
 func (t *slowTable) Get(ctx context.Context, _ string) (store.Row, error) {
 	t.calls++
 	select {
-	case <-time.After(t.takes):
+	case <-time.After(t.delay):
 		return store.Row{}, store.ErrNotFound
 	case <-ctx.Done():
 		return store.Row{}, store.ErrUnavailable
 	}
 }
 
-func TestRefreshAfterAPause(t *testing.T) {
+func TestRefreshWhenPollIsOverdue(t *testing.T) {
 	timing := DefaultSettings().Timing
 	for _, c := range []struct {
 		name  string
 		pause time.Duration
-		takes time.Duration
+		delay time.Duration
 		calls int
-		waits time.Duration
+		wait  time.Duration
 	}{
 		{"fresh", timing.Poll, 0, 1, 0},
 		{"paused", time.Minute, 10 * time.Millisecond, 2, 10 * time.Millisecond},
@@ -49,15 +49,15 @@
 				p := newPoller(dissemination.NewReader(table, dissemination.NewState()), timing)
 				assert.NilError(t, p.poll(t.Context()))
 				time.Sleep(c.pause)
-				table.takes = c.takes
-				begun := time.Now()
+				table.delay = c.delay
+				start := time.Now()
 				var waiting sync.WaitGroup
 				for range 10 {
-					waiting.Go(func() { _ = p.refresh(t.Context()) })
+					waiting.Go(func() { _ = p.refreshIfOverdue(t.Context()) })
 				}
 				waiting.Wait()
 				assert.Equal(t, table.calls, c.calls, "one poll for all")
-				assert.Equal(t, time.Since(begun), c.waits)
+				assert.Equal(t, time.Since(start), c.wait)
 			})
 		})
 	}
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -19,15 +19,15 @@
 // roleService is the role of backend servers that are plain services.
 const roleService = "service"
 
-// pool keeps a peer for each backend server that is not retired.
+// pool holds a peer for each linked backend server that is not retired.
 type pool struct {
-	set         Settings
+	settings    Settings
 	log         *log.Logger
 	tls         *tls.Config
 	incarnation string
 	state       *dissemination.State
 	index       *dissemination.Index
-	limits      *limits
+	limiter     *limiter
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -37,31 +37,31 @@
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	view  *view
+	view  *backendView
 	pull  dissemination.Pull[*peer]
 }
 
-func newPool(set Settings, l *log.Logger, conf *tls.Config, incarnation string, st *dissemination.State, idx *dissemination.Index) *pool {
+func newPool(set Settings, l *log.Logger, tlsConfig *tls.Config, incarnation string, st *dissemination.State, idx *dissemination.Index) *pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &pool{
-		set: set, log: l, tls: conf, incarnation: incarnation, state: st, index: idx,
+		settings: set, log: l, tls: tlsConfig, incarnation: incarnation, state: st, index: idx,
 		ctx: ctx, stop: stop, peers: make(map[string]*peer),
 	}
 	return p
 }
 
-// refresh brings the peers in line with the backend records.
+// refresh reconciles the peers with the backend records.
 func (p *pool) refresh() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view = newView(p.view, p.set, p.index.Backends())
-	all, want := p.view.active, p.view.chosen
+	p.view = newView(p.view, p.settings, p.index.Backends())
+	all, wanted := p.view.active, p.view.chosen
 	if p.state.Head() == 0 {
-		want = p.seeds()
+		wanted = p.seedBackends()
 	}
 	for id, pr := range p.peers {
-		b, ok := want[id]
-		if !ok && pr.isGuest(time.Now()) {
+		b, ok := wanted[id]
+		if !ok && pr.keepTemporary(time.Now()) {
 			b, ok = all[id]
 		}
 		if ok && b.Address == pr.backend.Address && b.Role == pr.backend.Role && slices.Equal(b.Models, pr.backend.Models) {
@@ -70,44 +70,44 @@
 		p.retire(pr)
 		delete(p.peers, id)
 	}
-	for id, b := range want {
+	for id, b := range wanted {
 		if p.peers[id] == nil {
 			p.peers[id] = p.add(b)
 		}
-		p.peers[id].setGuest(time.Time{})
+		p.peers[id].setTemporary(time.Time{})
 	}
 }
 
 // seedPrefix begins the ids of seeds, which no backend record may have.
 const seedPrefix = "seed "
 
-// announce tells every sidecar that is behind of a new head; one that lacks it
-// answers with its own and is handed the records.
-func (p *pool) announce() {
+// announceHead announces a new head revision to every sidecar that is behind. A sidecar that lacks it answers
+// with its own head and is sent the records.
+func (p *pool) announceHead() {
 	head := p.state.Head()
 	for _, pr := range p.all() {
 		if pr.revision() < head {
-			pr.beatNow()
+			pr.sendHeartbeat()
 		}
 	}
 }
 
-// offered takes the head that a sidecar has announced, and asks for it when it is
+// headAnnounced takes the head revision that a sidecar has announced, and requests the records when it is
 // above this entry's.
-func (p *pool) offered(pr *peer, head uint64) {
+func (p *pool) headAnnounced(pr *peer, head uint64) {
 	p.mu.Lock()
 	ask := p.pull.Offer(pr, head, p.state.Head(), time.Now())
 	p.mu.Unlock()
 	if ask {
-		pr.beatNow()
+		pr.sendHeartbeat()
 	}
 }
 
-// seeds are the sidecars named in the settings: while this entry knows no
-// configuration, they hand it theirs, whatever the platform does.
-func (p *pool) seeds() map[string]contract.Backend {
-	out := make(map[string]contract.Backend, len(p.set.Seeds))
-	for _, addr := range p.set.Seeds {
+// seedBackends returns the sidecars named in the settings. While this entry has no configuration, they send
+// theirs, whether or not the platform answers.
+func (p *pool) seedBackends() map[string]contract.Backend {
+	out := make(map[string]contract.Backend, len(p.settings.Seeds))
+	for _, addr := range p.settings.Seeds {
 		id := seedPrefix + addr
 		out[id] = contract.Backend{ID: id, Address: addr}
 	}
@@ -122,11 +122,11 @@
 	return pr
 }
 
-// retire keeps the link of a retired peer until its attempts are over.
+// retire keeps the link of a removed peer until its attempts have ended.
 func (p *pool) retire(pr *peer) {
 	p.work.Go(func() {
 		defer pr.stop()
-		pr.waitIdle(p.ctx, p.set.Timing.Heartbeat)
+		pr.waitIdle(p.ctx, p.settings.Timing.Heartbeat)
 	})
 }
 
@@ -135,7 +135,7 @@
 	p.work.Wait()
 }
 
-// candidates are the usable peers that serve model in one of roles, except those excluded.
+// candidates returns the usable peers that serve model in one of roles, except those excluded.
 func (p *pool) candidates(model string, exclude []string, roles ...string) []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,23 +151,23 @@
 	return out
 }
 
-// peer returns the peer of a backend server, or nil when there is no such server.
-// One outside the entry's subset is linked as a guest for a while.
+// peer returns the peer of a backend server, or nil when there is no such server. A server outside the
+// entry's subset gets a temporary link.
 func (p *pool) peer(id string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pr := p.peers[id]
 	if pr == nil {
-		p.view = newView(p.view, p.set, p.index.Backends())
+		p.view = newView(p.view, p.settings, p.index.Backends())
 		b, ok := p.view.active[id]
 		if !ok {
 			return nil
 		}
 		pr = p.add(b)
 		p.peers[id] = pr
-		pr.setGuest(time.Now())
+		pr.setTemporary(time.Now())
 	}
-	pr.renewGuest(time.Now())
+	pr.renewTemporary(time.Now())
 	return pr
 }
 
@@ -178,13 +178,13 @@
 	return slices.Collect(maps.Values(p.peers))
 }
 
-// usable are the peers of which new work may be asked.
+// usable returns the peers to which new work may be sent.
 func (p *pool) usable() []*peer {
 	return slices.DeleteFunc(p.all(), func(pr *peer) bool { return !pr.usable() })
 }
 
-// pick takes the less loaded of two random candidates.
-func pick(c []*peer) *peer {
+// pickLessLoaded returns the less loaded of two random candidates (power of two choices).
+func pickLessLoaded(c []*peer) *peer {
 	if len(c) == 0 {
 		return nil
 	}
--- a/entry/raw_test.go
+++ b/entry/raw_test.go
@@ -23,8 +23,8 @@
 	Outcome string `json:"outcome"`
 }
 
-// rawResponse sends a request that an HTTP client might refuse to send. header is
-// one line, which replaces the API key when it is an Authorization.
+// rawResponse sends a request that an HTTP client might refuse to send. header is one line; an Authorization
+// header replaces the API key.
 func rawResponse(t *testing.T, p *pathtest.Path, method, path, body, header string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.URL, "http://"))
--- a/entry/request.go
+++ b/entry/request.go
@@ -13,33 +13,33 @@
 
 // request is one request for model work. It belongs to one goroutine.
 type request struct {
-	id       string
-	customer string
-	key      string // idempotency key, may be empty
-	class    *contract.Class
-	revision uint64
-	share    float64
-	model    string
-	prompt   string
-	tokens   int // estimated length of prompt
-	max      int // bound of the answer in tokens
-	begun    time.Time
-	deadline time.Time
-	out      sink
-	// received is the position up to which the answer is whole; text is what was
-	// received, kept for resuming elsewhere.
+	id             string
+	customer       string
+	idempotencyKey string // may be empty
+	class          *contract.Class
+	revision       uint64
+	share          float64
+	model          string
+	prompt         string
+	promptTokens   int // estimated length of prompt
+	maxTokens      int // maximum length of the answer in tokens
+	start          time.Time
+	deadline       time.Time
+	out            sink
+	// received is the position up to which the answer is complete; text is the answer received so far, kept
+	// for resuming elsewhere.
 	received int
 	text     []byte
-	// hashes are those of the prefixes of prompt.
-	hashes []uint64
-	allow  allowance
+	// prefixHashes are the hashes of the prompt's prefixes.
+	prefixHashes []uint64
+	allowance    allowance
 }
 
-// sink is where the answer goes. Methods are called from one goroutine.
+// sink receives the answer. Its methods are called from one goroutine.
 type sink interface {
 	// tokens takes the next tokens of the answer.
 	tokens(t []string) error
-	// done ends a whole answer.
+	// done ends a complete answer.
 	done(d *wire.Done) error
 }
 
@@ -50,29 +50,29 @@
 		ContractRevision: r.revision,
 		Urgency:          uint32(r.class.Urgency),
 		ShareMilli:       uint32(r.share * 1000),
-		TtftMs:           uint32(max(r.class.TTFT-time.Since(r.begun), 0).Milliseconds()),
+		TtftMs:           uint32(max(r.class.TTFT-time.Since(r.start), 0).Milliseconds()),
 		TbtMs:            uint32(r.class.TBT.Milliseconds()),
 		Unrepeatable:     r.class.Unrepeatable,
 	}
 }
 
-// executeGuarded runs r; the idempotency key of an unrepeatable request is claimed
-// first, and given back when the request was not run.
+// executeGuarded runs r; the idempotency key of an unrepeatable request is claimed first, and released when
+// the request was not run.
 func (s *Service) executeGuarded(ctx context.Context, r *request) outcome.Outcome {
-	if !r.class.Unrepeatable || r.key == "" {
+	if !r.class.Unrepeatable || r.idempotencyKey == "" {
 		return s.execute(ctx, r)
 	}
-	return s.guard.around(ctx, r.customer, r.key, r.id, func() outcome.Outcome { return s.execute(ctx, r) })
+	return s.guard.runWithKey(ctx, r.customer, r.idempotencyKey, r.id, func() outcome.Outcome { return s.execute(ctx, r) })
 }
 
-// execute runs r to its one end, over as many attempts as are allowed.
+// execute runs r to its one outcome, over as many attempts as are allowed.
 func (s *Service) execute(ctx context.Context, r *request) outcome.Outcome {
 	t := s.retrier.tracker(r.customer, r.class.Unrepeatable, r.deadline)
-	return lifecycle.Run(ctx, &course{s: s, r: r, tracker: t})
+	return lifecycle.Run(ctx, &execution{s: s, r: r, tracker: t})
 }
 
-// course is a request over all its attempts. It implements lifecycle.Request.
-type course struct {
+// execution is a request over all its attempts. It implements lifecycle.Request.
+type execution struct {
 	s       *Service
 	r       *request
 	tracker *tracker
@@ -80,36 +80,36 @@
 	attempts uint32
 }
 
-// Place implements lifecycle.Request. Before another attempt the contract is looked at again.
-func (c *course) Place(context.Context) (*attempt, outcome.Outcome, bool) {
-	if c.attempts > 0 {
-		if o, ok := c.s.resolve(c.r); !ok {
-			return nil, c.tracker.conclude(o), false
+// Place implements lifecycle.Request. Before a further attempt the contract is checked again.
+func (e *execution) Place(context.Context) (*attempt, outcome.Outcome, bool) {
+	if e.attempts > 0 {
+		if o, ok := e.s.refreshContract(e.r); !ok {
+			return nil, e.tracker.conclude(o), false
 		}
 	}
-	sv, ok := c.s.placer.place(c.s.pool, c.r, c.tracker.next)
+	sv, ok := e.s.placer.place(e.s.pool, e.r, e.tracker.decision)
 	if !ok {
-		return nil, c.tracker.conclude(outcome.Refuse(outcome.NoBackend, noBackendRetry)), false
+		return nil, e.tracker.conclude(outcome.Refuse(outcome.NoBackend, noBackendRetryAfter)), false
 	}
-	c.attempts++
-	return newAttempt(c.s, c.r, c.attempts, sv), outcome.Outcome{}, true
+	e.attempts++
+	return newAttempt(e.s, e.r, e.attempts, sv), outcome.Outcome{}, true
 }
 
 // Ended implements lifecycle.Request.
-func (c *course) Ended(ctx context.Context, a *attempt, o outcome.Outcome) (outcome.Outcome, bool) {
-	final, again := c.tracker.ended(ctx, a.ending(o), a.sv.expected, c.r.received)
+func (e *execution) Ended(ctx context.Context, a *attempt, o outcome.Outcome) (outcome.Outcome, bool) {
+	final, again := e.tracker.attemptEnded(ctx, a.retryAttempt(o), a.servers.expectedTTFT, e.r.received)
 	if again {
-		event.RequestRetried.Log(c.s.log).Str("request", c.r.id).Uint32("attempt", c.attempts).Str("outcome", o.String()).Msg("")
+		event.RequestRetried.Log(e.s.log).Str("request", e.r.id).Uint32("attempt", e.attempts).Str("outcome", o.String()).Msg("")
 	}
 	return final, again
 }
 
-// noBackendRetry is the retry-after when no server is known to serve the model.
-const noBackendRetry = time.Second
+// noBackendRetryAfter is the retry-after when no server is known to serve the model.
+const noBackendRetryAfter = time.Second
 
-// resolve takes the terms of r from the newest contract known. When ok is false
-// the contract does not allow the request any more.
-func (s *Service) resolve(r *request) (o outcome.Outcome, ok bool) {
+// refreshContract updates r to the newest known contract. When ok is false the contract no longer allows the
+// request.
+func (s *Service) refreshContract(r *request) (o outcome.Outcome, ok bool) {
 	c, rev, ok := s.index.Contract(r.customer)
 	if !ok {
 		return outcome.Refuse(outcome.Unauthenticated, 0), false
--- a/entry/retrier.go
+++ b/entry/retrier.go
@@ -10,12 +10,11 @@
 	"github.com/hibiscusspur/hibiscusspur/policy/retry"
 )
 
-// retrier locks the retry policy and counts what it decides. It is safe for
-// concurrent use.
+// retrier guards the retry policy with a lock and counts its decisions. It is safe for concurrent use.
 type retrier struct {
-	met    *metrics.Set
-	mu     sync.Mutex
-	policy *retry.Policy
+	metrics *metrics.Set
+	mu      sync.Mutex
+	policy  *retry.Policy
 }
 
 func newRetrier(attempts int, met *metrics.Set) *retrier {
@@ -26,24 +25,24 @@
 			met.Counter(metrics.RetryDeniedPrefix + string(d))
 		}
 	}
-	return &retrier{met: met, policy: retry.New(cfg)}
+	return &retrier{metrics: met, policy: retry.New(cfg)}
 }
 
-// tracker follows the attempts at one request. It belongs to one goroutine.
+// tracker tracks the attempts at one request. It belongs to one goroutine.
 type tracker struct {
 	retrier *retrier
 	req     retry.Request
-	// next says where the next attempt may go.
-	next retry.Decision
+	// decision is the latest decision; it says where the next attempt may go.
+	decision retry.Decision
 }
 
 func (r *retrier) tracker(customer string, unrepeatable bool, deadline time.Time) *tracker {
 	return &tracker{retrier: r, req: retry.Request{Customer: customer, Unrepeatable: unrepeatable, Deadline: deadline}}
 }
 
-// ended takes the end of an attempt. It returns the final outcome, or that there
-// is to be another attempt.
-func (t *tracker) ended(ctx context.Context, a retry.Attempt, expected time.Duration, position int) (outcome.Outcome, bool) {
+// attemptEnded records an ended attempt. It returns the final outcome, or true when there is to be another
+// attempt.
+func (t *tracker) attemptEnded(ctx context.Context, a retry.Attempt, expected time.Duration, position int) (outcome.Outcome, bool) {
 	t.req.Attempts = append(t.req.Attempts, a)
 	t.req.Expected, t.req.Position = expected, position
 	now := time.Now()
@@ -52,37 +51,37 @@
 	if ctx.Err() != nil && a.Outcome.Kind != outcome.Completed {
 		t.req.Deadline = now.Add(-time.Nanosecond)
 	}
-	t.next = t.retrier.policy.Decide(t.req, now)
+	t.decision = t.retrier.policy.Decide(t.req, now)
 	return t.count(a, now)
 }
 
 // count is called with the lock held.
 func (t *tracker) count(a retry.Attempt, now time.Time) (outcome.Outcome, bool) {
 	switch {
-	case t.next.Action != retry.Finish:
-		t.retrier.met.Retried(a.Outcome.Reason)
+	case t.decision.Action != retry.Finish:
+		t.retrier.metrics.Retried(a.Outcome.Reason)
 		return outcome.Outcome{}, true
-	case t.next.Denial == retry.Completed:
+	case t.decision.Denial == retry.Completed:
 		t.retrier.policy.Succeeded(t.req.Customer, now)
 	default:
-		t.retrier.met.RetryDenied(string(t.next.Denial))
+		t.retrier.metrics.RetryDenied(string(t.decision.Denial))
 	}
-	return t.next.Outcome, false
+	return t.decision.Outcome, false
 }
 
 // conclude returns the final outcome when no further attempt can be placed.
 func (t *tracker) conclude(o outcome.Outcome) outcome.Outcome {
 	t.req.Attempts = append(t.req.Attempts, retry.Attempt{Outcome: o})
-	t.retrier.met.RetryDenied(string(retry.NoServer))
+	t.retrier.metrics.RetryDenied(string(retry.NoServer))
 	return t.retrier.policy.Conclude(t.req)
 }
 
-// endingAt describes the end of an attempt at a server.
-func endingAt(o outcome.Outcome, at *peer, worked bool) retry.Attempt {
+// retryAttemptAt describes an ended attempt at a server.
+func retryAttemptAt(o outcome.Outcome, at *peer, workDone bool) retry.Attempt {
 	return retry.Attempt{
 		Backends: []string{at.backend.ID},
 		Zones:    []string{at.backend.Zone},
 		Outcome:  o,
-		WorkDone: worked,
+		WorkDone: workDone,
 	}
 }
--- a/entry/seeds_test.go
+++ b/entry/seeds_test.go
@@ -13,9 +13,9 @@
 	"github.com/hibiscusspur/hibiscusspur/metrics"
 )
 
-// TestSeedTellsConfiguration: an entry that starts while the platform is out gets
-// the configuration from a sidecar, and drops the seed for the real peers.
-func TestSeedTellsConfiguration(t *testing.T) {
+// TestSeedProvidesConfiguration: an entry that starts while the platform is unavailable gets the
+// configuration from a sidecar, and replaces the seed by the peers in it.
+func TestSeedProvidesConfiguration(t *testing.T) {
 	quiet := event.New("test", "t", log.PanicLevel)
 	sc, addr := sidecartest.Start(t)
 	set := DefaultSettings()
--- a/entry/service.go
+++ b/entry/service.go
@@ -23,84 +23,83 @@
 
 // Service is the entry; it is a kernel.Service.
 type Service struct {
-	set     Settings
-	log     *log.Logger
-	met     *metrics.Set
-	state   *dissemination.State
-	index   *dissemination.Index
-	table   store.Table
-	pool    *pool
-	callers *httpserver.Watcher
-	vms     store.VMs
-	guard   *guard
-	poller  *poller
-	placer  *placer
-	retrier *retrier
-	limits  *limits
+	settings Settings
+	log      *log.Logger
+	metrics  *metrics.Set
+	state    *dissemination.State
+	index    *dissemination.Index
+	table    store.Table
+	pool     *pool
+	callers  *httpserver.Watcher
+	vms      store.VMs
+	guard    *keyGuard
+	poller   *poller
+	placer   *placer
+	retrier  *retrier
+	limiter  *limiter
 
 	http, admin *httpserver.Server
 	draining    atomic.Bool
-	// informed is true once the platform or a peer has told the configuration.
-	informed atomic.Bool
-	stop     context.CancelFunc
-	work     sync.WaitGroup
+	// configured is true once the platform or a peer has provided the configuration.
+	configured atomic.Bool
+	stop       context.CancelFunc
+	work       sync.WaitGroup
 }
 
 // New returns the service for checked settings.
 func New(set Settings, l *log.Logger, m *metrics.Set) *Service {
-	s := &Service{set: set, log: l, met: m, state: dissemination.NewState(), callers: httpserver.NewWatcher()}
+	s := &Service{settings: set, log: l, metrics: m, state: dissemination.NewState(), callers: httpserver.NewWatcher()}
 	s.index = dissemination.NewIndex(s.state, func(key string, rev uint64, err error) {
 		event.RecordInvalid.Log(l).Str("key", key).Uint64("revision", rev).Err(err).Msg("")
 	})
 	return s
 }
 
-// Addr is where callers connect, once started.
+// Addr is the address where callers connect, once started.
 func (s *Service) Addr() string { return s.http.Addr() }
 
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Start implements kernel.Service. It does not wait for the platform: an entry
-// that starts during an outage learns the configuration from sidecars that it
-// knows of, or serves nothing until the platform answers.
+// Start implements kernel.Service. It does not wait for the platform: an entry that starts during an outage
+// gets the configuration from the sidecars in its settings, or serves nothing until the platform answers.
 func (s *Service) Start(_ context.Context, _ *kernel.Kernel) error {
-	conf, err := s.set.TLS.Config()
+	tlsConfig, err := s.settings.TLS.Config()
 	if err != nil {
 		return err
 	}
-	hc := store.NewClient(conf)
-	s.table = store.NewHTTPTable(s.set.Platform, hc, store.Timeout(s.set.Timing.PlatformCall))
-	s.poller = newPoller(dissemination.NewReader(s.table, s.state), s.set.Timing)
-	s.vms = store.NewHTTPVMs(s.set.Platform, hc, store.Timeout(s.set.Timing.PlatformCall))
-	if s.placer, err = newPlacer(s.set.Policy); err != nil {
+	httpClient := store.NewClient(tlsConfig)
+	s.table = store.NewHTTPTable(s.settings.Platform, httpClient, store.Timeout(s.settings.Timing.PlatformCall))
+	s.poller = newPoller(dissemination.NewReader(s.table, s.state), s.settings.Timing)
+	s.vms = store.NewHTTPVMs(s.settings.Platform, httpClient, store.Timeout(s.settings.Timing.PlatformCall))
+	if s.placer, err = newPlacer(s.settings.Policy); err != nil {
 		return err
 	}
-	s.retrier = newRetrier(s.set.Retry.Attempts, s.met)
-	s.pool = newPool(s.set, s.log, conf, rand.Text(), s.state, s.index)
-	s.met.GaugeFunc(metrics.LinkBytesSent, s.pool.meter.Sent)
-	s.met.GaugeFunc(metrics.LinkBytesReceived, s.pool.meter.Received)
-	s.met.GaugeFunc(metrics.ConfigRevision, func() int64 { return int64(s.state.Head()) })
-	if s.limits, err = newLimits(s.set.Policy); err != nil {
+	s.retrier = newRetrier(s.settings.Retry.Attempts, s.metrics)
+	s.pool = newPool(s.settings, s.log, tlsConfig, rand.Text(), s.state, s.index)
+	s.metrics.GaugeFunc(metrics.LinkBytesSent, s.pool.meter.Sent)
+	s.metrics.GaugeFunc(metrics.LinkBytesReceived, s.pool.meter.Received)
+	s.metrics.GaugeFunc(metrics.ConfigRevision, func() int64 { return int64(s.state.Head()) })
+	if s.limiter, err = newLimiter(s.settings.Policy); err != nil {
 		return err
 	}
-	s.pool.limits = s.limits
-	if s.guard, err = newGuard(s.set, s.pool, s.table); err != nil {
+	s.pool.limiter = s.limiter
+	if s.guard, err = newKeyGuard(s.settings, s.pool, s.table); err != nil {
 		return err
 	}
 	s.state.Watch(func(d dissemination.Delta) {
 		event.RevisionApplied.Log(s.log).Uint64("revision", d.Head).Msg("")
-		s.informed.Store(true)
+		s.configured.Store(true)
 		s.pool.refresh()
-		s.pool.announce()
+		s.pool.announceHead()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
-	s.work.Go(func() { s.poll(ctx) })
-	s.work.Go(func() { s.callers.Run(ctx, s.set.Timing.CallerCheck) })
+	s.work.Go(func() { s.pollLoop(ctx) })
+	s.work.Go(func() { s.callers.Run(ctx, s.settings.Timing.CallerCheck) })
 	s.work.Go(func() { s.guard.table.Run(ctx) })
 	s.work.Go(func() { s.claimSweepLoop(ctx) })
-	s.work.Go(func() { s.vmLoop(ctx) })
+	s.work.Go(func() { s.vmListLoop(ctx) })
 	s.work.Go(func() { s.confirmLoop(ctx) })
 	return s.listen()
 }
@@ -108,26 +107,26 @@
 func (s *Service) listen() error {
 	var err error
 	s.http, err = httpserver.Start(httpserver.Options{
-		Name: "callers", Addr: s.set.Listen, Handler: s.handler(),
-		MaxBody: s.set.Bounds.BodyBytes + 1, MaxInProgress: s.set.Bounds.InProgress, MaxWriteBuffer: s.set.Bounds.WriteBuffer,
+		Name: "callers", Addr: s.settings.Listen, Handler: s.handler(),
+		MaxBody: s.settings.Bounds.BodyBytes + 1, MaxInProgress: s.settings.Bounds.InProgress, MaxWriteBuffer: s.settings.Bounds.WriteBuffer,
 		Refusal: s.earlyRefusal,
 	})
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", s.met)
+	mux.Handle("GET /metrics", s.metrics)
 	mux.HandleFunc("GET /healthz", s.health)
-	s.admin, err = httpserver.Start(httpserver.Options{Name: "admin", Addr: s.set.Admin, Handler: mux})
+	s.admin, err = httpserver.Start(httpserver.Options{Name: "admin", Addr: s.settings.Admin, Handler: mux})
 	return err
 }
 
-// poll follows the head revision until ctx ends.
-func (s *Service) poll(ctx context.Context) {
-	t := time.NewTicker(s.set.Timing.Poll)
+// pollLoop follows the head revision until ctx ends.
+func (s *Service) pollLoop(ctx context.Context) {
+	t := time.NewTicker(s.settings.Timing.Poll)
 	defer t.Stop()
 	for {
-		s.polled(ctx, s.poller.poll(ctx))
+		s.recordPoll(ctx, s.poller.poll(ctx))
 		s.pool.refresh()
 		select {
 		case <-ctx.Done():
@@ -137,26 +136,26 @@
 	}
 }
 
-// polled takes the result of a poll. The first answer ends the time in which this
-// entry knows nothing.
-func (s *Service) polled(ctx context.Context, err error) {
+// recordPoll handles the result of a poll. The first successful one ends the time in which this entry has no
+// configuration.
+func (s *Service) recordPoll(ctx context.Context, err error) {
 	if err == nil {
-		s.informed.Store(true)
+		s.configured.Store(true)
 		return
 	}
 	if ctx.Err() == nil {
-		s.met.Counter(metrics.StoreErrors).Inc(1)
+		s.metrics.Counter(metrics.StoreErrors).Inc(1)
 		event.StoreFailed.Log(s.log).Err(err).Msg("")
 	}
 }
 
-// Drain implements kernel.Service: the health check says draining, requests go
-// on being taken until the balancer has noticed, then those in progress finish.
+// Drain implements kernel.Service: the health check reports draining, requests are accepted until the load
+// balancer has noticed, then those in progress finish.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	select {
 	case <-ctx.Done():
-	case <-time.After(s.set.Timing.Notice):
+	case <-time.After(s.settings.Timing.Notice):
 	}
 	err := s.http.Shutdown(ctx)
 	if err != nil {
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -1,6 +1,5 @@
-// Package entry is the stateless front process: it takes callers' HTTP requests,
-// finds the contract, places the work on backend servers through their sidecars
-// and assembles the one answer.
+// Package entry is the stateless front end: it accepts callers' HTTP requests, looks up the contract, places
+// the work on backend servers through their sidecars and assembles the one answer.
 package entry
 
 import (
@@ -24,12 +23,12 @@
 	Admin string `yaml:"admin"`
 	// Platform is the base URL of the platform's table.
 	Platform string `yaml:"platform"`
-	// Seeds are addresses of sidecars, as "ip:port", from which an entry that starts
-	// while the platform is out learns the configuration.
+	// Seeds are addresses of sidecars, as "ip:port", from which an entry that starts while the platform is
+	// unavailable gets the configuration.
 	Seeds []string          `yaml:"seeds,omitempty"`
 	TLS   security.Settings `yaml:"tls,omitempty"`
-	// TicketSecrets are files that hold the secrets of tickets, the same on every
-	// entry; the first seals. None means that no tickets are issued.
+	// TicketSecrets are files that hold the secrets of tickets, the same on every entry; the first one seals
+	// new tickets. Without any, no tickets are issued.
 	TicketSecrets []string `yaml:"ticket_secrets,omitempty"`
 	LogLevel      string   `yaml:"log_level,omitempty"`
 	Timing        Timing   `yaml:"timing,omitempty"`
@@ -45,41 +44,41 @@
 	// Heartbeat is the interval of heartbeats on a link with work, IdleHeartbeat without.
 	Heartbeat     time.Duration `yaml:"beat"`
 	IdleHeartbeat time.Duration `yaml:"idle_beat"`
-	// Silence is how long a link may be silent before it is redialled.
+	// Silence is how long a link may carry no frames before it is redialled.
 	Silence time.Duration `yaml:"silence"`
-	// Dial bounds one connection attempt, Redial is the pause between two.
+	// Dial bounds one connection attempt, Redial is the interval between two.
 	Dial   time.Duration `yaml:"dial"`
 	Redial time.Duration `yaml:"redial"`
 	// Answer bounds the wait for a grant or a refusal.
 	Answer time.Duration `yaml:"answer"`
-	// Reattach bounds the wait for a broken link of a run in progress.
+	// Reattach bounds the wait for the reconnection of a broken link with a run in progress.
 	Reattach time.Duration `yaml:"reattach"`
-	// CallerCheck is the interval at which departed callers are looked for.
+	// CallerCheck is the interval at which callers are checked for a closed connection.
 	CallerCheck time.Duration `yaml:"caller_check"`
 	// Claim bounds the claim of an idempotency key.
 	Claim time.Duration `yaml:"claim"`
-	// Confirm is the mean pause between two confirmations of the revision in force.
+	// Confirm is the mean interval between two confirmations of the revision in force.
 	Confirm time.Duration `yaml:"confirm"`
-	// VMPoll is the mean interval at which the platform's list of VMs is read, by all
-	// entries together where their number is known.
+	// VMPoll is the mean interval at which the platform's list of VMs is polled, by all entries together
+	// where their number is known.
 	VMPoll time.Duration `yaml:"vm_poll"`
 	// PlatformCall bounds one call to the platform.
 	PlatformCall time.Duration `yaml:"platform_call"`
-	// Drain bounds a graceful shutdown; Notice is how long it goes on taking
-	// requests after its health check says draining, so that the balancer sees it.
+	// Drain bounds a graceful shutdown; Notice is how long the entry continues to accept requests after its
+	// health check reports draining, so that the load balancer notices.
 	Drain  time.Duration `yaml:"drain"`
 	Notice time.Duration `yaml:"notice"`
 }
 
 // Bounds limit the entry's memory.
 type Bounds struct {
-	// BodyBytes bounds a caller's body, whatever the contract says.
+	// BodyBytes bounds a caller's body, whatever the contract allows.
 	BodyBytes int `yaml:"body_bytes"`
-	// InProgress is how many requests are handled at once.
+	// InProgress is the maximum number of requests handled at once.
 	InProgress int `yaml:"in_progress"`
-	// WriteBuffer bounds the bytes waiting for one slow caller.
+	// WriteBuffer bounds the bytes that are buffered for one slow caller.
 	WriteBuffer int `yaml:"write_buffer"`
-	// LinkQueue is how many frames may wait on one link.
+	// LinkQueue is the maximum number of frames queued on one link.
 	LinkQueue int `yaml:"link_queue"`
 }
 
@@ -88,7 +87,7 @@
 	Attempts int `yaml:"attempts"`
 }
 
-// DefaultSettings returns the defaults, on which a file is laid.
+// DefaultSettings returns the defaults, which a settings file overrides.
 func DefaultSettings() Settings {
 	return Settings{
 		LogLevel: "info",
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -10,8 +10,8 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// shape is the form of an answer that a caller asked for.
-type shape struct {
+// answerFormat is the form of the answer that a caller requested.
+type answerFormat struct {
 	id      string
 	model   string
 	chat    bool
@@ -19,7 +19,7 @@
 	created time.Time
 }
 
-func (s shape) object(stream bool) string {
+func (s answerFormat) object(stream bool) string {
 	switch {
 	case s.chat && stream:
 		return "chat.completion.chunk"
@@ -30,7 +30,7 @@
 	}
 }
 
-func (s shape) completion(stream bool, choices []choice) completion {
+func (s answerFormat) completion(stream bool, choices []choice) completion {
 	prefix := "cmpl-"
 	if s.chat {
 		prefix = "chatcmpl-"
@@ -43,21 +43,21 @@
 	return &usage{PromptTokens: p, CompletionTokens: c, TotalTokens: p + c}
 }
 
-// wholeSink keeps the answer until it is whole.
-type wholeSink struct {
-	shape
+// bufferedSink buffers the answer until it is complete.
+type bufferedSink struct {
+	answerFormat
 	w    http.ResponseWriter
 	text strings.Builder
 }
 
-func (s *wholeSink) tokens(t []string) error {
+func (s *bufferedSink) tokens(t []string) error {
 	for _, tok := range t {
 		s.text.WriteString(tok)
 	}
 	return nil
 }
 
-func (s *wholeSink) done(d *wire.Done) error {
+func (s *bufferedSink) done(d *wire.Done) error {
 	text, reason := s.text.String(), d.GetFinishReason()
 	ch := choice{FinishReason: &reason}
 	if s.chat {
@@ -70,28 +70,28 @@
 	return writeJSON(s.w, http.StatusOK, c)
 }
 
-// streamSink writes server-sent events as tokens come.
+// streamSink writes tokens as server-sent events as they arrive.
 type streamSink struct {
-	shape
-	w      http.ResponseWriter
-	flush  func()
-	begun  bool
-	failed error
+	answerFormat
+	w        http.ResponseWriter
+	flush    func()
+	started  bool
+	writeErr error
 }
 
-func newStreamSink(sh shape, w http.ResponseWriter) *streamSink {
-	s := &streamSink{shape: sh, w: w, flush: func() {}}
+func newStreamSink(format answerFormat, w http.ResponseWriter) *streamSink {
+	s := &streamSink{answerFormat: format, w: w, flush: func() {}}
 	if f, ok := w.(http.Flusher); ok {
 		s.flush = f.Flush
 	}
 	return s
 }
 
-func (s *streamSink) begin() {
-	if s.begun {
+func (s *streamSink) writeHeader() {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -103,13 +103,13 @@
 	ch := choice{}
 	if s.chat {
 		ch.Delta = &replyMessage{Content: &text}
-		if !s.begun {
+		if !s.started {
 			ch.Delta.Role = "assistant"
 		}
 	} else {
 		ch.Text = &text
 	}
-	return s.event(s.completion(true, []choice{ch}))
+	return s.writeEvent(s.completion(true, []choice{ch}))
 }
 
 func (s *streamSink) done(d *wire.Done) error {
@@ -121,35 +121,35 @@
 	} else {
 		ch.Text = &empty
 	}
-	if err := s.event(s.completion(true, []choice{ch})); err != nil {
+	if err := s.writeEvent(s.completion(true, []choice{ch})); err != nil {
 		return err
 	}
 	if s.usage {
 		c := s.completion(true, []choice{})
 		c.Usage = usageOf(d)
-		if err := s.event(c); err != nil {
+		if err := s.writeEvent(c); err != nil {
 			return err
 		}
 	}
-	return s.raw("[DONE]")
+	return s.writeData("[DONE]")
 }
 
-func (s *streamSink) event(v any) error {
+func (s *streamSink) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return s.raw(string(data))
+	return s.writeData(string(data))
 }
 
-func (s *streamSink) raw(data string) error {
-	s.begin()
-	if s.failed != nil {
-		return s.failed
+func (s *streamSink) writeData(data string) error {
+	s.writeHeader()
+	if s.writeErr != nil {
+		return s.writeErr
 	}
-	_, s.failed = s.w.Write([]byte("data: " + data + "\n\n"))
+	_, s.writeErr = s.w.Write([]byte("data: " + data + "\n\n"))
 	s.flush()
-	return s.failed
+	return s.writeErr
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) error {
--- a/entry/skew_test.go
+++ b/entry/skew_test.go
@@ -19,21 +19,21 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// lines is a log that a test reads line by line.
-type lines chan string
+// logLines is a log that a test reads line by line.
+type logLines chan string
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logLines) Write(p []byte) (int, error) {
 	l <- string(p)
 	return len(p), nil
 }
 
-// scripted is a sidecar whose sessions are a function.
-type scripted func(wire.DRPCSidecar_SessionStream) error
+// scriptedSidecar is a sidecar whose sessions run a function.
+type scriptedSidecar func(wire.DRPCSidecar_SessionStream) error
 
-func (f scripted) Session(s wire.DRPCSidecar_SessionStream) error { return f(s) }
+func (f scriptedSidecar) Session(s wire.DRPCSidecar_SessionStream) error { return f(s) }
 
 // dialScripted runs a peer of a scripted sidecar until the test ends.
-func dialScripted(t *testing.T, session scripted) (*peer, lines) {
+func dialScripted(t *testing.T, session scriptedSidecar) (*peer, logLines) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -41,7 +41,7 @@
 	served := make(chan error, 1)
 	go func() { served <- link.Serve(ctx, lis, session) }()
 
-	logged := make(lines, 64)
+	logged := make(logLines, 64)
 	l := event.New("entry", "t", log.InfoLevel)
 	l.Writer = &log.IOWriter{Writer: logged}
 	st := dissemination.NewState()
@@ -60,7 +60,7 @@
 }
 
 func TestSidecarOfUnknownProtocolIsRefused(t *testing.T) {
-	for name, session := range map[string]scripted{
+	for name, session := range map[string]scriptedSidecar{
 		"refused by the sidecar": func(wire.DRPCSidecar_SessionStream) error {
 			return drpcerr.WithCode(context.Canceled, wire.CodeProtocol)
 		},
@@ -87,7 +87,7 @@
 	ref := wire.Key{RequestID: "r", Attempt: 1}.Ref()
 	p, _ := dialScripted(t, func(s wire.DRPCSidecar_SessionStream) error {
 		unknown := new(wire.SidecarFrame)
-		// Field 99, a message that is empty.
+		// Field 99, an empty message.
 		unknown.ProtoReflect().SetUnknown([]byte{0x9a, 0x06, 0x00})
 		frames := []*wire.SidecarFrame{welcome(wire.Protocol), unknown}
 		for _, f := range frames {
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	assert.NilError(t, p.waitUp(ctx))
-	fl := p.open(ref.Key())
+	fl := p.openFlow(ref.Key())
 	defer fl.close()
 	assert.NilError(t, fl.send(&wire.EntryFrame{Body: &wire.EntryFrame_Fence{Fence: &wire.Fence{Ref: ref}}}))
 	f, err := fl.recv(ctx)
@@ -116,7 +116,7 @@
 	assert.Assert(t, f.GetFenced() != nil)
 }
 
-// TestRefusalOfUnknownKindIsUnknown: only a kind that is understood proves anything.
+// TestRefusalOfUnknownKindIsUnknown: only a kind that this build knows proves anything.
 func TestRefusalOfUnknownKindIsUnknown(t *testing.T) {
 	for kind, want := range map[wire.Kind]outcome.Kind{
 		wire.Kind_KIND_NOT_RUN:     outcome.NotRun,
@@ -126,6 +126,6 @@
 		wire.Kind_KIND_COMPLETED:   outcome.Unknown,
 		wire.Kind(99):              outcome.Unknown,
 	} {
-		assert.Equal(t, refused(&wire.Refused{Kind: kind}).Kind, want, kind.String())
+		assert.Equal(t, refusedOutcome(&wire.Refused{Kind: kind}).Kind, want, kind.String())
 	}
 }
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -16,11 +16,11 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// TestEntryWithoutConfiguration: until the platform has answered once, a key that
-// is not known proves nothing.
+// TestEntryWithoutConfiguration: until the platform has answered once, an unknown key does not prove that the
+// caller is unauthenticated.
 func TestEntryWithoutConfiguration(t *testing.T) {
 	s := New(DefaultSettings(), event.New("entry", "t", log.PanicLevel), metrics.NewSet())
-	s.poller = newPoller(dissemination.NewReader(memory.New(memory.Options{}).Table(), s.state), s.set.Timing)
+	s.poller = newPoller(dissemination.NewReader(memory.New(memory.Options{}).Table(), s.state), s.settings.Timing)
 	get := func(path string) string {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodGet, path, nil)
@@ -30,7 +30,7 @@
 	}
 	assert.Equal(t, get("/healthz"), "503 Service Unavailable starting")
 	assert.Assert(t, strings.Contains(get("/v1/models"), `"code":"store_unavailable"`), get("/v1/models"))
-	s.polled(context.Background(), s.poller.poll(context.Background()))
+	s.recordPoll(context.Background(), s.poller.poll(context.Background()))
 	assert.Equal(t, get("/healthz"), "200 OK ready")
 	assert.Assert(t, strings.Contains(get("/v1/models"), `"code":"unauthenticated"`), get("/v1/models"))
 }
--- a/entry/vms.go
+++ b/entry/vms.go
@@ -10,41 +10,40 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// maxGuestsTold is how many servers outside of the subset one reading of the list
-// of VMs tells that they are leaving.
-const maxGuestsTold = 64
+// maxTemporaryLinks bounds the links that one poll of the list of VMs opens to leaving servers outside the
+// subset.
+const maxTemporaryLinks = 64
 
-// vmLoop follows the platform's list of VMs and tells the servers that it says are
-// leaving.
-func (s *Service) vmLoop(ctx context.Context) {
+// vmListLoop polls the platform's list of VMs and notifies the servers that it marks as leaving.
+func (s *Service) vmListLoop(ctx context.Context) {
 	for {
 		vms, _, err := s.vms.List(ctx)
 		if err != nil && ctx.Err() == nil {
-			s.met.Counter(metrics.VMListErrors).Inc(1)
+			s.metrics.Counter(metrics.VMListErrors).Inc(1)
 			event.StoreFailed.Log(s.log).Err(err).Msg("")
 		}
 		if err == nil {
-			s.pool.markListed(vms)
+			s.pool.setListedLeaving(vms)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(vmPause(s.set)):
+		case <-time.After(vmListInterval(s.settings)):
 		}
 	}
 }
 
-// vmPause is the time until the list is read again. It is long, and each entry
-// tells all servers that are leaving, so the entries share the readings where their
-// number is known. It is jittered, so that they do not read at once.
-func vmPause(set Settings) time.Duration {
+// vmListInterval returns the jittered time until the next poll of the list. The list is long and each entry
+// notifies all leaving servers, so entries share the polls where their number is known. The jitter keeps them
+// from polling at once.
+func vmListInterval(set Settings) time.Duration {
 	mean := set.Timing.VMPoll * time.Duration(max(set.Policy.Entries, 1))
 	return mean/2 + rand.N(mean)
 }
 
-// markListed tells each peer whether the platform's list says that its VM is
-// leaving. A leaving server outside of the subset is linked as a guest for it.
-func (p *pool) markListed(vms []store.VM) {
+// setListedLeaving reports to each peer whether the platform's list marks its VM as leaving. A leaving server
+// outside the subset gets a temporary link for the report.
+func (p *pool) setListedLeaving(vms []store.VM) {
 	leaving := make(map[string]bool)
 	for _, vm := range vms {
 		if vm.State == store.VMLeaving {
@@ -52,17 +51,17 @@
 		}
 	}
 	for _, pr := range p.all() {
-		pr.setListed(leaving[pr.backend.ID])
+		pr.setListedLeaving(leaving[pr.backend.ID])
 		delete(leaving, pr.backend.ID)
 	}
-	told := 0
+	temporary := 0
 	for id := range leaving {
-		if told == maxGuestsTold {
+		if temporary == maxTemporaryLinks {
 			return
 		}
 		if pr := p.peer(id); pr != nil {
-			pr.setListed(true)
-			told++
+			pr.setListedLeaving(true)
+			temporary++
 		}
 	}
 }
--- a/entry/vms_test.go
+++ b/entry/vms_test.go
@@ -15,20 +15,20 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-func TestEntriesShareTheReadingsOfVMs(t *testing.T) {
+func TestEntriesSharePollsOfVMList(t *testing.T) {
 	set := DefaultSettings()
 	for entries, mean := range map[int]time.Duration{0: 2 * time.Second, 1: 2 * time.Second, 410: 820 * time.Second} {
 		set.Policy.Entries = entries
 		for range 20 {
-			pause := vmPause(set)
-			assert.Assert(t, pause >= mean/2 && pause < mean+mean/2, "%d entries: %s", entries, pause)
+			interval := vmListInterval(set)
+			assert.Assert(t, interval >= mean/2 && interval < mean+mean/2, "%d entries: %s", entries, interval)
 		}
 	}
 }
 
-// TestLeavingServerOutsideTheSubsetIsTold: the entry that reads the list may have no
-// link to the server that it says is leaving.
-func TestLeavingServerOutsideTheSubsetIsTold(t *testing.T) {
+// TestLeavingServerOutsideSubsetIsNotified: the entry that polls the list may have no link to a server that
+// the list marks as leaving.
+func TestLeavingServerOutsideSubsetIsNotified(t *testing.T) {
 	set := DefaultSettings()
 	set.Policy.SubsetSize = 1
 	quiet := event.New("test", "t", log.PanicLevel)
@@ -37,7 +37,7 @@
 	defer s.pool.close()
 	d := dissemination.Delta{Head: 1}
 	var vms []store.VM
-	for i := range 2 * maxGuestsTold {
+	for i := range 2 * maxTemporaryLinks {
 		id := fmt.Sprintf("b%d", i)
 		body := fmt.Sprintf("id: %s\naddress: 127.0.0.1:1\nzone: z\nrole: decode\nmodels: [m]\n", id)
 		d.Records = append(d.Records, dissemination.Record{Key: dissemination.BackendPrefix + id, Revision: 1, Value: []byte(body)})
@@ -48,18 +48,18 @@
 	s.pool.refresh()
 	assert.Equal(t, len(s.pool.all()), 1)
 
-	s.pool.markListed(vms)
-	assert.Equal(t, len(s.pool.all()), 1+maxGuestsTold)
-	later := time.Now().Add(2 * guestLife)
-	guests := 0
+	s.pool.setListedLeaving(vms)
+	assert.Equal(t, len(s.pool.all()), 1+maxTemporaryLinks)
+	later := time.Now().Add(2 * temporaryLinkTTL)
+	temporary := 0
 	for _, pr := range s.pool.all() {
-		if pr.isGuest(later) {
-			guests++
+		if pr.keepTemporary(later) {
+			temporary++
 		}
 	}
-	assert.Equal(t, guests, maxGuestsTold, "kept while they are listed")
-	s.pool.markListed(nil)
+	assert.Equal(t, temporary, maxTemporaryLinks, "kept while they are listed")
+	s.pool.setListedLeaving(nil)
 	for _, pr := range s.pool.all() {
-		assert.Assert(t, !pr.isGuest(later))
+		assert.Assert(t, !pr.keepTemporary(later))
 	}
 }
