--- a/forward/interrupted.go
+++ b/forward/interrupted.go
@@ -10,21 +10,21 @@
 // interrupted tracks which requests were in progress at servers that terminated. It is safe for concurrent use.
 type interrupted struct {
 	mu      sync.Mutex
-	tracker *quarantine.Ends
+	tracker *quarantine.Terminations
 	// probed are the servers that are being probed.
 	probed map[string]struct{}
 }
 
 func newInterrupted() *interrupted {
-	return &interrupted{tracker: quarantine.NewEnds(), probed: map[string]struct{}{}}
+	return &interrupted{tracker: quarantine.NewTerminations(), probed: map[string]struct{}{}}
 }
 
 // add records an interrupted attempt. It returns whether its server is known to have terminated, and whether to probe
 // it: if it cut the connection and no other probe is in progress.
-func (r *interrupted) add(id string, b quarantine.Broken, cut bool) (terminated, probe bool) {
+func (r *interrupted) add(id string, b quarantine.BrokenAttempt, cut bool) (terminated, probe bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.tracker.Broke(id, b, time.Now()) {
+	if r.tracker.AttemptBroken(id, b, time.Now()) {
 		return true, false
 	}
 	if _, ok := r.probed[id]; ok || !cut {
@@ -40,10 +40,10 @@
 	delete(r.probed, id)
 }
 
-func (r *interrupted) serverTerminated(id string) []quarantine.Broken {
+func (r *interrupted) serverTerminated(id string) []quarantine.BrokenAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tracker.Ended(id, time.Now())
+	return r.tracker.ServerTerminated(id, time.Now())
 }
 
 // unlisted returns the servers with interrupted attempts that known does not report, and drops expired entries.
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	r.tracker.Expire(time.Now())
 	var out []string
-	for _, id := range r.tracker.Waiting() {
+	for _, id := range r.tracker.Unconfirmed() {
 		if !known(id) {
 			out = append(out, id)
 		}
--- a/forward/terminations_test.go
+++ b/forward/terminations_test.go
@@ -129,7 +129,7 @@
 // and answered in between: it is never quarantined.
 func TestAnsweredRequestIsNotSuspected(t *testing.T) {
 	w := newTestEnv(t)
-	for i := range quarantine.MostEnds + 1 {
+	for i := range quarantine.MaxTerminations + 1 {
 		s := w.add(t, fmt.Sprint("p", i), "plain", registry.Whole)
 		s.Behave(site.Mute)
 		done := make(chan answer, 1)
--- a/forward/types.go
+++ b/forward/types.go
@@ -127,7 +127,7 @@
 	// Held reports whether a request is quarantined, and for how much longer.
 	Held(d fingerprint.Digest) (time.Duration, bool)
 	// ServerTerminated takes the requests that were in progress at a terminated server.
-	ServerTerminated(server string, broken []quarantine.Broken)
+	ServerTerminated(server string, broken []quarantine.BrokenAttempt)
 	// RequestSucceeded records that a server answered a request successfully.
 	RequestSucceeded(d fingerprint.Digest)
 }
