--- a/entry/limiter.go
+++ b/entry/limiter.go
@@ -35,7 +35,7 @@
 }
 
 // allowance is what an attempt carries to the sidecars that meter demand: the weight of the request, and the
-// demand and running requests of the customer from which a sidecar reports them.
+// levels of the customer's demand and running requests from which a sidecar reports them.
 type allowance struct {
 	weightMilli, reportRateMilli, reportRunning uint32
 }
--- a/entry/subset.go
+++ b/entry/subset.go
@@ -56,7 +56,7 @@
 	return out
 }
 
-// newView returns the view of list, which is old itself when it is of the same list.
+// newView returns the view of list, or old itself when old was built from the same list.
 func newView(old *backendView, set Settings, list []contract.Backend) *backendView {
 	if old != nil && sameList(old.list, list) {
 		return old
