--- a/route/tenants_test.go
+++ b/route/tenants_test.go
@@ -26,16 +26,16 @@
 	assert.Assert(t, !ok)
 }
 
-func TestTenantsThatCannotBe(t *testing.T) {
+func TestInvalidTenants(t *testing.T) {
 	shared := []apikey.Hash{apikey.Of("k")}
 	for name, c := range map[string]struct {
 		list        []route.Tenant
 		tenant, key int
 	}{
-		"no name":                   {[]route.Tenant{{Name: "a"}, {}}, 1, -1},
-		"one name for two":          {[]route.Tenant{{Name: "a"}, {Name: "a"}}, 1, -1},
-		"one key for two":           {[]route.Tenant{{Name: "a", Keys: shared}, {Name: "b", Keys: shared}}, 1, 0},
-		"one key twice of the same": {[]route.Tenant{{Name: "a", Keys: append(shared, shared...)}}, 0, 1},
+		"no name":                     {[]route.Tenant{{Name: "a"}, {}}, 1, -1},
+		"two tenants with one name":   {[]route.Tenant{{Name: "a"}, {Name: "a"}}, 1, -1},
+		"two tenants with one key":    {[]route.Tenant{{Name: "a", Keys: shared}, {Name: "b", Keys: shared}}, 1, 0},
+		"one tenant with a key twice": {[]route.Tenant{{Name: "a", Keys: append(shared, shared...)}}, 0, 1},
 	} {
 		_, err := route.NewTenants(c.list)
 		var fault *route.TenantError
@@ -46,10 +46,10 @@
 }
 
 func TestCost(t *testing.T) {
-	tokens := route.Quota{Unit: route.Tokens, Plain: 200}
+	tokens := route.Quota{Unit: route.Tokens, DefaultCost: 200}
 	assert.Equal(t, tokens.Cost(1540, true), 1540.0)
 	assert.Equal(t, tokens.Cost(0, false), 200.0)
 	assert.Equal(t, tokens.Cost(0, true), 0.0)
-	requests := route.Quota{Plain: 200}
+	requests := route.Quota{DefaultCost: 200}
 	assert.Equal(t, requests.Cost(1540, true), 1.0)
 }
