--- a/entry/frames.go
+++ b/entry/frames.go
@@ -21,7 +21,7 @@
 		p.onWelcome(l, b.Welcome)
 		p.pool.offered(p, b.Welcome.GetHeadRevision())
 	case *wire.SidecarFrame_Beat:
-		l.Heard(time.Duration(b.Beat.GetIntervalMs()) * time.Millisecond)
+		l.ReceiveHeartbeat(time.Duration(b.Beat.GetIntervalMs()) * time.Millisecond)
 		p.onBeat(b.Beat)
 		p.pool.offered(p, b.Beat.GetHeadRevision())
 	case *wire.SidecarFrame_Records:
@@ -71,7 +71,7 @@
 	l := p.link
 	p.mu.Unlock()
 	if l != nil {
-		l.BeatNow()
+		l.SendHeartbeat()
 	}
 }
 
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -78,7 +78,7 @@
 	defer s.pool.close()
 	p := newPeer(s.pool, contract.Backend{ID: "b"})
 	l := link.New[wire.EntryFrame, wire.SidecarFrame](nil, link.Options[wire.EntryFrame]{
-		Beat: time.Second, IdleBeat: time.Second, Silence: time.Second, QueueLimit: 1 << 20, MakeBeat: p.beat,
+		HeartbeatInterval: time.Second, IdleHeartbeatInterval: time.Second, SilenceLimit: time.Second, QueueLimit: 1 << 20, MakeHeartbeat: p.beat,
 		Active: func() bool { return true },
 	})
 	sink := &recorder{}
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -81,7 +81,7 @@
 	switch {
 	case errors.Is(err, errProtocol):
 		return event.LinkRefused
-	case errors.Is(err, link.ErrSilent):
+	case errors.Is(err, link.ErrUnresponsive):
 		return event.LinkSilent
 	default:
 		return event.LinkDown
@@ -133,14 +133,14 @@
 // newLink returns a link on which the hello has been sent.
 func (p *peer) newLink(stream wire.DRPCSidecar_SessionClient, transport io.Closer) *entryLink {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		Beat:       p.pool.set.Timing.Beat,
-		IdleBeat:   p.pool.set.Timing.IdleBeat,
-		Silence:    p.pool.set.Timing.Silence,
-		QueueLimit: p.pool.set.Bounds.LinkQueue,
-		Active:     func() bool { return p.outstanding() > 0 },
-		MakeBeat:   p.beat,
-		Transport:  transport,
-		Dropped: func(err error) {
+		HeartbeatInterval:     p.pool.set.Timing.Beat,
+		IdleHeartbeatInterval: p.pool.set.Timing.IdleBeat,
+		SilenceLimit:          p.pool.set.Timing.Silence,
+		QueueLimit:            p.pool.set.Bounds.LinkQueue,
+		Active:                func() bool { return p.outstanding() > 0 },
+		MakeHeartbeat:         p.beat,
+		Transport:             transport,
+		OnDropped: func(err error) {
 			event.FrameDropped.Log(p.pool.log).Str("backend", p.backend.ID).Err(err).Msg("")
 		},
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -252,10 +252,10 @@
 		case <-t.C:
 		}
 		traffic = s.tellTraffic(traffic)
-		live := s.peers.Count()
+		live := s.peers.LiveGateways()
 		s.view.others.Store(int64(live - 1))
 		s.view.routers.Store(int64(max(live, len(s.set.Seeds))))
-		s.fwd.SetPeerLoads(s.placed.refresh(s.peers.Pace(), time.Now()))
+		s.fwd.SetPeerLoads(s.placed.refresh(s.peers.ExchangeInterval(), time.Now()))
 		addrs, ids := s.view.known()
 		s.pool.Sweep(func(addr string) bool { return addrs[addr] })
 		s.guard.Expire()
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -56,7 +56,7 @@
 				f := newFleet(ctx, 15, manyGateways-15)
 				time.Sleep(settle)
 				// All pairs exchange reports once in a pace.
-				pace := f.gateways[0].peers.Pace()
+				pace := f.gateways[0].peers.ExchangeInterval()
 				assert.Assert(t, soon < paces*pace)
 				before := f.exchanges()
 				time.Sleep(paces * pace)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -11,7 +11,7 @@
 	"github.com/hibiscusspur/hibiscusspur/registry"
 )
 
-var _ peer.Beliefs = (*Service)(nil)
+var _ peer.LocalState = (*Service)(nil)
 
 // reportServers is the most servers that a report names: 8 kB, which come through a link of 10 Mbit/s
 // from twenty gateways in 130 ms. More are fetched by the gateway that lacks them.
@@ -31,7 +31,7 @@
 	}
 }
 
-// Report implements peer.Beliefs. A table is told by its version alone: handed out whole to whoever was
+// Report implements peer.LocalState. A table is told by its version alone: handed out whole to whoever was
 // thought to be behind, tables that all had filled the links of small VMs for minutes, 23 MB a second
 // over 21 gateways by event 725, and newer ones did not come through.
 func (s *Service) Report(servers int64) *peer.Report {
@@ -50,7 +50,7 @@
 	r.Usages = s.quotas.tell(false)
 	r.LeavingServers = s.view.leaving.all()
 	r.ServerLimits = encodeServerLimits(s.fwd.ServerLimits().Report(false), time.Now())
-	r.Suspects = s.guard.Report(max(suspectsTold, suspectsPaces*s.peers.Pace()))
+	r.Suspects = s.guard.Report(max(suspectsTold, suspectsPaces*s.peers.ExchangeInterval()))
 	now := time.Now()
 	for service, use := range s.fwd.ServiceLoads() {
 		r.Readings = append(r.Readings, &peer.Reading{
@@ -66,8 +66,8 @@
 	return r
 }
 
-// Take implements peer.Beliefs.
-func (s *Service) Take(r *peer.Report) {
+// Receive implements peer.LocalState.
+func (s *Service) Receive(r *peer.Report) {
 	now := time.Now()
 	from := "gateway " + r.GetVm()
 	if r.GetServersTold() {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TakePlacement implements peer.Beliefs.
-func (s *Service) TakePlacement(p *peer.Placement) {
+// ReceivePlacement implements peer.LocalState.
+func (s *Service) ReceivePlacement(p *peer.Placement) {
 	s.view.toldLeaving(p.GetLeavingServers())
 	s.guard.Take(p.GetSuspects(), "gateway "+p.GetAddr())
 	s.quotas.hear(p.GetAddr(), p.GetIncarnation(), false, p.GetUsages())
@@ -130,19 +130,19 @@
 			ServerLimits: encodeServerLimits(s.fwd.ServerLimits().Report(true), time.Now()), LeavingServers: s.view.leaving.takeNews(),
 		}
 		if proto.Size(news) > 0 {
-			s.peers.Tell(news)
+			s.peers.Broadcast(news)
 		}
 	}
 }
 
-// Lost implements peer.Beliefs.
-func (s *Service) Lost(addr string, err error) {
+// PeerLost implements peer.LocalState.
+func (s *Service) PeerLost(addr string, err error) {
 	s.quotas.lost(addr)
 	s.fwd.ServerLimits().MarkUnresponsive(addr)
 	event.PeerLost.Log(s.log).Str("peer", addr).Err(err).Msg("")
 }
 
-// Regained implements peer.Beliefs.
-func (s *Service) Regained(addr string) {
+// PeerRegained implements peer.LocalState.
+func (s *Service) PeerRegained(addr string) {
 	event.PeerRegained.Log(s.log).Str("peer", addr).Msg("")
 }
--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -228,7 +228,7 @@
 		pause(ctx, askInterval)
 		age, known := s.proofs.age()
 		if s.keyed() && (!known || age >= askAge) {
-			s.peers.Ask()
+			s.peers.QueryPeers()
 		}
 		if now := s.keyed() && !s.proofs.bounds.Trusted(age, known); now != refused {
 			refused = now
@@ -250,10 +250,10 @@
 	return age.Milliseconds()
 }
 
-// Uptime implements peer.Beliefs.
+// Uptime implements peer.LocalState.
 func (s *Service) Uptime() time.Duration { return s.proofs.now() }
 
-// TakeProof implements peer.Beliefs.
-func (s *Service) TakeProof(version int64, at time.Duration) {
+// ReceiveProof implements peer.LocalState.
+func (s *Service) ReceiveProof(version int64, at time.Duration) {
 	s.proofs.prove(freshness.Proof{Version: version, At: at})
 }
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -118,8 +118,8 @@
 func (s *Service) followQuotas(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, limit.MemberCheckInterval)
-		s.quotas.refresh(s.peers.Pace())
-		s.fwd.ServerLimits().CheckMembers(s.view.Routers(), s.peers.Pace())
+		s.quotas.refresh(s.peers.ExchangeInterval())
+		s.fwd.ServerLimits().CheckMembers(s.view.Routers(), s.peers.ExchangeInterval())
 	}
 }
 
--- a/gateway/quotas_test.go
+++ b/gateway/quotas_test.go
@@ -31,20 +31,20 @@
 		for range 8 {
 			assert.Assert(t, take(f.gateways[0]))
 		}
-		time.Sleep(f.gateways[0].peers.Pace())
+		time.Sleep(f.gateways[0].peers.ExchangeInterval())
 		// Most of what was used flowed back in the pause; a burst of it is there at most.
 		for range 10 {
 			take(f.gateways[1])
 		}
-		time.Sleep(2 * f.gateways[0].peers.Pace())
+		time.Sleep(2 * f.gateways[0].peers.ExchangeInterval())
 		before := admitted
 		for range 40 {
 			for _, s := range f.gateways {
 				take(s)
 			}
-			time.Sleep(f.gateways[0].peers.Pace())
+			time.Sleep(f.gateways[0].peers.ExchangeInterval())
 		}
-		spent := 40 * f.gateways[0].peers.Pace().Seconds() * quota.Rate
+		spent := 40 * f.gateways[0].peers.ExchangeInterval().Seconds() * quota.Rate
 		// Reports come to each gateway once in a pause: those of the meantime see no more than the last ones told.
 		most := int(spent+quota.Burst)/100 + len(f.gateways)
 		t.Logf("%d admitted, %d at most", admitted-before, most)
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/peer"
 )
 
-// Version implements peer.Beliefs; zero means none, as in reports. It is asked for with each report
+// Version implements peer.LocalState; zero means none, as in reports. It is asked for with each report
 // that comes in, and must not look at the list: copying a thousand servers each time took 11 % of a core.
 func (s *Service) Version(state peer.State) int64 {
 	if state == peer.State_ROUTE_TABLE {
@@ -17,7 +17,7 @@
 	return s.view.listVersion()
 }
 
-// EncodedState implements peer.Beliefs.
+// EncodedState implements peer.LocalState.
 func (s *Service) EncodedState(state peer.State) (int64, []byte) {
 	if state == peer.State_ROUTE_TABLE {
 		if e := s.view.encoded.Load(); e != nil {
@@ -34,8 +34,8 @@
 	return version, data
 }
 
-// TakeState implements peer.Beliefs.
-func (s *Service) TakeState(state peer.State, version int64, data []byte, from string) error {
+// ApplyState implements peer.LocalState.
+func (s *Service) ApplyState(state peer.State, version int64, data []byte, from string) error {
 	from = "gateway " + from
 	if state == peer.State_ROUTE_TABLE {
 		return s.takeEncodedTable(version, data, from)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Fetched implements peer.Beliefs.
+// Fetched implements peer.LocalState.
 func (s *Service) Fetched(f peer.Fetch) {
 	s.met.Counter(metrics.Fetches).Inc(1)
 	e := event.StateFetched
@@ -75,5 +75,5 @@
 	line.Msg("")
 }
 
-// StoreLost implements peer.Beliefs.
+// StoreLost implements peer.LocalState.
 func (s *Service) StoreLost() bool { return s.storeLost.Load() }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -48,9 +48,9 @@
 		case <-s.guard.News():
 		}
 		pause(ctx, tellInterval)
-		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
+		s.peers.Broadcast(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
 		s.peers.Spread()
 		pause(ctx, suspectsRepeat)
-		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
+		s.peers.Broadcast(&peer.Placement{Suspects: s.guard.Recent(suspectsNew)})
 	}
 }
--- a/link/idle_test.go
+++ b/link/idle_test.go
@@ -34,12 +34,12 @@
 			}
 			return <-ended
 		})
-		near.opts.IdleBeat = idle
+		near.opts.IdleHeartbeatInterval = idle
 		near.opts.Active = func() bool { looks++; return false }
 		err := near.Run(t.Context(), func(f *wire.SidecarFrame) {
-			near.Heard(time.Duration(f.GetBeat().GetIntervalMs()) * time.Millisecond)
+			near.ReceiveHeartbeat(time.Duration(f.GetBeat().GetIntervalMs()) * time.Millisecond)
 		})
-		assert.ErrorIs(t, err, ErrSilent)
+		assert.ErrorIs(t, err, ErrUnresponsive)
 		assert.Assert(t, time.Since(start) <= promised+silence+2*beat, "after %s", time.Since(start))
 		assert.Assert(t, looks < 80, "%d looks", looks)
 	})
--- a/link/link.go
+++ b/link/link.go
@@ -20,8 +20,8 @@
 var (
 	// ErrClosed means that the link was closed by this side.
 	ErrClosed = merry.Sentinel("link closed")
-	// ErrSilent means that nothing was received within the silence limit.
-	ErrSilent = merry.Sentinel("link silent")
+	// ErrUnresponsive means that nothing was received within the silence limit.
+	ErrUnresponsive = merry.Sentinel("link silent")
 	// ErrOverflow means that the peer does not take frames as fast as they come.
 	ErrOverflow = merry.Sentinel("link queue full")
 )
@@ -36,20 +36,20 @@
 
 // Options tune a link.
 type Options[Out any] struct {
-	// Beat is the interval of heartbeats while Active; frames of any kind stand in
-	// for them. IdleBeat is the interval otherwise.
-	Beat, IdleBeat time.Duration
-	// Silence is how long an active peer may be silent before the link is taken
+	// HeartbeatInterval is the interval of heartbeats while Active; frames of any kind stand in
+	// for them. IdleHeartbeatInterval is the interval otherwise.
+	HeartbeatInterval, IdleHeartbeatInterval time.Duration
+	// SilenceLimit is how long an active peer may be silent before the link is taken
 	// for dead; an idle peer has as many times its own interval.
-	Silence time.Duration
+	SilenceLimit time.Duration
 	// Active reports whether this end has work on the link.
 	Active func() bool
 	// QueueLimit bounds the frames waiting to be written.
 	QueueLimit int
-	// MakeBeat builds the next heartbeat, which promises the next frame within interval.
-	MakeBeat func(interval time.Duration) *Out
-	// Dropped, unless nil, is told of each frame that could not be encoded.
-	Dropped func(error)
+	// MakeHeartbeat builds the next heartbeat, which promises the next frame within interval.
+	MakeHeartbeat func(interval time.Duration) *Out
+	// OnDropped, unless nil, is told of each frame that could not be encoded.
+	OnDropped func(error)
 	// Transport is closed when the link ends, which unblocks a stuck write.
 	Transport io.Closer
 }
@@ -92,7 +92,7 @@
 		hurry:  make(chan struct{}, 1),
 	}
 	l.heard.Store(time.Now().UnixNano())
-	l.peerInterval.Store(int64(opts.Beat))
+	l.peerInterval.Store(int64(opts.HeartbeatInterval))
 	l.pace = pace{active: true, lastSent: time.Now()}
 	return l
 }
@@ -229,15 +229,15 @@
 		return false
 	}
 	_, err := proto.Marshal(m)
-	if err != nil && l.opts.Dropped != nil {
-		l.opts.Dropped(err)
+	if err != nil && l.opts.OnDropped != nil {
+		l.opts.OnDropped(err)
 	}
 	return err != nil
 }
 
 // watch sends heartbeats and ends the link on silence or when ctx ends.
 func (l *Link[Out, In]) watch(ctx context.Context) {
-	t := time.NewTimer(l.opts.Beat)
+	t := time.NewTimer(l.opts.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -247,10 +247,10 @@
 		case <-l.done:
 			return
 		case <-l.hurry:
-			t.Reset(l.opts.Beat)
+			t.Reset(l.opts.HeartbeatInterval)
 		case now := <-t.C:
 			if now.UnixNano()-l.heard.Load() > int64(l.silence()) {
-				l.end(ErrSilent)
+				l.end(ErrUnresponsive)
 				return
 			}
 			l.beat(now)
@@ -264,15 +264,15 @@
 func (l *Link[Out, In]) nextTick() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slow = !l.pace.active && time.Duration(l.peerInterval.Load()) >= l.opts.IdleBeat
+	l.slow = !l.pace.active && time.Duration(l.peerInterval.Load()) >= l.opts.IdleHeartbeatInterval
 	if l.slow {
 		return l.slowTick()
 	}
-	return l.opts.Beat
+	return l.opts.HeartbeatInterval
 }
 
 func (l *Link[Out, In]) slowTick() time.Duration {
-	return max(l.opts.Beat, l.opts.IdleBeat/slowTicks)
+	return max(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval/slowTicks)
 }
 
 // hasten ends a long time between two looks at the link. The caller holds mu.
@@ -290,16 +290,16 @@
 // silence scales the limit with what the peer has promised.
 func (l *Link[Out, In]) silence() time.Duration {
 	promised := time.Duration(l.peerInterval.Load())
-	return time.Duration(float64(l.opts.Silence) * float64(promised) / float64(l.opts.Beat))
+	return time.Duration(float64(l.opts.SilenceLimit) * float64(promised) / float64(l.opts.HeartbeatInterval))
 }
 
-// Heard takes the interval that the peer promises in its heartbeat.
-func (l *Link[Out, In]) Heard(interval time.Duration) {
+// ReceiveHeartbeat takes the interval that the peer promises in its heartbeat.
+func (l *Link[Out, In]) ReceiveHeartbeat(interval time.Duration) {
 	if interval <= 0 {
 		return
 	}
 	l.peerInterval.Store(int64(interval))
-	if interval < l.opts.IdleBeat {
+	if interval < l.opts.IdleHeartbeatInterval {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.hasten()
@@ -310,28 +310,28 @@
 func (l *Link[Out, In]) beat(now time.Time) {
 	active := l.opts.Active()
 	l.mu.Lock()
-	tick := l.opts.Beat
+	tick := l.opts.HeartbeatInterval
 	if l.slow {
 		tick = l.slowTick()
 	}
-	due := l.pace.due(now, active, tick, l.opts.Beat, l.opts.IdleBeat)
-	interval := l.pace.interval(l.opts.Beat, l.opts.IdleBeat)
+	due := l.pace.due(now, active, tick, l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
+	interval := l.pace.interval(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
 	l.mu.Unlock()
 	if due {
-		_ = l.queueFrame(l.opts.MakeBeat(interval), false)
+		_ = l.queueFrame(l.opts.MakeHeartbeat(interval), false)
 	}
 }
 
-// BeatNow sends a heartbeat at once, at the present pace.
-func (l *Link[Out, In]) BeatNow() {
-	_ = l.Send(l.opts.MakeBeat(l.Interval()))
+// SendHeartbeat sends a heartbeat at once, at the present pace.
+func (l *Link[Out, In]) SendHeartbeat() {
+	_ = l.Send(l.opts.MakeHeartbeat(l.HeartbeatInterval()))
 }
 
-// Interval is what this end promises at the present pace.
-func (l *Link[Out, In]) Interval() time.Duration {
+// HeartbeatInterval is what this end promises at the present pace.
+func (l *Link[Out, In]) HeartbeatInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pace.interval(l.opts.Beat, l.opts.IdleBeat)
+	return l.pace.interval(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
 }
 
 // Activate promises the active interval at once. Call it before the first frame
@@ -343,7 +343,7 @@
 	l.pace.idleTicks = 0
 	l.mu.Unlock()
 	if !was {
-		_ = l.Send(l.opts.MakeBeat(l.opts.Beat))
+		_ = l.Send(l.opts.MakeHeartbeat(l.opts.HeartbeatInterval))
 	}
 }
 
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -49,10 +49,10 @@
 	stream, err := wire.NewDRPCSidecarClient(conn).Session(t.Context())
 	assert.NilError(t, err)
 	return New(stream, Options[wire.EntryFrame]{
-		Beat: beat, IdleBeat: 4 * beat, Silence: silence, QueueLimit: 2000,
-		Active:    func() bool { return true },
-		MakeBeat:  func(time.Duration) *wire.EntryFrame { return beatFrame() },
-		Transport: a,
+		HeartbeatInterval: beat, IdleHeartbeatInterval: 4 * beat, SilenceLimit: silence, QueueLimit: 2000,
+		Active:        func() bool { return true },
+		MakeHeartbeat: func(time.Duration) *wire.EntryFrame { return beatFrame() },
+		Transport:     a,
 	})
 }
 
@@ -68,9 +68,9 @@
 func answering(got func(*wire.EntryFrame)) handler {
 	return func(s wire.DRPCSidecar_SessionStream) error {
 		var l *sidecarEnd = New(s, Options[wire.SidecarFrame]{
-			Beat: beat, IdleBeat: 4 * beat, Silence: silence, QueueLimit: 2000,
-			Active:   func() bool { return true },
-			MakeBeat: func(time.Duration) *wire.SidecarFrame { return &wire.SidecarFrame{} },
+			HeartbeatInterval: beat, IdleHeartbeatInterval: 4 * beat, SilenceLimit: silence, QueueLimit: 2000,
+			Active:        func() bool { return true },
+			MakeHeartbeat: func(time.Duration) *wire.SidecarFrame { return &wire.SidecarFrame{} },
 		})
 		return l.Run(context.Background(), got)
 	}
@@ -125,14 +125,14 @@
 		// after is when the link has ended at the latest.
 		after time.Duration
 	}{
-		{"silent peer", deaf, nil, ErrSilent, silence + 2*beat},
+		{"silent peer", deaf, nil, ErrUnresponsive, silence + 2*beat},
 		{"peer that only listens", func(s wire.DRPCSidecar_SessionStream) error {
 			for {
 				if _, err := s.Recv(); err != nil {
 					return err
 				}
 			}
-		}, nil, ErrSilent, silence + 2*beat},
+		}, nil, ErrUnresponsive, silence + 2*beat},
 		{"closed here", answering(func(*wire.EntryFrame) {}), func(l *entryEnd, _ context.CancelFunc) { l.Close() }, ErrClosed, 0},
 		{"context ended", answering(func(*wire.EntryFrame) {}), func(_ *entryEnd, cancel context.CancelFunc) { cancel() }, context.Canceled, 0},
 		{"peer that reads nothing and many frames", deaf, func(l *entryEnd, _ context.CancelFunc) {
--- a/load/capacity/peer.go
+++ b/load/capacity/peer.go
@@ -49,10 +49,10 @@
 
 func serveIdle(ctx context.Context, conn *drpcconn.Conn, stream wire.DRPCSidecar_SessionClient, set entry.Settings, id string) error {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		Beat: set.Timing.Beat, IdleBeat: set.Timing.IdleBeat, Silence: set.Timing.Silence,
+		HeartbeatInterval: set.Timing.Beat, IdleHeartbeatInterval: set.Timing.IdleBeat, SilenceLimit: set.Timing.Silence,
 		QueueLimit: set.Bounds.LinkQueue,
 		Active:     func() bool { return false },
-		MakeBeat: func(interval time.Duration) *wire.EntryFrame {
+		MakeHeartbeat: func(interval time.Duration) *wire.EntryFrame {
 			return &wire.EntryFrame{Body: &wire.EntryFrame_Beat{Beat: &wire.EntryBeat{IntervalMs: uint32(interval.Milliseconds())}}}
 		},
 		Transport: conn.Transport(),
@@ -61,6 +61,6 @@
 		Protocol: wire.Protocol, EntryId: id, Incarnation: rand.Text(), Zone: "zone-a",
 	}}})
 	return l.Run(ctx, func(f *wire.SidecarFrame) {
-		l.Heard(time.Duration(f.GetBeat().GetIntervalMs()) * time.Millisecond)
+		l.ReceiveHeartbeat(time.Duration(f.GetBeat().GetIntervalMs()) * time.Millisecond)
 	})
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -103,7 +103,7 @@
 	kicked := false
 	for ctx.Err() == nil {
 		if !kicked && s.covered(l.addr) {
-			kicked = wait(ctx, jitter(s.Pace()), l.now)
+			kicked = wait(ctx, jitter(s.ExchangeInterval()), l.now)
 			continue
 		}
 		again, err := s.exchange(ctx, l)
@@ -117,7 +117,7 @@
 			l.conn.hangUp()
 			kicked = wait(ctx, redial, l.now)
 		case !again:
-			kicked = wait(ctx, jitter(s.Pace()), l.now)
+			kicked = wait(ctx, jitter(s.ExchangeInterval()), l.now)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	if addr > s.self {
 		return false
 	}
-	pace := s.Pace()
+	pace := s.ExchangeInterval()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.asked[addr]) < coveredFor*pace
@@ -150,7 +150,7 @@
 	}
 	s.take(in)
 	if v := in.GetProvedVersion(); v > 0 {
-		s.beliefs.TakeProof(v, asked-time.Duration(in.GetProvedAgeMs())*time.Millisecond)
+		s.beliefs.ReceiveProof(v, asked-time.Duration(in.GetProvedAgeMs())*time.Millisecond)
 	}
 	// Changes are of use only to a peer that has the version before them.
 	sent := out.GetServersTold() && out.GetServersBase() == 0
@@ -164,15 +164,15 @@
 	if lost := err != nil; lost != l.lost {
 		l.lost = lost
 		if lost {
-			s.beliefs.Lost(l.addr, err)
+			s.beliefs.PeerLost(l.addr, err)
 			return
 		}
-		s.beliefs.Regained(l.addr)
+		s.beliefs.PeerRegained(l.addr)
 	}
 }
 
-// Pace is the pause between two exchanges with one peer.
-func (s *Service) Pace() time.Duration {
+// ExchangeInterval is the pause between two exchanges with one peer.
+func (s *Service) ExchangeInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return paceAmong(len(s.links))
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -132,7 +132,7 @@
 }
 
 func (f *fetcher) take(done Fetch, data []byte) {
-	if err := f.s.beliefs.TakeState(f.state, done.Version, data, done.From); err != nil {
+	if err := f.s.beliefs.ApplyState(f.state, done.Version, data, done.From); err != nil {
 		f.mu.Lock()
 		f.refused = done.Version
 		f.mu.Unlock()
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -23,40 +23,40 @@
 	"github.com/hibiscusspur/hibiscusspur/link"
 )
 
-// Beliefs are what a gateway tells and takes. It must be safe for concurrent use.
-type Beliefs interface {
+// LocalState are what a gateway tells and takes. It must be safe for concurrent use.
+type LocalState interface {
 	// Report returns what is told to a peer that has this version of the list of servers;
 	// changes that it lacks are included if they are few. Members are left out.
 	Report(servers int64) *Report
-	// Take takes what a peer told.
-	Take(r *Report)
+	// Receive takes what a peer told.
+	Receive(r *Report)
 	// Version is that of the state in force here; zero if there is none.
 	Version(state State) int64
 	// EncodedState returns a state and its version; nil if there is none. The bytes must not be
 	// changed.
 	EncodedState(state State) (version int64, data []byte)
-	// TakeState takes a state that was fetched from a peer. An error means that it can't be used.
-	TakeState(state State, version int64, data []byte, from string) error
+	// ApplyState takes a state that was fetched from a peer. An error means that it can't be used.
+	ApplyState(state State, version int64, data []byte, from string) error
 	// Uptime is a clock that goes on while the VM is suspended.
 	Uptime() time.Duration
-	// TakeProof takes from a peer that a version of the route table was the newest at a time of Uptime.
-	TakeProof(version int64, at time.Duration)
+	// ReceiveProof takes from a peer that a version of the route table was the newest at a time of Uptime.
+	ReceiveProof(version int64, at time.Duration)
 	// StoreLost reports whether the last call of the store failed.
 	StoreLost() bool
 	// Fetched is called after each fetch.
 	Fetched(f Fetch)
-	// TakePlacement takes what a peer told in a datagram. Datagrams may be lost, come
+	// ReceivePlacement takes what a peer told in a datagram. Datagrams may be lost, come
 	// twice or in another order; the next report makes good for it.
-	TakePlacement(p *Placement)
-	// Lost and Regained are called when a peer is not heard any more, and when it is again.
-	Lost(addr string, err error)
-	Regained(addr string)
+	ReceivePlacement(p *Placement)
+	// PeerLost and Regained are called when a peer is not heard any more, and when it is again.
+	PeerLost(addr string, err error)
+	PeerRegained(addr string)
 }
 
 // Service exchanges reports with the other gateways.
 type Service struct {
 	net     Network
-	beliefs Beliefs
+	beliefs LocalState
 	self    string
 	// incarnation tells this process from the ones before it at the same address.
 	incarnation uint64
@@ -79,7 +79,7 @@
 
 // New returns the service of the gateway that listens at self.
 // Datagrams are exchanged on port, the same at every gateway; zero means none.
-func New(self string, port int, seeds []string, b Beliefs) *Service {
+func New(self string, port int, seeds []string, b LocalState) *Service {
 	s := &Service{
 		net: tcp{}, beliefs: b, self: self, members: NewMembers(self), seeds: seeds,
 		datagrams: newDatagrams(port), incarnation: rand.Uint64(),
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.datagrams.listen(ctx, s.self, s.beliefs.TakePlacement); err != nil {
+	if err := s.datagrams.listen(ctx, s.self, s.beliefs.ReceivePlacement); err != nil {
 		return err
 	}
 	mux := drpcmux.New()
@@ -120,8 +120,8 @@
 	s.seeds = seeds
 }
 
-// Tell tells all live peers of what has just changed, in datagrams. Who tells it is filled in.
-func (s *Service) Tell(p *Placement) {
+// Broadcast tells all live peers of what has just changed, in datagrams. Who tells it is filled in.
+func (s *Service) Broadcast(p *Placement) {
 	s.mu.Lock()
 	reached := s.members.Reached(time.Now())
 	s.mu.Unlock()
@@ -139,8 +139,8 @@
 	}
 }
 
-// Ask makes an exchange with a few peers at once, which are drawn anew each time.
-func (s *Service) Ask() { s.kick(askOf) }
+// QueryPeers makes an exchange with a few peers at once, which are drawn anew each time.
+func (s *Service) QueryPeers() { s.kick(askOf) }
 
 // Spread has a few peers told at once, which are drawn anew each time. It is for news that came from another
 // gateway, or that all read from the store at the same moment: those whom its source could not tell hear of
@@ -168,8 +168,8 @@
 	s.Announce()
 }
 
-// Count is the number of live gateways, this one included.
-func (s *Service) Count() int {
+// LiveGateways is the number of live gateways, this one included.
+func (s *Service) LiveGateways() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.members.Live(time.Now())) + 1
@@ -217,7 +217,7 @@
 		default:
 		}
 	}
-	s.beliefs.Take(in)
+	s.beliefs.Receive(in)
 	s.fetchers[State_ROUTE_TABLE].offer(in.GetAddr(), in.GetTableVersion())
 	s.fetchers[State_SERVER_LIST].offer(in.GetAddr(), in.GetServersVersion())
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -53,7 +53,7 @@
 	return r
 }
 
-func (g *gateway) Take(r *Report) {
+func (g *gateway) Receive(r *Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.GetServersTold() {
@@ -94,7 +94,7 @@
 	return version, content(s, version)
 }
 
-func (g *gateway) TakeState(s State, version int64, data []byte, _ string) error {
+func (g *gateway) ApplyState(s State, version int64, data []byte, _ string) error {
 	if !bytes.Equal(data, content(s, version)) {
 		return errors.New("other bytes")
 	}
@@ -113,7 +113,7 @@
 
 func (g *gateway) Uptime() time.Duration { return time.Since(epoch) }
 
-func (g *gateway) TakeProof(version int64, at time.Duration) {
+func (g *gateway) ReceiveProof(version int64, at time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.proofs = append(g.proofs, toldProof{version, at})
@@ -127,7 +127,7 @@
 	g.changed()
 }
 
-func (g *gateway) TakePlacement(p *Placement) {
+func (g *gateway) ReceivePlacement(p *Placement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range p.GetShares() {
@@ -142,8 +142,8 @@
 	g.wake = make(chan struct{})
 }
 
-func (g *gateway) Lost(string, error) {}
-func (g *gateway) Regained(string)    {}
+func (g *gateway) PeerLost(string, error) {}
+func (g *gateway) PeerRegained(string)    {}
 
 // await blocks until the state satisfies ok.
 func (g *gateway) await(t *testing.T, what string, ok func() bool) {
@@ -202,7 +202,7 @@
 	third.await(t, "the change", func() bool { return third.table == 7 && third.servers == 40 })
 	late := run(t, d, c)
 	late.await(t, "what was before its start", func() bool { return late.table == 7 && late.servers == 40 })
-	assert.Assert(t, late.Count() >= 2)
+	assert.Assert(t, late.LiveGateways() >= 2)
 }
 
 // TestLongListIsFetched: what does not fit a report is fetched, once, in parts.
@@ -303,7 +303,7 @@
 	second.proves, second.age = 5, time.Second
 	second.mu.Unlock()
 	before := first.Uptime()
-	first.Ask()
+	first.QueryPeers()
 	first.await(t, "a proof", func() bool { return len(first.proofs) > 0 })
 	first.mu.Lock()
 	defer first.mu.Unlock()
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -19,7 +19,7 @@
 // stateServer hands out parts of what this gateway knows. It keeps what it packed last, so that a version
 // is packed once for all that fetch it.
 type stateServer struct {
-	beliefs Beliefs
+	beliefs LocalState
 	mu      sync.Mutex
 	packed  map[State]packedState
 }
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -104,8 +104,8 @@
 	defer s.Close()
 	sess := &session{entry: &wire.Hello{Incarnation: "e"}}
 	sess.link = link.New[wire.SidecarFrame, wire.EntryFrame](nil, link.Options[wire.SidecarFrame]{
-		Beat: set.Timing.Beat, IdleBeat: set.Timing.IdleBeat, Silence: set.Timing.Silence,
-		QueueLimit: 1 << 20, MakeBeat: s.beat, Active: sess.active.Load,
+		HeartbeatInterval: set.Timing.Beat, IdleHeartbeatInterval: set.Timing.IdleBeat, SilenceLimit: set.Timing.Silence,
+		QueueLimit: 1 << 20, MakeHeartbeat: s.beat, Active: sess.active.Load,
 	})
 	s.join(sess)
 	in := bytes.NewReader(data)
--- a/sidecar/handle.go
+++ b/sidecar/handle.go
@@ -54,7 +54,7 @@
 func (s *Server) applyRecords(sess *session, m *wire.Records) {
 	applied, err := s.state.Apply(dissemination.FromWire(m))
 	if applied {
-		sess.link.BeatNow()
+		sess.link.SendHeartbeat()
 	}
 	if err != nil {
 		event.RecordInvalid.Log(s.log).Err(err).Str("entry", sess.entry.GetEntryId()).Msg("")
@@ -63,7 +63,7 @@
 
 func (s *Server) onBeat(sess *session, b *wire.EntryBeat) {
 	interval := time.Duration(b.GetIntervalMs()) * time.Millisecond
-	sess.link.Heard(interval)
+	sess.link.ReceiveHeartbeat(interval)
 	s.lease(sess).interval = max(interval, s.set.Timing.Beat)
 	s.hearLeaving(func(now time.Time) { s.leaving.Listed(now, sess.entry.GetEntryId(), b.GetListedLeaving()) })
 	sess.has = max(sess.has, b.GetHeadRevision())
--- a/sidecar/ledger_test.go
+++ b/sidecar/ledger_test.go
@@ -73,8 +73,8 @@
 	st := &memoryStream{closed: make(chan struct{})}
 	sess := &session{entry: &wire.Hello{EntryId: entry, Incarnation: entry}}
 	sess.link = link.New(st, link.Options[wire.SidecarFrame]{
-		Beat: time.Hour, IdleBeat: time.Hour, Silence: time.Hour, QueueLimit: 64, Transport: st,
-		Active: func() bool { return false }, MakeBeat: b.beat,
+		HeartbeatInterval: time.Hour, IdleHeartbeatInterval: time.Hour, SilenceLimit: time.Hour, QueueLimit: 64, Transport: st,
+		Active: func() bool { return false }, MakeHeartbeat: b.beat,
 	})
 	go func() { _ = sess.link.Run(b.ctx, func(*wire.EntryFrame) {}) }()
 	b.join(sess)
--- a/sidecar/session.go
+++ b/sidecar/session.go
@@ -50,14 +50,14 @@
 	}
 	sess := &session{entry: hello}
 	opts := link.Options[wire.SidecarFrame]{
-		Beat:       s.set.Timing.Beat,
-		IdleBeat:   s.set.Timing.IdleBeat,
-		Silence:    s.set.Timing.Silence,
-		QueueLimit: s.set.Bounds.LinkQueue,
-		Active:     sess.active.Load,
-		MakeBeat:   func(interval time.Duration) *wire.SidecarFrame { return s.beatTo(sess, interval) },
-		Transport:  transport,
-		Dropped: func(err error) {
+		HeartbeatInterval:     s.set.Timing.Beat,
+		IdleHeartbeatInterval: s.set.Timing.IdleBeat,
+		SilenceLimit:          s.set.Timing.Silence,
+		QueueLimit:            s.set.Bounds.LinkQueue,
+		Active:                sess.active.Load,
+		MakeHeartbeat:         func(interval time.Duration) *wire.SidecarFrame { return s.beatTo(sess, interval) },
+		Transport:             transport,
+		OnDropped: func(err error) {
 			event.FrameDropped.Log(s.log).Str("entry", hello.GetEntryId()).Err(err).Msg("")
 		},
 	}
@@ -71,7 +71,7 @@
 
 // endOf is the event that tells why a link ended.
 func endOf(err error) event.Event {
-	if errors.Is(err, link.ErrSilent) {
+	if errors.Is(err, link.ErrUnresponsive) {
 		return event.LinkSilent
 	}
 	return event.LinkDown
@@ -124,7 +124,7 @@
 // links is not handed the same by each. The caller holds mu.
 func (s *Server) offered(sess *session) {
 	if s.pull.Offer(sess, sess.has, s.state.Head(), time.Now()) {
-		sess.send(s.makeBeat(sess.link.Interval()))
+		sess.send(s.makeBeat(sess.link.HeartbeatInterval()))
 	}
 }
 
@@ -158,7 +158,7 @@
 // answers with its own and is handed the records. The caller must not hold mu.
 func (s *Server) announce() {
 	for _, sess := range s.behind() {
-		sess.link.BeatNow()
+		sess.link.SendHeartbeat()
 	}
 }
 
@@ -177,7 +177,7 @@
 // pullRetry asks for a revision that was announced and has not come. The caller holds mu.
 func (s *Server) pullRetry(now time.Time) {
 	if sess, ok := s.pull.Retry(s.state.Head(), now); ok {
-		sess.send(s.makeBeat(sess.link.Interval()))
+		sess.send(s.makeBeat(sess.link.HeartbeatInterval()))
 	}
 }
 
