--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the clock that goes on while a VM is suspended. Go's monotonic clock stands
-// still meanwhile, so that whatever must not outlast a time is judged by this one.
+// Package clock reads the clock that keeps running while a VM is suspended. Go's monotonic clock stops during
+// a suspension, so time limits that must hold across one are checked against this clock.
 package clock
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Uptime is the time since the VM was started, with the time that it was suspended.
+// Uptime is the time since the VM was booted, including time spent suspended.
 func Uptime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/clock"
 )
 
-func TestUptimeGoesOn(t *testing.T) {
+func TestUptimeIsMonotonic(t *testing.T) {
 	first := clock.Uptime()
 	assert.Assert(t, first > 0)
 	assert.Assert(t, clock.Uptime() >= first)
--- a/kernel/example_test.go
+++ b/kernel/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/kernel"
 )
 
-// step is a service that says what happens to it.
+// step is a service that prints its name when it starts and drains.
 type step struct{ name string }
 
 func (s step) Name() string { return s.name }
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,6 +1,5 @@
-// Package kernel is the core of every daemon: services register under a name,
-// find each other by name, start in the order of registration and drain in
-// reverse.
+// Package kernel is the service container of every daemon: services register under a name, look each other up
+// by name, start in the order of registration and drain in reverse.
 package kernel
 
 import (
@@ -15,16 +14,16 @@
 type Service interface {
 	// Name is unique within a kernel.
 	Name() string
-	// Start makes the service ready and returns; long work goes to goroutines.
-	// The service may look up services registered before it.
+	// Start makes the service ready and returns; long-running work belongs in goroutines. The service may look
+	// up services registered before it.
 	Start(ctx context.Context, k *Kernel) error
-	// Drain stops taking new work, finishes what is in progress and returns. When
-	// ctx ends it gives up what is left.
+	// Drain stops accepting new work, finishes what is in progress and returns. When ctx ends it abandons the
+	// rest.
 	Drain(ctx context.Context) error
 }
 
-// Kernel holds the services of one process. Register and Lookup are for the
-// goroutine that builds and starts it.
+// Kernel holds the services of one process. Register and Lookup must be called from the goroutine that builds
+// and starts it.
 type Kernel struct {
 	services []Service
 	byName   map[string]Service
@@ -60,8 +59,8 @@
 	return t, nil
 }
 
-// Run starts every service, waits for ctx to end, and drains for at most grace.
-// When a service fails to start, those started before it are drained.
+// Run starts every service, waits for ctx to end, and drains for at most grace. If a service fails to start,
+// those started before it are drained.
 func (k *Kernel) Run(ctx context.Context, grace time.Duration) error {
 	for _, s := range k.services {
 		if err := s.Start(ctx, k); err != nil {
--- a/link/dial.go
+++ b/link/dial.go
@@ -14,35 +14,34 @@
 )
 
 const (
-	// MaxFrameBytes bounds one frame, and with it a prompt or a service body.
+	// MaxFrameBytes bounds one frame, and so a prompt or a service body.
 	MaxFrameBytes = 8 << 20
-	// writeBuffer is kept by each end of each link, so it holds a packet, not a batch.
-	writeBuffer = 2 << 10
-	// packetBytes is the size of the parts in which a larger frame is sent. The
-	// buffers of both ends grow to a part and stay so; one for a whole frame is
-	// let go.
+	// writeBufferBytes is the size of the write buffer at each end of each link: a packet rather than a batch,
+	// to save memory.
+	writeBufferBytes = 2 << 10
+	// packetBytes is the size of the packets into which a larger frame is split. The buffers of both ends grow
+	// to the size of a packet and keep it; a buffer for a whole frame is released.
 	packetBytes = 4 << 10
-	// muteTimeout is how long a dialled connection may wait before it opens a session.
-	muteTimeout = 5 * time.Second
+	// sessionTimeout is how long an accepted connection may stay open without a session.
+	sessionTimeout = 5 * time.Second
 )
 
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
-		WriterBufferSize: writeBuffer,
+		WriterBufferSize: writeBufferBytes,
 		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: MaxFrameBytes},
 		Stream:           drpcstream.Options{SplitSize: packetBytes, MaximumBufferSize: packetBytes},
 	}
 }
 
-// serverOptions are the drpc options of the side that listens.
+// serverOptions returns the drpc options of the listening side.
 func serverOptions() drpcserver.Options {
 	o := managerOptions()
-	o.InactivityTimeout = muteTimeout
+	o.InactivityTimeout = sessionTimeout
 	return drpcserver.Options{Manager: o}
 }
 
-// Dial connects to a sidecar at addr ("ip:port"), with TLS when conf is not nil.
-// The bytes are counted in m.
+// Dial connects to a sidecar at addr ("ip:port"), with TLS unless conf is nil. m counts the bytes.
 func Dial(ctx context.Context, addr string, conf *tls.Config, timeout time.Duration, m *Meter) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -63,7 +62,7 @@
 	return Client(conn), nil
 }
 
-// Client makes calls over conn.
+// Client returns a drpc client that makes calls over conn.
 func Client(conn net.Conn) *drpcconn.Conn {
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()})
 }
--- a/link/link.go
+++ b/link/link.go
@@ -1,7 +1,6 @@
-// Package link carries typed frames over one long-lived drpc stream between an
-// entry and a sidecar. It batches writes, sends heartbeats, and takes a link for
-// dead when nothing has been received for a while, since a connection can go
-// silent without ever reporting an error.
+// Package link carries typed frames over one long-lived drpc stream between an entry and a sidecar. It batches
+// writes, sends heartbeats, and declares a link dead when nothing has been received for a while, since a
+// connection can become unresponsive without ever reporting an error.
 package link
 
 import (
@@ -21,9 +20,9 @@
 	// ErrClosed means that the link was closed by this side.
 	ErrClosed = merry.Sentinel("link closed")
 	// ErrUnresponsive means that nothing was received within the silence limit.
-	ErrUnresponsive = merry.Sentinel("link silent")
-	// ErrOverflow means that the peer does not take frames as fast as they come.
-	ErrOverflow = merry.Sentinel("link queue full")
+	ErrUnresponsive = merry.Sentinel("link unresponsive")
+	// ErrOverflow means that the peer accepts frames more slowly than they are queued.
+	ErrOverflow = merry.Sentinel("link send queue full")
 )
 
 // Stream is a drpc stream that sends Out and receives In. The generated client
@@ -36,21 +35,21 @@
 
 // Options tune a link.
 type Options[Out any] struct {
-	// HeartbeatInterval is the interval of heartbeats while Active; frames of any kind stand in
-	// for them. IdleHeartbeatInterval is the interval otherwise.
+	// HeartbeatInterval is the interval of heartbeats while Active; a frame of any kind replaces a heartbeat.
+	// IdleHeartbeatInterval is the interval otherwise.
 	HeartbeatInterval, IdleHeartbeatInterval time.Duration
-	// SilenceLimit is how long an active peer may be silent before the link is taken
-	// for dead; an idle peer has as many times its own interval.
+	// SilenceLimit is the time without a frame after which the link to an active peer is declared dead; for an
+	// idle peer it grows in proportion to the peer's interval.
 	SilenceLimit time.Duration
 	// Active reports whether this end has work on the link.
 	Active func() bool
-	// QueueLimit bounds the frames waiting to be written.
+	// QueueLimit bounds the number of frames queued for writing.
 	QueueLimit int
-	// MakeHeartbeat builds the next heartbeat, which promises the next frame within interval.
+	// MakeHeartbeat builds the next heartbeat, which announces that the next frame follows within interval.
 	MakeHeartbeat func(interval time.Duration) *Out
-	// OnDropped, unless nil, is told of each frame that could not be encoded.
+	// OnDropped, unless nil, is called for each frame that could not be encoded.
 	OnDropped func(error)
-	// Transport is closed when the link ends, which unblocks a stuck write.
+	// Transport is closed when the link ends, which unblocks a pending write.
 	Transport io.Closer
 }
 
@@ -62,45 +61,46 @@
 
 // Link is one end of a session. All methods are safe for concurrent use.
 type Link[Out, In any] struct {
-	stream  Stream[Out, In]
-	opts    Options[Out]
-	flush   func() error
-	mu      sync.Mutex
-	queue   []*Out
-	wake    chan struct{}
-	done    chan struct{}
-	endOnce sync.Once
-	err     error
-	heard   atomic.Int64
-	sent    atomic.Uint64
-	// peerInterval is what the peer has promised, in nanoseconds.
+	stream       Stream[Out, In]
+	opts         Options[Out]
+	flush        func() error
+	mu           sync.Mutex
+	queue        []*Out
+	wake         chan struct{}
+	done         chan struct{}
+	endOnce      sync.Once
+	err          error
+	lastReceived atomic.Int64
+	sent         atomic.Uint64
+	// peerInterval is the heartbeat interval that the peer announced, in nanoseconds.
 	peerInterval atomic.Int64
-	pace         pace
-	// slow is true while the next look at the link is far off; hurry brings it near.
-	slow  bool
-	hurry chan struct{}
+	schedule     heartbeatSchedule
+	// slowTicks is true while the interval between ticks is that of an idle link; shortenTick wakes monitor to
+	// use the short one.
+	slowTicks   bool
+	shortenTick chan struct{}
 }
 
 // New wraps a stream. Run must be called once.
 func New[Out, In any](s Stream[Out, In], opts Options[Out]) *Link[Out, In] {
 	l := &Link[Out, In]{
-		stream: s,
-		opts:   opts,
-		flush:  func() error { return nil },
-		wake:   make(chan struct{}, 1),
-		done:   make(chan struct{}),
-		hurry:  make(chan struct{}, 1),
+		stream:      s,
+		opts:        opts,
+		flush:       func() error { return nil },
+		wake:        make(chan struct{}, 1),
+		done:        make(chan struct{}),
+		shortenTick: make(chan struct{}, 1),
 	}
-	l.heard.Store(time.Now().UnixNano())
+	l.lastReceived.Store(time.Now().UnixNano())
 	l.peerInterval.Store(int64(opts.HeartbeatInterval))
-	l.pace = pace{active: true, lastSent: time.Now()}
+	l.schedule = heartbeatSchedule{active: true, lastSent: time.Now()}
 	return l
 }
 
 // Send queues a frame and does not block. The frame belongs to the link from then on.
 func (l *Link[Out, In]) Send(f *Out) error { return l.queueFrame(f, true) }
 
-// queueFrame queues a frame; standsIn says that it may take the place of the next heartbeat.
+// queueFrame queues a frame; standsIn means that the frame replaces the next heartbeat.
 func (l *Link[Out, In]) queueFrame(f *Out, standsIn bool) error {
 	if l.isDone() {
 		return l.err
@@ -123,9 +123,9 @@
 		return false
 	}
 	l.queue = append(l.queue, f)
-	l.pace.sent = l.pace.sent || standsIn
+	l.schedule.sent = l.schedule.sent || standsIn
 	if standsIn {
-		l.hasten()
+		l.endSlowTicks()
 	}
 	return true
 }
@@ -139,13 +139,13 @@
 // Close ends the link.
 func (l *Link[Out, In]) Close() { l.end(ErrClosed) }
 
-// Run moves frames until the link ends, and returns why. onFrame is called for
-// each received frame in order, on one goroutine; it must not block.
+// Run sends and receives frames until the link ends, and returns the reason. onFrame is called for each
+// received frame in order, on one goroutine; it must not block.
 func (l *Link[Out, In]) Run(ctx context.Context, onFrame func(*In)) error {
 	l.setUpFlush() // before the first Recv, which reads what this sets
 	var wg sync.WaitGroup
 	wg.Go(l.write)
-	wg.Go(func() { l.watch(ctx) })
+	wg.Go(func() { l.monitor(ctx) })
 	l.read(onFrame)
 	wg.Wait()
 	return l.err
@@ -158,7 +158,7 @@
 			l.end(merry.Prepend(err, "receive"))
 			return
 		}
-		l.heard.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 		onFrame(f)
 	}
 }
@@ -177,11 +177,12 @@
 	}
 }
 
-// readGrace is how long the reader may take to learn why the peer hung up.
+// readGrace is how long to wait, after a failed send, for the reader to receive the reason why the peer hung
+// up.
 const readGrace = 200 * time.Millisecond
 
-// sendFailed ends the link. What the peer said last, such as a refusal, is on its
-// way to the reader and says more than the failed send, so the reader goes first.
+// sendFailed ends the link. The peer's last frame, such as a refusal, may still be on its way to the reader
+// and explains more than the failed send, so the reader's error takes precedence.
 func (l *Link[Out, In]) sendFailed(err error) {
 	t := time.NewTimer(readGrace)
 	defer t.Stop()
@@ -221,8 +222,8 @@
 	return l.flush()
 }
 
-// dropped reports whether f itself is at fault, such as for text that is not UTF-8.
-// Nothing of it was sent then, and the frames of all other requests go on.
+// dropped reports whether f itself is invalid, such as for text that is not UTF-8. Nothing of it was sent in
+// that case, and the link continues with the frames of all other requests.
 func (l *Link[Out, In]) dropped(f *Out) bool {
 	m, ok := any(f).(proto.Message)
 	if !ok {
@@ -235,8 +236,8 @@
 	return err != nil
 }
 
-// watch sends heartbeats and ends the link on silence or when ctx ends.
-func (l *Link[Out, In]) watch(ctx context.Context) {
+// monitor sends heartbeats and ends the link when the peer is unresponsive or ctx ends.
+func (l *Link[Out, In]) monitor(ctx context.Context) {
 	t := time.NewTimer(l.opts.HeartbeatInterval)
 	defer t.Stop()
 	for {
@@ -246,54 +247,54 @@
 			return
 		case <-l.done:
 			return
-		case <-l.hurry:
+		case <-l.shortenTick:
 			t.Reset(l.opts.HeartbeatInterval)
 		case now := <-t.C:
-			if now.UnixNano()-l.heard.Load() > int64(l.silence()) {
+			if now.UnixNano()-l.lastReceived.Load() > int64(l.silenceLimit()) {
 				l.end(ErrUnresponsive)
 				return
 			}
-			l.beat(now)
+			l.heartbeat(now)
 			t.Reset(l.nextTick())
 		}
 	}
 }
 
-// nextTick is the time until the link is looked at again: long while neither end
-// has work, since an entry has hundreds of such links.
+// nextTick is the time until the next tick. It is long while neither end has work, since an entry has hundreds
+// of such links.
 func (l *Link[Out, In]) nextTick() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slow = !l.pace.active && time.Duration(l.peerInterval.Load()) >= l.opts.IdleHeartbeatInterval
-	if l.slow {
-		return l.slowTick()
+	l.slowTicks = !l.schedule.active && time.Duration(l.peerInterval.Load()) >= l.opts.IdleHeartbeatInterval
+	if l.slowTicks {
+		return l.idleTick()
 	}
 	return l.opts.HeartbeatInterval
 }
 
-func (l *Link[Out, In]) slowTick() time.Duration {
-	return max(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval/slowTicks)
+func (l *Link[Out, In]) idleTick() time.Duration {
+	return max(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval/ticksPerIdleInterval)
 }
 
-// hasten ends a long time between two looks at the link. The caller holds mu.
-func (l *Link[Out, In]) hasten() {
-	if !l.slow {
+// endSlowTicks makes the next tick come after the short interval. The caller holds mu.
+func (l *Link[Out, In]) endSlowTicks() {
+	if !l.slowTicks {
 		return
 	}
-	l.slow = false
+	l.slowTicks = false
 	select {
-	case l.hurry <- struct{}{}:
+	case l.shortenTick <- struct{}{}:
 	default:
 	}
 }
 
-// silence scales the limit with what the peer has promised.
-func (l *Link[Out, In]) silence() time.Duration {
+// silenceLimit is the silence limit, scaled to the interval that the peer announced.
+func (l *Link[Out, In]) silenceLimit() time.Duration {
 	promised := time.Duration(l.peerInterval.Load())
 	return time.Duration(float64(l.opts.SilenceLimit) * float64(promised) / float64(l.opts.HeartbeatInterval))
 }
 
-// ReceiveHeartbeat takes the interval that the peer promises in its heartbeat.
+// ReceiveHeartbeat records the interval that the peer announced in a heartbeat.
 func (l *Link[Out, In]) ReceiveHeartbeat(interval time.Duration) {
 	if interval <= 0 {
 		return
@@ -302,47 +303,47 @@
 	if interval < l.opts.IdleHeartbeatInterval {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.hasten()
+		l.endSlowTicks()
 	}
 }
 
-// beat sends a heartbeat when one is due.
-func (l *Link[Out, In]) beat(now time.Time) {
+// heartbeat sends a heartbeat if one is due.
+func (l *Link[Out, In]) heartbeat(now time.Time) {
 	active := l.opts.Active()
 	l.mu.Lock()
 	tick := l.opts.HeartbeatInterval
-	if l.slow {
-		tick = l.slowTick()
+	if l.slowTicks {
+		tick = l.idleTick()
 	}
-	due := l.pace.due(now, active, tick, l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
-	interval := l.pace.interval(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
+	due := l.schedule.due(now, active, tick, l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
+	interval := l.schedule.interval(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
 	l.mu.Unlock()
 	if due {
 		_ = l.queueFrame(l.opts.MakeHeartbeat(interval), false)
 	}
 }
 
-// SendHeartbeat sends a heartbeat at once, at the present pace.
+// SendHeartbeat sends a heartbeat at once that announces the current interval.
 func (l *Link[Out, In]) SendHeartbeat() {
 	_ = l.Send(l.opts.MakeHeartbeat(l.HeartbeatInterval()))
 }
 
-// HeartbeatInterval is what this end promises at the present pace.
+// HeartbeatInterval is the interval that this end announces at present.
 func (l *Link[Out, In]) HeartbeatInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pace.interval(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
+	return l.schedule.interval(l.opts.HeartbeatInterval, l.opts.IdleHeartbeatInterval)
 }
 
-// Activate promises the active interval at once. Call it before the first frame
-// of new work on a link that may be idle.
+// Activate announces the active interval at once. Call it before the first frame of new work on a link that
+// may be idle.
 func (l *Link[Out, In]) Activate() {
 	l.mu.Lock()
-	was := l.pace.active
-	l.pace.active = true
-	l.pace.idleTicks = 0
+	wasActive := l.schedule.active
+	l.schedule.active = true
+	l.schedule.idleTicks = 0
 	l.mu.Unlock()
-	if !was {
+	if !wasActive {
 		_ = l.Send(l.opts.MakeHeartbeat(l.opts.HeartbeatInterval))
 	}
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	beat    = 250 * time.Millisecond
-	silence = time.Second
+	heartbeatInterval = 250 * time.Millisecond
+	silenceLimit      = time.Second
 )
 
 type (
@@ -26,13 +26,12 @@
 	sidecarEnd = Link[wire.SidecarFrame, wire.EntryFrame]
 )
 
-// handler is what the far end does with a session.
+// handler is the far end's implementation of a session.
 type handler func(wire.DRPCSidecar_SessionStream) error
 
 func (h handler) Session(s wire.DRPCSidecar_SessionStream) error { return h(s) }
 
-// connect opens a session over a pipe within the bubble of a test. The pipe closes
-// when either end does.
+// connect opens a session over a pipe within the synctest bubble. Either end closes the pipe for both.
 func connect(t *testing.T, far handler) (near *entryEnd) {
 	t.Helper()
 	a, b := net.Pipe()
@@ -49,14 +48,14 @@
 	stream, err := wire.NewDRPCSidecarClient(conn).Session(t.Context())
 	assert.NilError(t, err)
 	return New(stream, Options[wire.EntryFrame]{
-		HeartbeatInterval: beat, IdleHeartbeatInterval: 4 * beat, SilenceLimit: silence, QueueLimit: 2000,
+		HeartbeatInterval: heartbeatInterval, IdleHeartbeatInterval: 4 * heartbeatInterval, SilenceLimit: silenceLimit, QueueLimit: 2000,
 		Active:        func() bool { return true },
-		MakeHeartbeat: func(time.Duration) *wire.EntryFrame { return beatFrame() },
+		MakeHeartbeat: func(time.Duration) *wire.EntryFrame { return heartbeatFrame() },
 		Transport:     a,
 	})
 }
 
-func beatFrame() *wire.EntryFrame {
+func heartbeatFrame() *wire.EntryFrame {
 	return &wire.EntryFrame{Body: &wire.EntryFrame_Beat{Beat: &wire.EntryBeat{}}}
 }
 
@@ -64,11 +63,11 @@
 	return &wire.EntryFrame{Body: &wire.EntryFrame_Cancel{Cancel: &wire.Cancel{Ref: &wire.Ref{RequestId: id}}}}
 }
 
-// answering is a far end that beats and hands every frame to got.
-func answering(got func(*wire.EntryFrame)) handler {
+// heartbeating is a far end that sends heartbeats and passes every frame to got.
+func heartbeating(got func(*wire.EntryFrame)) handler {
 	return func(s wire.DRPCSidecar_SessionStream) error {
 		var l *sidecarEnd = New(s, Options[wire.SidecarFrame]{
-			HeartbeatInterval: beat, IdleHeartbeatInterval: 4 * beat, SilenceLimit: silence, QueueLimit: 2000,
+			HeartbeatInterval: heartbeatInterval, IdleHeartbeatInterval: 4 * heartbeatInterval, SilenceLimit: silenceLimit, QueueLimit: 2000,
 			Active:        func() bool { return true },
 			MakeHeartbeat: func(time.Duration) *wire.SidecarFrame { return &wire.SidecarFrame{} },
 		})
@@ -76,66 +75,66 @@
 	}
 }
 
-// Each test ends with every goroutine of its bubble ended; synctest sees to that.
+// synctest fails a test that leaves goroutines of its bubble running.
 
 func TestFramesArriveInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got []string
-		beats := 0
-		l := connect(t, answering(func(f *wire.EntryFrame) {
+		sent := 0
+		l := connect(t, heartbeating(func(f *wire.EntryFrame) {
 			if f.GetBeat() != nil {
-				beats++
+				sent++
 				return
 			}
 			got = append(got, f.GetCancel().GetRef().GetRequestId())
 		}))
-		heard := 0
+		received := 0
 		ended := make(chan error, 1)
-		go func() { ended <- l.Run(t.Context(), func(*wire.SidecarFrame) { heard++ }) }()
+		go func() { ended <- l.Run(t.Context(), func(*wire.SidecarFrame) { received++ }) }()
 		var want []string
 		for i := range 1000 {
 			id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 			want = append(want, id)
 			assert.NilError(t, l.Send(cancelFrame(id)))
 		}
-		time.Sleep(10*beat + beat/2)
+		time.Sleep(10*heartbeatInterval + heartbeatInterval/2)
 		synctest.Wait()
 		assert.DeepEqual(t, got, want)
-		assert.Assert(t, beats >= 9 && beats <= 10, "%d beats", beats)
-		assert.Assert(t, heard >= 9 && heard <= 10, "%d beats heard", heard)
+		assert.Assert(t, sent >= 9 && sent <= 10, "%d heartbeats", sent)
+		assert.Assert(t, received >= 9 && received <= 10, "%d heartbeats received", received)
 		l.Close()
 		assert.ErrorIs(t, <-ended, ErrClosed)
-		assert.ErrorIs(t, l.Send(beatFrame()), ErrClosed)
+		assert.ErrorIs(t, l.Send(heartbeatFrame()), ErrClosed)
 	})
 }
 
-// deaf neither reads nor writes for a minute. Of a stream that isn't read drpc does
-// not tell that its transport has closed.
-func deaf(wire.DRPCSidecar_SessionStream) error {
+// unresponsive neither reads nor writes for a minute. drpc does not report that the transport has closed on a
+// stream that isn't read.
+func unresponsive(wire.DRPCSidecar_SessionStream) error {
 	time.Sleep(time.Minute)
 	return nil
 }
 
-func TestEnds(t *testing.T) {
+func TestRunErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		far  handler
 		do   func(l *entryEnd, cancel context.CancelFunc)
 		want error
-		// after is when the link has ended at the latest.
+		// after is the latest time at which the link has ended.
 		after time.Duration
 	}{
-		{"silent peer", deaf, nil, ErrUnresponsive, silence + 2*beat},
-		{"peer that only listens", func(s wire.DRPCSidecar_SessionStream) error {
+		{"peer that neither reads nor writes", unresponsive, nil, ErrUnresponsive, silenceLimit + 2*heartbeatInterval},
+		{"peer that only reads", func(s wire.DRPCSidecar_SessionStream) error {
 			for {
 				if _, err := s.Recv(); err != nil {
 					return err
 				}
 			}
-		}, nil, ErrUnresponsive, silence + 2*beat},
-		{"closed here", answering(func(*wire.EntryFrame) {}), func(l *entryEnd, _ context.CancelFunc) { l.Close() }, ErrClosed, 0},
-		{"context ended", answering(func(*wire.EntryFrame) {}), func(_ *entryEnd, cancel context.CancelFunc) { cancel() }, context.Canceled, 0},
-		{"peer that reads nothing and many frames", deaf, func(l *entryEnd, _ context.CancelFunc) {
+		}, nil, ErrUnresponsive, silenceLimit + 2*heartbeatInterval},
+		{"closed here", heartbeating(func(*wire.EntryFrame) {}), func(l *entryEnd, _ context.CancelFunc) { l.Close() }, ErrClosed, 0},
+		{"context ended", heartbeating(func(*wire.EntryFrame) {}), func(_ *entryEnd, cancel context.CancelFunc) { cancel() }, context.Canceled, 0},
+		{"send queue overflow", unresponsive, func(l *entryEnd, _ context.CancelFunc) {
 			for l.Send(cancelFrame("a")) == nil {
 			}
 		}, ErrOverflow, 0},
@@ -162,13 +161,13 @@
 	}
 }
 
-// announcing tells when a write begins.
-type announcing struct {
+// notifyingConn signals when a write begins.
+type notifyingConn struct {
 	net.Conn
 	writing chan struct{}
 }
 
-func (a *announcing) Write(p []byte) (int, error) {
+func (a *notifyingConn) Write(p []byte) (int, error) {
 	select {
 	case a.writing <- struct{}{}:
 	default:
@@ -176,12 +175,12 @@
 	return a.Conn.Write(p)
 }
 
-// A write that is stuck in the transport ends with the link.
+// A write blocked in the transport returns when the link is closed.
 func TestStuckWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe() // b is never read
 		defer func() { _ = b.Close() }()
-		w := &announcing{Conn: a, writing: make(chan struct{}, 1)}
+		w := &notifyingConn{Conn: a, writing: make(chan struct{}, 1)}
 		l := open(t, w)
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run(t.Context(), func(*wire.SidecarFrame) {}) }()
@@ -192,11 +191,11 @@
 	})
 }
 
-// A frame that can't be encoded costs itself only.
+// A frame that can't be encoded is dropped alone; the link continues.
 func TestFrameThatCannotBeEncoded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan string, 3)
-		l := connect(t, answering(func(f *wire.EntryFrame) {
+		l := connect(t, heartbeating(func(f *wire.EntryFrame) {
 			if c := f.GetCancel(); c != nil {
 				got <- c.GetRef().GetRequestId()
 			}
--- a/link/meter.go
+++ b/link/meter.go
@@ -5,8 +5,7 @@
 	"sync/atomic"
 )
 
-// Meter counts the bytes of links as they are given to TCP, below TLS. It is safe
-// for concurrent use.
+// Meter counts the bytes of links at the TCP level, below TLS. It is safe for concurrent use.
 type Meter struct {
 	sent, received atomic.Int64
 }
@@ -28,7 +27,7 @@
 	meter *Meter
 }
 
-// NetConn returns the connection below, as tls.Conn does.
+// NetConn returns the wrapped connection, like tls.Conn.NetConn.
 func (c *meteredConn) NetConn() net.Conn { return c.Conn }
 
 // Read implements net.Conn.
--- a/link/retained_test.go
+++ b/link/retained_test.go
@@ -11,14 +11,14 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// TestLargeFrameIsNotRetained: a prompt must not cost a link its size for good, at
-// either end. Both ends are in this process.
+// TestLargeFrameIsNotRetained: a large prompt must not enlarge the buffers of a link permanently, at either
+// end. Both ends are in this process.
 func TestLargeFrameIsNotRetained(t *testing.T) {
 	const (
 		large = 4 << 20
-		// small frames that follow; the reader lets go of its packet after some.
-		small = 32
-		kept  = 64 << 10
+		// small is the number of small frames that follow; the reader releases its packet after some of them.
+		small       = 32
+		maxRetained = 64 << 10
 	)
 	synctest.Test(t, func(t *testing.T) {
 		received := 0
@@ -41,7 +41,7 @@
 		synctest.Wait()
 		assert.Equal(t, received, 2+small)
 		retained := int64(heap()) - int64(before)
-		assert.Assert(t, retained < kept, "%d bytes", retained)
+		assert.Assert(t, retained < maxRetained, "%d bytes", retained)
 		near.Close()
 	})
 }
--- a/link/pace_test.go
+++ b/link/schedule_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPace(t *testing.T) {
+func TestHeartbeatSchedule(t *testing.T) {
 	const beat, idle = 250 * time.Millisecond, 10 * time.Second
 	for _, c := range []struct {
 		name   string
@@ -16,14 +16,14 @@
 		ticks  int
 		want   int // heartbeats
 	}{
-		{"active and silent", always, never, 40, 40},
+		{"active without other frames", always, never, 40, 40},
 		{"active with other frames", always, always, 40, 0},
 		{"idle", never, never, 4 * 60, 7 + 1 + 5},
 		{"idle from tick 20", func(i int) bool { return i < 20 }, never, 40, 20 + 7 + 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(0, 0)
-			p := pace{active: true, lastSent: now}
+			p := heartbeatSchedule{active: true, lastSent: now}
 			got := 0
 			for i := range c.ticks {
 				now = now.Add(beat)
--- a/link/serve.go
+++ b/link/serve.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// Serve runs sessions on the connections of lis until ctx ends, and closes lis.
+// Serve accepts connections on lis and runs their sessions until ctx ends, and closes lis.
 func Serve(ctx context.Context, lis net.Listener, s wire.DRPCSidecarServer) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterSidecar(mux, s); err != nil {
@@ -19,7 +19,7 @@
 	return ServeMux(ctx, lis, mux)
 }
 
-// ServeMux serves the calls of mux on the connections of lis until ctx ends, and closes lis.
+// ServeMux accepts connections on lis and serves the calls of mux until ctx ends, and closes lis.
 func ServeMux(ctx context.Context, lis net.Listener, mux *drpcmux.Mux) error {
 	return drpcserver.NewWithOptions(mux, serverOptions()).Serve(ctx, lis)
 }
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -8,14 +8,13 @@
 	"github.com/hibiscusspur/hibiscusspur/link"
 )
 
-// peerConn is a connection to another gateway that is opened when it is needed. It belongs to one
-// goroutine.
+// peerConn is a connection to another gateway, opened on demand. It is used by one goroutine only.
 type peerConn struct{ *drpcconn.Conn }
 
-// open opens the connection unless it is open. Its bytes are counted in m.
+// open connects unless a connection is open already. m counts its bytes.
 func (c *peerConn) open(ctx context.Context, n Network, addr string, m *link.Meter) error {
-	if c.closed() {
-		c.hangUp()
+	if c.closedByPeer() {
+		c.disconnect()
 	}
 	if c.Conn != nil {
 		return nil
@@ -27,9 +26,9 @@
 	return err
 }
 
-// closed reports whether the other side closed the connection, as it does when nothing came
-// over it for some seconds. News that went into such a connection would be lost.
-func (c *peerConn) closed() bool {
+// closedByPeer reports whether the other side closed the connection, as it does after some idle seconds.
+// Updates sent over such a connection would be lost.
+func (c *peerConn) closedByPeer() bool {
 	if c.Conn == nil {
 		return false
 	}
@@ -41,11 +40,11 @@
 	}
 }
 
-func (c *peerConn) hangUp() {
+func (c *peerConn) disconnect() {
 	if c.Conn == nil {
 		return
 	}
-	// The connection is given up; how its closing ends makes no difference.
+	// The connection is discarded, so an error on closing it makes no difference.
 	_ = c.Close()
 	c.Conn = nil
 }
--- a/peer/datagrams.go
+++ b/peer/datagrams.go
@@ -9,28 +9,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxDatagram bounds a datagram: a hundred engines of 70 bytes each. A larger placement goes in several.
-const maxDatagram = 8 << 10
+// maxDatagramBytes bounds a datagram: a hundred engines of 70 bytes each. A larger placement is split.
+const maxDatagramBytes = 8 << 10
 
-// datagrams sends and receives placements over UDP. A datagram that is lost is made good
-// by the next report.
+// datagrams sends and receives placements over UDP. The next report makes up for a lost datagram.
 type datagrams struct {
-	port   int
-	number atomic.Uint64
-	conn   atomic.Pointer[net.UDPConn]
+	port     int
+	sequence atomic.Uint64
+	conn     atomic.Pointer[net.UDPConn]
 }
 
-// maxNumber is the most bytes that the number of a placement adds to it.
-const maxNumber = 11
+// maxNumberBytes is the maximum encoded size of the number of a placement.
+const maxNumberBytes = 11
 
 func newDatagrams(port int) *datagrams { return &datagrams{port: port} }
 
-// last is the number of the last placement sent.
-func (d *datagrams) last() uint64 { return d.number.Load() }
+// lastNumber returns the number of the last placement sent.
+func (d *datagrams) lastNumber() uint64 { return d.sequence.Load() }
 
-// listen opens the socket at the address of self and hands what comes to take until ctx
-// ends.
-func (d *datagrams) listen(ctx context.Context, self string, take func(*Placement)) error {
+// listen opens the socket on the host of self and passes received placements to onPlacement until ctx ends.
+func (d *datagrams) listen(ctx context.Context, self string, onPlacement func(*Placement)) error {
 	if d.port == 0 {
 		return nil
 	}
@@ -44,14 +42,13 @@
 	}
 	d.conn.Store(conn)
 	context.AfterFunc(ctx, func() { _ = conn.Close() })
-	go receive(conn, take)
+	go receive(conn, onPlacement)
 	return nil
 }
 
-// receive reads datagrams until the socket is closed. One that can't be decoded is
-// dropped like one that was lost.
-func receive(conn *net.UDPConn, take func(*Placement)) {
-	buf := make([]byte, maxDatagram)
+// receive reads datagrams until the socket is closed. One that can't be decoded is dropped.
+func receive(conn *net.UDPConn, onPlacement func(*Placement)) {
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -59,18 +56,18 @@
 		}
 		p := &Placement{}
 		if proto.Unmarshal(buf[:n], p) == nil {
-			take(p)
+			onPlacement(p)
 		}
 	}
 }
 
-// send sends p, under the next numbers, to the gateways that listen at addrs.
+// send sends p to the gateways at addrs, in several datagrams with a number each if it is too large for one.
 func (d *datagrams) send(addrs []string, p *Placement) {
-	if half := len(p.GetShares()) / 2; half > 0 && proto.Size(p)+maxNumber > maxDatagram {
-		rest := &Placement{Addr: p.GetAddr(), Incarnation: p.GetIncarnation(), Shares: p.GetShares()[half:]}
+	if half := len(p.GetShares()) / 2; half > 0 && proto.Size(p)+maxNumberBytes > maxDatagramBytes {
+		remainder := &Placement{Addr: p.GetAddr(), Incarnation: p.GetIncarnation(), Shares: p.GetShares()[half:]}
 		p.Shares = p.GetShares()[:half]
 		d.send(addrs, p)
-		d.send(addrs, rest)
+		d.send(addrs, remainder)
 		return
 	}
 	conn := d.conn.Load()
@@ -78,12 +75,13 @@
 		return
 	}
 	if len(p.GetShares()) > 0 {
-		// What tells no placement has no number: a report that was made before it is no older for it.
-		p.Number = d.number.Add(1)
+		// A message without shares gets no number, since it doesn't make an earlier report of placements
+		// outdated.
+		p.Number = d.sequence.Add(1)
 	}
 	data, err := proto.Marshal(p)
 	if err != nil {
-		// A placement that can't be encoded is as good as lost; the next report makes good for it.
+		// A placement that can't be encoded is dropped; the next report makes up for it.
 		return
 	}
 	for _, addr := range addrs {
@@ -91,7 +89,7 @@
 		if err != nil {
 			continue
 		}
-		// A datagram that can't be sent is as good as lost.
+		// Send errors are ignored, as for a datagram lost on the way.
 		_, _ = conn.WriteToUDPAddrPort(data, netip.AddrPortFrom(to.Addr(), uint16(d.port)))
 	}
 }
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -12,69 +12,68 @@
 )
 
 const (
-	// partBytes is the size of one part: 26 ms of a link of 10 Mbit/s, so that a part comes
-	// through within callTimeout beside twenty other connections.
+	// partBytes is the size of one part: 26 ms on a link of 10 Mbit/s, so that a part arrives within
+	// callTimeout beside twenty other connections.
 	partBytes = 32 << 10
-	// partTries is how often a part is asked for, each within callTimeout.
-	partTries = 3
-	// maxStateBytes bounds a state that was fetched: 4,500 routes have 1 MB, 4,500 servers 0.4 MB.
+	// partAttempts is the maximum number of requests for a part, each bounded by callTimeout.
+	partAttempts = 3
+	// maxStateBytes bounds a fetched state: 4,500 routes take 1 MB, 4,500 servers 0.4 MB.
 	maxStateBytes = 32 << 20
-	// tableGrace is how long a gateway is behind with its route table before it fetches it from
-	// another one: nearly all read it from the store by then.
+	// tableGrace is how long a gateway's route table may be outdated before the gateway fetches it from
+	// another one; nearly all gateways read it from the store within that time.
 	tableGrace = 500 * time.Millisecond
-	// serversGrace is the same for the list of servers, whose changes come in reports.
+	// serversGrace is the same for the list of servers, whose changes arrive in reports.
 	serversGrace = 150 * time.Millisecond
-	// fetchRest is how long a gateway from which a fetch failed is left alone.
-	fetchRest = time.Second
+	// fetchCooldown is how long a gateway is avoided after a failed fetch from it.
+	fetchCooldown = time.Second
 )
 
 var (
-	errStateMoved = errors.New("the other side has another version by now")
-	errPart       = errors.New("a part does not fit the others")
-	errTooLarge   = errors.New("the state is larger than any")
+	errVersionChanged = errors.New("the peer's version of the state changed during the fetch")
+	errPartSize       = errors.New("the parts do not add up to the size of the state")
+	errTooLarge       = errors.New("the state exceeds the size limit")
 )
 
-// Fetch is one fetch that has ended.
+// Fetch is the result of a fetch.
 type Fetch struct {
 	State   State
 	Version int64
-	// From is the address of the gateway that was asked.
+	// From is the address of the gateway that served the fetch.
 	From string
-	// Bytes is what came over the link.
+	// Bytes is the number of bytes received.
 	Bytes int
 	Took  time.Duration
-	// Err is nil if the state came whole.
+	// Err is nil if the state was received completely.
 	Err error
 }
 
-// fetcher fetches one kind of state whenever this gateway is behind with it, from one gateway at a
-// time.
+// fetcher fetches one kind of state from one gateway at a time whenever the local version is outdated.
 type fetcher struct {
-	s     *Service
-	state State
-	// offered is sent to when another gateway has told its version.
+	service *Service
+	state   State
+	// offered receives a token when another gateway reports a newer version.
 	offered chan struct{}
 
 	mu      sync.Mutex
 	planner *catchup.Planner
-	// refused is the newest version that came whole and can't be used here: a gateway of a later
-	// release may have it in force.
-	refused int64
+	// rejected is the newest version that was received completely but can't be used here, for instance because
+	// gateways of a later release have it in force.
+	rejected int64
 }
 
 func newFetcher(s *Service, state State, grace time.Duration) *fetcher {
 	return &fetcher{
-		s: s, state: state, offered: make(chan struct{}, 1), refused: -1,
-		planner: catchup.New(catchup.Config{Grace: grace, Rest: fetchRest, Life: memberLife}),
+		service: s, state: state, offered: make(chan struct{}, 1), rejected: -1,
+		planner: catchup.New(catchup.Config{Grace: grace, Rest: fetchCooldown, Life: memberTTL}),
 	}
 }
 
-// offer notes the version of another gateway.
+// offer records the version reported by another gateway.
 func (f *fetcher) offer(addr string, version int64) {
 	f.mu.Lock()
 	f.planner.Offer(addr, version, time.Now())
 	f.mu.Unlock()
-	if version <= f.s.beliefs.Version(f.state) {
+	if version <= f.service.local.Version(f.state) {
 		return
 	}
 	select {
@@ -84,14 +83,14 @@
 }
 
 func (f *fetcher) next() (addr string, wait time.Duration) {
-	own := f.s.beliefs.Version(f.state)
-	lost := f.s.beliefs.StoreLost()
+	own := f.service.local.Version(f.state)
+	storeLost := f.service.local.StoreLost()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.planner.Next(max(own, f.refused), lost, time.Now(), rand.IntN)
+	return f.planner.Next(max(own, f.rejected), storeLost, time.Now(), rand.IntN)
 }
 
-// run fetches until ctx ends.
+// run fetches outdated state until ctx ends.
 func (f *fetcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		addr, wait := f.next()
@@ -110,7 +109,7 @@
 }
 
 func (f *fetcher) fetch(ctx context.Context, addr string) {
-	start, own := time.Now(), f.s.beliefs.Version(f.state)
+	start, own := time.Now(), f.service.local.Version(f.state)
 	done := Fetch{State: f.state, From: addr}
 	var data []byte
 	data, done.Err = f.transfer(ctx, addr, &done)
@@ -118,56 +117,56 @@
 		return
 	}
 	done.Took = time.Since(start)
-	f.s.beliefs.Fetched(done)
+	f.service.local.Fetched(done)
 	if done.Err == nil {
-		f.take(done, data)
+		f.apply(done, data)
 	}
-	if errors.Is(done.Err, errStateMoved) || f.s.beliefs.Version(f.state) > own {
+	if errors.Is(done.Err, errVersionChanged) || f.service.local.Version(f.state) > own {
 		return
 	}
-	// A gateway that offers what it does not have must not be asked again and again.
+	// A gateway that reports a version that it doesn't have must not be asked in a loop.
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.planner.Failed(addr, time.Now())
 }
 
-func (f *fetcher) take(done Fetch, data []byte) {
-	if err := f.s.beliefs.ApplyState(f.state, done.Version, data, done.From); err != nil {
+func (f *fetcher) apply(done Fetch, data []byte) {
+	if err := f.service.local.ApplyState(f.state, done.Version, data, done.From); err != nil {
 		f.mu.Lock()
-		f.refused = done.Version
+		f.rejected = done.Version
 		f.mu.Unlock()
 	}
 }
 
-// transfer asks the gateway at addr for all parts.
+// transfer requests all parts from the gateway at addr.
 func (f *fetcher) transfer(ctx context.Context, addr string, done *Fetch) ([]byte, error) {
-	caller := &partCaller{net: f.s.net, addr: addr, meter: &f.s.meter}
-	defer caller.hangUp()
-	var packed []byte
+	caller := &partCaller{net: f.service.net, addr: addr, meter: &f.service.meter}
+	defer caller.disconnect()
+	var compressed []byte
 	for {
-		part, err := caller.part(ctx, &FetchRequest{State: f.state, Version: done.Version, Offset: uint32(len(packed))})
+		part, err := caller.part(ctx, &FetchRequest{State: f.state, Version: done.Version, Offset: uint32(len(compressed))})
 		if err != nil {
 			return nil, err
 		}
 		if done.Version != 0 && part.GetVersion() != done.Version {
-			return nil, errStateMoved
+			return nil, errVersionChanged
 		}
 		done.Version = part.GetVersion()
-		packed = append(packed, part.GetData()...)
-		done.Bytes = len(packed)
+		compressed = append(compressed, part.GetData()...)
+		done.Bytes = len(compressed)
 		switch size := int(part.GetSize()); {
 		case size > maxStateBytes:
 			return nil, errTooLarge
-		case len(packed) == size && size > 0:
-			return unpack(packed)
-		case len(part.GetData()) == 0 || len(packed) > size:
-			return nil, errPart
+		case len(compressed) == size && size > 0:
+			return decompress(compressed)
+		case len(part.GetData()) == 0 || len(compressed) > size:
+			return nil, errPartSize
 		}
 	}
 }
 
-// partCaller makes the calls of one fetch. A call that fails is made again on a new connection, so that
-// a connection that went silent costs one part.
+// partCaller makes the calls of one fetch. A failed call is repeated on a new connection, so an unresponsive
+// connection costs one part only.
 type partCaller struct {
 	net   Network
 	addr  string
@@ -176,11 +175,11 @@
 }
 
 func (c *partCaller) part(ctx context.Context, r *FetchRequest) (part *FetchPart, err error) {
-	for range partTries {
+	for range partAttempts {
 		if part, err = c.call(ctx, r); err == nil || ctx.Err() != nil {
 			return part, err
 		}
-		c.hangUp()
+		c.disconnect()
 	}
 	return nil, err
 }
@@ -194,4 +193,4 @@
 	return NewDRPCPeersClient(c.conn.Conn).Fetch(ctx, r)
 }
 
-func (c *partCaller) hangUp() { c.conn.hangUp() }
+func (c *partCaller) disconnect() { c.conn.disconnect() }
--- a/peer/fetch_test.go
+++ b/peer/fetch_test.go
@@ -13,28 +13,29 @@
 	"github.com/hibiscusspur/hibiscusspur/internal/simnet"
 )
 
-// oneWay is a host that can't reach some others, though they reach it.
-type oneWay struct {
+// asymmetricHost is a host that can't reach some others, although they can reach it.
+type asymmetricHost struct {
 	*simnet.Host
 	unreachable string
 }
 
 // Dial implements Network.
-func (o oneWay) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (o asymmetricHost) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	if addr == o.unreachable {
 		return nil, errors.New("no route")
 	}
 	return o.Host.Dial(ctx, addr)
 }
 
-// TestFetchFromAnother: one of two gateways that have a version can't be asked for it; the other is.
-func TestFetchFromAnother(t *testing.T) {
+// TestFetchFallsBackToAnotherPeer: of two gateways that have a version, one is unreachable; the fetch uses the
+// other.
+func TestFetchFallsBackToAnotherPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const a, b, c = "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"
 		ctx, cancel := context.WithCancel(t.Context())
 		network := simnet.New()
 		first, second := simulate(ctx, network.Host(a, smallLink), a, c), simulate(ctx, network.Host(b, smallLink), b, c)
-		third := simulate(ctx, oneWay{network.Host(c, smallLink), a}, c, a, b)
+		third := simulate(ctx, asymmetricHost{network.Host(c, smallLink), a}, c, a, b)
 		time.Sleep(time.Second)
 		for _, g := range []*gateway{first, second} {
 			g.mu.Lock()
@@ -53,15 +54,15 @@
 	})
 }
 
-// TestStateThatCannotBeUsed: a version that came whole and can't be used here, as in the middle of an
-// upgrade, is not fetched again and again; the next one is.
-func TestStateThatCannotBeUsed(t *testing.T) {
+// TestUnusableStateIsNotRefetched: a version that was received completely but can't be used here, as during an
+// upgrade, is not fetched again and again; the next version is.
+func TestUnusableStateIsNotRefetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const a, b = "10.0.0.1:1", "10.0.0.2:1"
 		ctx, cancel := context.WithCancel(t.Context())
 		network := simnet.New()
 		first, second := simulate(ctx, network.Host(a, smallLink), a, b), simulate(ctx, network.Host(b, smallLink), b, a)
-		second.refuses = 7
+		second.unusableVersion = 7
 		set := func(version int64) {
 			first.mu.Lock()
 			first.table = version
@@ -84,9 +85,9 @@
 	})
 }
 
-// TestOfferThatIsNotKept: a gateway that offers a version and hands out an older one is asked once in a
-// while, not in a loop.
-func TestOfferThatIsNotKept(t *testing.T) {
+// TestOfferedVersionThatIsNotServed: a gateway that reports a version and serves an older one is asked
+// occasionally, not in a loop.
+func TestOfferedVersionThatIsNotServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const a, b = "10.0.0.1:1", "10.0.0.2:1"
 		ctx, cancel := context.WithCancel(t.Context())
@@ -98,7 +99,7 @@
 			g.mu.Unlock()
 		}
 		first.mu.Lock()
-		first.offers = 7
+		first.offeredVersion = 7
 		first.mu.Unlock()
 		const watched = 10
 		time.Sleep(watched * time.Second)
--- a/peer/members.go
+++ b/peer/members.go
@@ -7,101 +7,107 @@
 )
 
 const (
-	// memberLife is how long a gateway counts as live after it was last heard, by this
-	// process or by one that told of it, at least. It covers a freeze of some seconds.
-	memberLife = 5 * time.Second
-	// memberPaces is how many pauses between two exchanges of a pair it counts as live where they are long:
-	// one may fail. Among 300 an exchange comes each 7.5 s, and gateways that lapsed before were dialled
-	// anew, 31 connections a second.
-	memberPaces = 2
+	// memberTTL is the minimum time for which a gateway counts as live after its last contact with this
+	// process or with one that reported it. It covers a freeze of some seconds.
+	memberTTL = 5 * time.Second
+	// memberTTLIntervals is the time to live in exchange intervals where these are long, so that one exchange
+	// may fail. Among 300 gateways each pair exchanges every 7.5 s; with a shorter time to live, expired
+	// gateways were redialled, 31 connections a second.
+	memberTTLIntervals = 2
 )
 
-// Members are the gateways that are thought to live. It is a pure state machine and not
-// safe for concurrent use. Gateways are known by the address at which they listen.
+// Members tracks the gateways that are presumed live. It is a pure state machine and not safe for concurrent
+// use. Gateways are identified by the address on which they listen.
 type Members struct {
 	self string
-	// next is where the next report begins in the list of live gateways.
-	next  int
-	heard map[string]seen
-	// left are gateways that said that they leave, so that hearsay does not bring them back.
-	left map[string]leave
+	// next is the position in the list of live gateways at which the next report starts.
+	next     int
+	contacts map[string]contact
+	// departures are gateways that announced that they leave, so that reports of other gateways don't add them
+	// again.
+	departures map[string]departure
 }
 
-// seen is when a gateway was last heard, and its incarnation; zero if that was not told.
-type seen struct {
+// contact is the time of the last contact with a gateway, and its incarnation; zero if unknown.
+type contact struct {
 	at          time.Time
 	incarnation uint64
 }
 
-// leave is a gateway that said that it leaves. Until then hearsay of it is of before, unless of another incarnation.
-type leave struct {
-	seen
+// departure is a gateway that announced that it leaves. Until the given time, reports of it by others count as
+// outdated unless they name another incarnation.
+type departure struct {
+	contact
 	until time.Time
 }
 
-// NewMembers returns the members as seen by the gateway at self.
+// NewMembers returns the members known to the gateway at self.
 func NewMembers(self string) *Members {
-	return &Members{self: self, heard: map[string]seen{}, left: map[string]leave{}}
+	return &Members{self: self, contacts: map[string]contact{}, departures: map[string]departure{}}
 }
 
-// Heard notes that a gateway itself was heard, and reports whether it is new here.
-func (m *Members) Heard(addr string, incarnation uint64, now time.Time) bool {
+// RecordContact records direct contact with a gateway, and reports whether it is new.
+func (m *Members) RecordContact(addr string, incarnation uint64, now time.Time) bool {
 	if addr == m.self || addr == "" {
 		return false
 	}
-	delete(m.left, addr)
-	old, ok := m.heard[addr]
-	m.heard[addr] = seen{now, incarnation}
+	delete(m.departures, addr)
+	old, ok := m.contacts[addr]
+	m.contacts[addr] = contact{now, incarnation}
 	return !ok || old.incarnation != incarnation
 }
 
-// Told notes that another gateway heard addr some time ago, and reports whether it is new here.
-func (m *Members) Told(addr string, incarnation uint64, age time.Duration, now time.Time) bool {
-	if addr == m.self || addr == "" || age >= m.life() {
+// RecordReported records that another gateway had contact with addr some time ago, and reports whether it is
+// new.
+func (m *Members) RecordReported(addr string, incarnation uint64, age time.Duration, now time.Time) bool {
+	if addr == m.self || addr == "" || age >= m.ttl() {
 		return false
 	}
 	at := now.Add(-age)
-	if left, ok := m.left[addr]; ok {
+	if left, ok := m.departures[addr]; ok {
 		another := incarnation != 0 && incarnation != left.incarnation
 		if !another && !at.After(left.until) {
 			return false
 		}
 	}
-	old, ok := m.heard[addr]
+	old, ok := m.contacts[addr]
 	if at.After(old.at) {
-		m.heard[addr] = seen{at, incarnation}
+		m.contacts[addr] = contact{at, incarnation}
 	}
 	return !ok
 }
 
-// Left notes that a gateway said that it leaves.
-func (m *Members) Left(addr string, incarnation uint64, now time.Time) {
-	delete(m.heard, addr)
-	m.left[addr] = leave{seen: seen{now, incarnation}, until: now.Add(m.life())}
+// RecordLeaving records that a gateway announced that it leaves.
+func (m *Members) RecordLeaving(addr string, incarnation uint64, now time.Time) {
+	delete(m.contacts, addr)
+	m.departures[addr] = departure{contact: contact{now, incarnation}, until: now.Add(m.ttl())}
 }
 
-// Knows reports whether an incarnation of a gateway was heard of.
+// Knows reports whether an incarnation of a gateway is known.
 func (m *Members) Knows(addr string, incarnation uint64) bool {
-	return m.heard[addr].incarnation == incarnation || m.left[addr].incarnation == incarnation
+	return m.contacts[addr].incarnation == incarnation || m.departures[addr].incarnation == incarnation
 }
 
-// life is how long a gateway counts as live after it was last heard.
-func (m *Members) life() time.Duration { return max(memberLife, memberPaces*paceAmong(len(m.heard))) }
+// ttl is the time for which a gateway counts as live after the last contact.
+func (m *Members) ttl() time.Duration {
+	return max(memberTTL, memberTTLIntervals*intervalAmong(len(m.contacts)))
+}
 
-// Live returns the addresses of the other live gateways, in order.
+// Live returns the addresses of the other live gateways, sorted.
 func (m *Members) Live(now time.Time) []string {
-	life := m.life()
-	maps.DeleteFunc(m.heard, func(_ string, s seen) bool { return now.Sub(s.at) >= life })
-	maps.DeleteFunc(m.left, func(_ string, l leave) bool { return now.After(l.until) })
-	return slices.Sorted(maps.Keys(m.heard))
+	ttl := m.ttl()
+	maps.DeleteFunc(m.contacts, func(_ string, s contact) bool { return now.Sub(s.at) >= ttl })
+	maps.DeleteFunc(m.departures, func(_ string, l departure) bool { return now.After(l.until) })
+	return slices.Sorted(maps.Keys(m.contacts))
 }
 
-// Reached returns the addresses of the other gateways that still talk: the live ones, and those that leave. These answer what
-// they have begun, and requests that still come to them, by what they are told.
-func (m *Members) Reached(now time.Time) []string {
+// Reachable returns the addresses of the other gateways that still communicate: live ones and those that are
+// leaving. The latter finish the requests that they have begun, and serve ones that still arrive, based on
+// what they receive.
+func (m *Members) Reachable(now time.Time) []string {
 	out := m.Live(now)
-	for addr, l := range m.left {
-		if now.Sub(l.at) < memberLife {
+	for addr, l := range m.departures {
+		if now.Sub(l.at) < memberTTL {
 			out = append(out, addr)
 		}
 	}
@@ -109,22 +115,23 @@
 	return out
 }
 
-// membersTold is the number of gateways that one report names. A gateway exchanges some forty
-// reports a second, so that each of a hundred is named several times a second; all of them
-// in each report would make most of its bytes.
-const membersTold = 8
+// membersPerReport is the number of gateways that one report names. A gateway exchanges some forty reports a
+// second, so each of a hundred is named several times a second; naming all of them in each report would
+// account for most of its bytes.
+const membersPerReport = 8
 
-// Report returns live gateways with the time since each was heard: all of them, or at most membersTold in turn.
+// Report returns live gateways with the time since the last contact: all of them, or at most membersPerReport
+// in round-robin order.
 func (m *Members) Report(all bool, now time.Time) []*Member {
 	live := m.Live(now)
-	if len(live) > membersTold && !all {
+	if len(live) > membersPerReport && !all {
 		from := m.next % len(live)
-		m.next = from + membersTold
-		live = append(live[from:], live[:from]...)[:membersTold]
+		m.next = from + membersPerReport
+		live = append(live[from:], live[:from]...)[:membersPerReport]
 	}
 	out := make([]*Member, 0, len(live))
 	for _, addr := range live {
-		s := m.heard[addr]
+		s := m.contacts[addr]
 		out = append(out, &Member{Addr: addr, AgeMs: uint32(now.Sub(s.at).Milliseconds()), Incarnation: s.incarnation})
 	}
 	return out
--- a/peer/members_test.go
+++ b/peer/members_test.go
@@ -16,120 +16,123 @@
 
 func live(m *Members, s float64) string { return strings.Join(m.Live(at(s)), " ") }
 
-func TestMembersComeAndLapse(t *testing.T) {
+func TestMembersJoinAndExpire(t *testing.T) {
 	m := NewMembers("self")
-	m.Heard("b", 1, at(0))
-	m.Heard("a", 1, at(1))
-	m.Heard("self", 1, at(1))
-	m.Heard("", 1, at(1))
+	m.RecordContact("b", 1, at(0))
+	m.RecordContact("a", 1, at(1))
+	m.RecordContact("self", 1, at(1))
+	m.RecordContact("", 1, at(1))
 	assert.Equal(t, live(m, 2), "a b")
-	assert.Equal(t, live(m, 5), "a", "five seconds of silence")
-	m.Heard("b", 1, at(6))
+	assert.Equal(t, live(m, 5), "a", "no contact for five seconds")
+	m.RecordContact("b", 1, at(6))
 	assert.Equal(t, live(m, 6), "b")
 }
 
-func TestHearsayDoesNotKeepTheDeadAlive(t *testing.T) {
+func TestReportsDoNotKeepTerminatedMembersLive(t *testing.T) {
 	a, b := NewMembers("a"), NewMembers("b")
-	a.Heard("gone", 1, at(0))
+	a.RecordContact("gone", 1, at(0))
 	for s := 0.5; s < 20; s += 0.5 {
 		for _, m := range a.Report(false, at(s)) {
-			b.Told(m.GetAddr(), m.GetIncarnation(), time.Duration(m.GetAgeMs())*time.Millisecond, at(s))
+			b.RecordReported(m.GetAddr(), m.GetIncarnation(), time.Duration(m.GetAgeMs())*time.Millisecond, at(s))
 		}
 		for _, m := range b.Report(false, at(s)) {
-			a.Told(m.GetAddr(), m.GetIncarnation(), time.Duration(m.GetAgeMs())*time.Millisecond, at(s))
+			a.RecordReported(m.GetAddr(), m.GetIncarnation(), time.Duration(m.GetAgeMs())*time.Millisecond, at(s))
 		}
 	}
 	assert.Equal(t, live(a, 20), "")
 	assert.Equal(t, live(b, 20), "")
 }
 
-func TestLeavingStaysGone(t *testing.T) {
+func TestReportsDoNotRestoreLeavingMember(t *testing.T) {
 	m := NewMembers("self")
-	m.Heard("a", 1, at(0))
-	m.Left("a", 1, at(1))
-	m.Told("a", 1, 100*time.Millisecond, at(1))
-	assert.Equal(t, live(m, 1), "", "others heard it before it left")
-	m.Heard("a", 1, at(2))
-	assert.Equal(t, live(m, 2), "a", "it is back")
+	m.RecordContact("a", 1, at(0))
+	m.RecordLeaving("a", 1, at(1))
+	m.RecordReported("a", 1, 100*time.Millisecond, at(1))
+	assert.Equal(t, live(m, 1), "", "others had contact before it left")
+	m.RecordContact("a", 1, at(2))
+	assert.Equal(t, live(m, 2), "a", "it started again")
 }
 
-// TestLeavingIsStillReached: one that leaves answers what it has begun, and is told what it has to know for that, as long as
-// it talks.
-func TestLeavingIsStillReached(t *testing.T) {
+// TestLeavingMemberIsReachable: a leaving gateway finishes the requests that it has begun, and receives the
+// updates needed for them as long as it communicates.
+func TestLeavingMemberIsReachable(t *testing.T) {
 	m := NewMembers("self")
-	m.Heard("a", 1, at(0))
-	m.Heard("b", 1, at(0))
-	m.Left("b", 1, at(1))
+	m.RecordContact("a", 1, at(0))
+	m.RecordContact("b", 1, at(0))
+	m.RecordLeaving("b", 1, at(1))
 	assert.Equal(t, live(m, 1), "a")
-	assert.Equal(t, strings.Join(m.Reached(at(1)), " "), "a b")
-	m.Left("b", 1, at(4))
-	assert.Equal(t, strings.Join(m.Reached(at(7)), " "), "b")
-	assert.Equal(t, strings.Join(m.Reached(at(9)), " "), "")
+	assert.Equal(t, strings.Join(m.Reachable(at(1)), " "), "a b")
+	m.RecordLeaving("b", 1, at(4))
+	assert.Equal(t, strings.Join(m.Reachable(at(7)), " "), "b")
+	assert.Equal(t, strings.Join(m.Reachable(at(9)), " "), "")
 }
 
-// TestStartedAgainIsNotTakenForTheOneThatLeft: gateways that were restarted in turn were not heard of for seconds, since
-// hearsay of them was taken for that of the ones before, and used quotas that the others did not know of.
-func TestStartedAgainIsNotTakenForTheOneThatLeft(t *testing.T) {
+// TestRestartedMemberIsNotTakenForTheOneThatLeft: gateways restarted one after another stayed unknown for
+// seconds, since reports of them were attributed to the earlier incarnations, and used quotas without the
+// others' knowledge.
+func TestRestartedMemberIsNotTakenForTheOneThatLeft(t *testing.T) {
 	m := NewMembers("self")
-	m.Heard("a", 1, at(0))
-	m.Left("a", 1, at(1))
-	assert.Assert(t, !m.Told("a", 1, 0, at(2)))
-	assert.Assert(t, !m.Told("a", 0, 0, at(2)), "gateways of before don't tell which one they heard")
-	assert.Assert(t, m.Told("a", 2, 0, at(2)))
+	m.RecordContact("a", 1, at(0))
+	m.RecordLeaving("a", 1, at(1))
+	assert.Assert(t, !m.RecordReported("a", 1, 0, at(2)))
+	assert.Assert(t, !m.RecordReported("a", 0, 0, at(2)), "gateways of earlier releases don't send the incarnation")
+	assert.Assert(t, m.RecordReported("a", 2, 0, at(2)))
 	assert.Equal(t, live(m, 2), "a")
 	assert.Assert(t, m.Knows("a", 2))
 	assert.Assert(t, !m.Knows("a", 3))
-	assert.Assert(t, m.Heard("a", 3, at(2)), "started once more")
+	assert.Assert(t, m.RecordContact("a", 3, at(2)), "restarted again")
 	assert.Equal(t, len(m.Report(true, at(2))), 1)
 }
 
-// TestReportNamesFew: at many gateways one report names some of them, and some reports all.
-func TestReportNamesFew(t *testing.T) {
+// TestReportNamesBoundedMembers: with many gateways one report names some of them, and several reports name
+// all.
+func TestReportNamesBoundedMembers(t *testing.T) {
 	m := NewMembers("self")
 	for i := range 100 {
-		m.Heard(fmt.Sprint("gateway-", i), 1, at(0))
+		m.RecordContact(fmt.Sprint("gateway-", i), 1, at(0))
 	}
 	named := map[string]bool{}
 	for range 13 {
 		report := m.Report(false, at(1))
-		assert.Equal(t, len(report), membersTold)
-		for _, told := range report {
-			named[told.GetAddr()] = true
+		assert.Equal(t, len(report), membersPerReport)
+		for _, member := range report {
+			named[member.GetAddr()] = true
 		}
 	}
 	assert.Equal(t, len(named), 100)
-	assert.Equal(t, len(m.Report(true, at(1))), 100, "all of them to one that has just started")
+	assert.Equal(t, len(m.Report(true, at(1))), 100, "a gateway that has just started gets all of them")
 }
 
-// TestManyMembersStay: one of 300 gateways hears each other in an exchange every 7.5 s, and of eight in each of
-// forty exchanges a second. None that lives lapses, and one that has ended does.
-func TestManyMembersStay(t *testing.T) {
+// TestManyMembersDoNotExpire: one of 300 gateways has direct contact with each other one every 7.5 s, and
+// receives reports of eight in each of forty exchanges a second. No live gateway expires, and one that
+// terminated does.
+func TestManyMembersDoNotExpire(t *testing.T) {
 	const (
-		many  = 300
-		day   = 60.0
-		ended = 30.0
+		many     = 300
+		duration = 60.0
+		ended    = 30.0
 	)
 	rng := rand.New(rand.NewPCG(1, 2))
-	pace := paceAmong(many).Seconds()
+	interval := intervalAmong(many).Seconds()
 	m := NewMembers("self")
 	name := func(i int) string { return fmt.Sprint("gateway-", i) }
-	step := pace / many
-	lapsed := 0
-	for n := 0; float64(n)*step < day; n++ {
+	step := interval / many
+	expired := 0
+	for n := 0; float64(n)*step < duration; n++ {
 		now := float64(n) * step
 		if i := n % many; i > 0 || now < ended {
-			m.Heard(name(i), 1, at(now))
+			m.RecordContact(name(i), 1, at(now))
 		}
-		for range membersTold {
-			i, age := rng.IntN(many), rng.Float64()*pace
+		for range membersPerReport {
+			i, age := rng.IntN(many), rng.Float64()*interval
 			if i > 0 || now-age < ended {
-				m.Told(name(i), 1, time.Duration(age*float64(time.Second)), at(now))
+				m.RecordReported(name(i), 1, time.Duration(age*float64(time.Second)), at(now))
 			}
 		}
-		if now > 2*pace && now < ended && len(m.Live(at(now))) < many {
-			lapsed++
+		if now > 2*interval && now < ended && len(m.Live(at(now))) < many {
+			expired++
 		}
 	}
-	assert.Equal(t, lapsed, 0)
-	assert.Equal(t, len(m.Live(at(day))), many-1, "the one that ended is gone")
+	assert.Equal(t, expired, 0)
+	assert.Equal(t, len(m.Live(at(duration))), many-1, "the terminated one has expired")
 }
--- a/peer/network.go
+++ b/peer/network.go
@@ -11,17 +11,17 @@
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// tcp is the network outside of tests.
-type tcp struct{}
+// tcpNetwork is the Network used in production.
+type tcpNetwork struct{}
 
 // Listen implements Network.
-func (tcp) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+func (tcpNetwork) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
 // Dial implements Network.
-func (tcp) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (tcpNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// SetNetwork replaces TCP. It must be called before Run.
+// SetNetwork replaces TCP, for tests. It must be called before Run.
 func (s *Service) SetNetwork(n Network) { s.net = n }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -14,39 +14,39 @@
 	"gotest.tools/v3/assert"
 )
 
-// epoch is from when tests count.
+// epoch is the origin of Uptime in tests.
 var epoch = time.Now()
 
-type toldProof struct {
+type receivedProof struct {
 	version int64
 	at      time.Duration
 }
 
-// gateway is a gateway with a table and a list, for tests.
+// gateway is a LocalState with a route table and a list of servers, for tests.
 type gateway struct {
 	*Service
 	mu             sync.Mutex
 	table, servers int64
-	// manyServers is set if the list of servers does not fit a report.
+	// manyServers is set if the list of servers does not fit into a report.
 	manyServers bool
-	// refuses is a version that can't be used here.
-	refuses int64
-	// offers is a version of the table that is told and not there.
-	offers  int64
-	fetched []Fetch
-	placed  map[string]uint32
-	// proves is the version that reports say is proved, and the age of that; proofs are those that were taken.
-	proves int64
-	age    time.Duration
-	proofs []toldProof
-	wake   chan struct{}
+	// unusableVersion is a version that can't be used here.
+	unusableVersion int64
+	// offeredVersion is a version of the table that is reported but not available.
+	offeredVersion int64
+	fetched        []Fetch
+	placed         map[string]uint32
+	// provedVersion and provedAge are the proof sent in reports; proofs are those received.
+	provedVersion int64
+	provedAge     time.Duration
+	proofs        []receivedProof
+	wake          chan struct{}
 }
 
 func (g *gateway) Report(servers int64) *Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := &Report{TableVersion: max(g.table, g.offers), ServersVersion: g.servers}
-	r.ProvedVersion, r.ProvedAgeMs = g.proves, uint32(g.age.Milliseconds())
+	r := &Report{TableVersion: max(g.table, g.offeredVersion), ServersVersion: g.servers}
+	r.ProvedVersion, r.ProvedAgeMs = g.provedVersion, uint32(g.provedAge.Milliseconds())
 	if g.servers > servers && !g.manyServers {
 		r.ServersTold = true
 	}
@@ -68,7 +68,7 @@
 	return *g.versionOf(s)
 }
 
-// versionOf is the version of a state. The caller holds mu.
+// versionOf returns a pointer to the version of a state. The caller holds mu.
 func (g *gateway) versionOf(s State) *int64 {
 	if s == State_ROUTE_TABLE {
 		return &g.table
@@ -76,8 +76,8 @@
 	return &g.servers
 }
 
-// content is a state of some parts that hardly compresses.
-func content(s State, version int64) []byte {
+// stateContent is a state of several parts that hardly compresses.
+func stateContent(s State, version int64) []byte {
 	out := make([]byte, 5*partBytes/2)
 	r := rand.New(rand.NewPCG(uint64(s), uint64(version)))
 	for i := range out {
@@ -91,17 +91,17 @@
 	if version == 0 {
 		return 0, nil
 	}
-	return version, content(s, version)
+	return version, stateContent(s, version)
 }
 
 func (g *gateway) ApplyState(s State, version int64, data []byte, _ string) error {
-	if !bytes.Equal(data, content(s, version)) {
-		return errors.New("other bytes")
+	if !bytes.Equal(data, stateContent(s, version)) {
+		return errors.New("content differs")
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if version == g.refuses {
-		return errors.New("not understood")
+	if version == g.unusableVersion {
+		return errors.New("unusable version")
 	}
 	v := g.versionOf(s)
 	*v = max(*v, version)
@@ -116,7 +116,7 @@
 func (g *gateway) ReceiveProof(version int64, at time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.proofs = append(g.proofs, toldProof{version, at})
+	g.proofs = append(g.proofs, receivedProof{version, at})
 	g.changed()
 }
 
@@ -136,7 +136,7 @@
 	g.changed()
 }
 
-// changed wakes those who wait. The caller holds mu.
+// changed wakes the goroutines blocked in await. The caller holds mu.
 func (g *gateway) changed() {
 	close(g.wake)
 	g.wake = make(chan struct{})
@@ -163,7 +163,7 @@
 	}
 }
 
-func address(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = lis.Close() }()
@@ -176,7 +176,7 @@
 	return g
 }
 
-func run(t *testing.T, addr string, seeds ...string) *gateway {
+func startGateway(t *testing.T, addr string, seeds ...string) *gateway {
 	g := newGateway(addr, seeds)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -188,27 +188,27 @@
 	return g
 }
 
-// TestChangesSpread: one gateway alone knows of a change; another that only knows a third
-// one as its seed learns it, also when it starts later.
+// TestChangesSpread: a change known to one gateway alone reaches another whose only seed is a third gateway,
+// and also one that starts later.
 func TestChangesSpread(t *testing.T) {
-	a, b, c, d := address(t), address(t), address(t), address(t)
-	first := run(t, a, b)
-	run(t, b, a)
-	third := run(t, c, b)
+	a, b, c, d := freeAddress(t), freeAddress(t), freeAddress(t), freeAddress(t)
+	first := startGateway(t, a, b)
+	startGateway(t, b, a)
+	third := startGateway(t, c, b)
 	first.mu.Lock()
 	first.table, first.servers = 7, 40
 	first.mu.Unlock()
 	first.Announce()
 	third.await(t, "the change", func() bool { return third.table == 7 && third.servers == 40 })
-	late := run(t, d, c)
-	late.await(t, "what was before its start", func() bool { return late.table == 7 && late.servers == 40 })
+	late := startGateway(t, d, c)
+	late.await(t, "the state from before its start", func() bool { return late.table == 7 && late.servers == 40 })
 	assert.Assert(t, late.LiveGateways() >= 2)
 }
 
-// TestLongListIsFetched: what does not fit a report is fetched, once, in parts.
+// TestLongListIsFetched: a list too large for a report is fetched, once, in parts.
 func TestLongListIsFetched(t *testing.T) {
-	a, b := address(t), address(t)
-	first, second := run(t, a, b), run(t, b, a)
+	a, b := freeAddress(t), freeAddress(t)
+	first, second := startGateway(t, a, b), startGateway(t, b, a)
 	first.mu.Lock()
 	first.servers, first.manyServers = 40, true
 	first.mu.Unlock()
@@ -227,15 +227,15 @@
 func TestRank(t *testing.T) {
 	s := New("b", 0, nil, &gateway{wake: make(chan struct{})})
 	assert.Equal(t, s.Rank(), 0, "alone")
-	s.take(&Report{Addr: "c"})
+	s.receive(&Report{Addr: "c"})
 	assert.Equal(t, s.Rank(), 0)
-	s.take(&Report{Addr: "a"})
+	s.receive(&Report{Addr: "a"})
 	assert.Equal(t, s.Rank(), 1)
-	s.take(&Report{Addr: "a", Leaving: true})
-	assert.Equal(t, s.Rank(), 0, "who leaves does not count")
+	s.receive(&Report{Addr: "a", Leaving: true})
+	assert.Equal(t, s.Rank(), 0, "a leaving gateway does not count")
 }
 
-// freePort is a port of loopback on which nothing listens for datagrams.
+// freePort returns a loopback port on which nothing listens for datagrams.
 func freePort(t *testing.T) int {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
@@ -243,7 +243,7 @@
 	return conn.LocalAddr().(*net.UDPAddr).Port
 }
 
-func TestPlacementIsTold(t *testing.T) {
+func TestPlacementIsSent(t *testing.T) {
 	port := freePort(t)
 	got := make(chan *Placement, 1)
 	in := newDatagrams(port)
@@ -251,12 +251,12 @@
 	in.send([]string{"127.0.0.1:9", "no address"}, &Placement{Addr: "x", Shares: []*Share{{Server: "i-1", Tokens: 5}}})
 	p := <-got
 	assert.Equal(t, p.GetNumber(), uint64(1))
-	assert.Equal(t, in.last(), uint64(1))
+	assert.Equal(t, in.lastNumber(), uint64(1))
 	assert.Equal(t, p.GetShares()[0].GetTokens(), uint32(5))
 }
 
-// TestLargePlacementGoesInParts: a placement on more engines than fit a datagram is told whole.
-func TestLargePlacementGoesInParts(t *testing.T) {
+// TestLargePlacementIsSplit: a placement on more engines than fit into a datagram arrives completely.
+func TestLargePlacementIsSplit(t *testing.T) {
 	port := freePort(t)
 	const engines = 500
 	got := make(chan *Placement, engines)
@@ -267,21 +267,21 @@
 		shares = append(shares, &Share{Server: fmt.Sprintf("i-%010x", i), Tokens: 5000, Runs: 3, Mean: make([]uint32, 8), Variance: make([]uint64, 8)})
 	}
 	in.send([]string{"127.0.0.1:9"}, &Placement{Addr: "x", Incarnation: 7, Shares: shares})
-	told, numbers := map[string]bool{}, map[uint64]bool{}
-	for len(told) < engines {
+	received, numbers := map[string]bool{}, map[uint64]bool{}
+	for len(received) < engines {
 		p := <-got
 		assert.Equal(t, p.GetIncarnation(), uint64(7))
-		assert.Assert(t, !numbers[p.GetNumber()], "each has a number of its own")
+		assert.Assert(t, !numbers[p.GetNumber()], "each datagram has its own number")
 		numbers[p.GetNumber()] = true
 		for _, s := range p.GetShares() {
-			told[s.GetServer()] = true
+			received[s.GetServer()] = true
 		}
 	}
 	assert.Assert(t, len(numbers) > 1)
 }
 
-// TestSuspectsHaveNoNumber: what tells of requests under which servers ended goes in the same datagrams as placement,
-// and must not make a report of placement older than it is.
+// TestSuspectsHaveNoNumber: observations of requests in progress at terminated servers share the datagrams of
+// placements, and must not make an earlier report of placements look outdated.
 func TestSuspectsHaveNoNumber(t *testing.T) {
 	port := freePort(t)
 	got := make(chan *Placement, 1)
@@ -290,17 +290,17 @@
 	in.send([]string{"127.0.0.1:9"}, &Placement{Addr: "x", Suspects: &Suspects{Holds: []*Hold{{Content: []byte("c"), LeftMs: 5}}}})
 	p := <-got
 	assert.Equal(t, p.GetNumber(), uint64(0))
-	assert.Equal(t, in.last(), uint64(0))
+	assert.Equal(t, in.lastNumber(), uint64(0))
 	assert.Equal(t, p.GetSuspects().GetHolds()[0].GetLeftMs(), uint64(5))
 }
 
-// TestProofsCountFromTheQuestion: what a peer has proved is taken from answers alone, and is as old as it says when the
-// question was sent. A report that came unasked may have been on its way for any time.
-func TestProofsCountFromTheQuestion(t *testing.T) {
-	a, b := address(t), address(t)
-	first, second := run(t, a, b), run(t, b, a)
+// TestProofAgeCountsFromTheRequest: proofs are accepted only from responses, and their age counts from when
+// the request was sent. An unsolicited report may have been in transit for any time.
+func TestProofAgeCountsFromTheRequest(t *testing.T) {
+	a, b := freeAddress(t), freeAddress(t)
+	first, second := startGateway(t, a, b), startGateway(t, b, a)
 	second.mu.Lock()
-	second.proves, second.age = 5, time.Second
+	second.provedVersion, second.provedAge = 5, time.Second
 	second.mu.Unlock()
 	before := first.Uptime()
 	first.QueryPeers()
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -10,45 +10,45 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// packedState is a version of a state as it is sent.
-type packedState struct {
+// compressedState is a version of a state in the form in which it is sent.
+type compressedState struct {
 	version int64
 	data    []byte
 }
 
-// stateServer hands out parts of what this gateway knows. It keeps what it packed last, so that a version
-// is packed once for all that fetch it.
+// stateServer serves parts of this gateway's state. It caches the last compressed version, which is compressed
+// once for all gateways that fetch it.
 type stateServer struct {
-	beliefs LocalState
-	mu      sync.Mutex
-	packed  map[State]packedState
+	local      LocalState
+	mu         sync.Mutex
+	compressed map[State]compressedState
 }
 
-// part returns a part of a state; without data if the version asked for is not the one known.
+// part returns a part of a state, without data if the requested version is not the current one.
 func (s *stateServer) part(in *FetchRequest) (*FetchPart, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	packed := s.packed[in.GetState()]
-	if in.GetVersion() == 0 || packed.version == 0 {
+	compressed := s.compressed[in.GetState()]
+	if in.GetVersion() == 0 || compressed.version == 0 {
 		var err error
-		if packed, err = s.pack(in.GetState(), packed); err != nil {
+		if compressed, err = s.compress(in.GetState(), compressed); err != nil {
 			return nil, err
 		}
 	}
-	out := &FetchPart{Version: packed.version, Size: uint32(len(packed.data))}
-	from := min(int(in.GetOffset()), len(packed.data))
-	if in.GetVersion() == 0 || in.GetVersion() == packed.version {
-		out.Data = packed.data[from:min(from+partBytes, len(packed.data))]
+	out := &FetchPart{Version: compressed.version, Size: uint32(len(compressed.data))}
+	from := min(int(in.GetOffset()), len(compressed.data))
+	if in.GetVersion() == 0 || in.GetVersion() == compressed.version {
+		out.Data = compressed.data[from:min(from+partBytes, len(compressed.data))]
 	}
 	return out, nil
 }
 
-// pack returns the newest version, packed. The caller holds mu.
-func (s *stateServer) pack(state State, old packedState) (packedState, error) {
-	if s.beliefs.Version(state) == old.version {
+// compress returns the newest version in compressed form. The caller holds mu.
+func (s *stateServer) compress(state State, old compressedState) (compressedState, error) {
+	if s.local.Version(state) == old.version {
 		return old, nil
 	}
-	version, data := s.beliefs.EncodedState(state)
+	version, data := s.local.EncodedState(state)
 	if data == nil {
 		return old, nil
 	}
@@ -63,13 +63,13 @@
 	if err := w.Close(); err != nil {
 		return old, merry.Wrap(err)
 	}
-	packed := packedState{version: version, data: b.Bytes()}
-	s.packed[state] = packed
-	return packed, nil
+	compressed := compressedState{version: version, data: b.Bytes()}
+	s.compressed[state] = compressed
+	return compressed, nil
 }
 
-func unpack(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
@@ -87,7 +87,7 @@
 func (s *Service) Fetch(_ context.Context, in *FetchRequest) (*FetchPart, error) {
 	part, err := s.server.part(in)
 	if err == nil {
-		s.traffic.served(len(part.GetData()))
+		s.traffic.recordServed(len(part.GetData()))
 	}
 	return part, err
 }
--- a/peer/traffic.go
+++ b/peer/traffic.go
@@ -2,15 +2,15 @@
 
 import "sync/atomic"
 
-// Traffic counts the exchanges of a process. Counts only grow.
+// Traffic holds the counts of a process. They only grow.
 type Traffic struct {
-	// Exchanges are those that this side made, Failed those of them without an answer.
+	// Exchanges counts the exchanges that this side initiated, Failed those of them without a response.
 	Exchanges, Failed int64
-	// Served is the size of the parts of its state that others fetched, in bytes.
+	// Served is the number of bytes of state that others fetched.
 	Served int64
 }
 
-// Since is what was counted after an earlier reading.
+// Since returns the difference to an earlier reading.
 func (t Traffic) Since(earlier Traffic) Traffic {
 	return Traffic{
 		Exchanges: t.Exchanges - earlier.Exchanges, Failed: t.Failed - earlier.Failed,
@@ -18,20 +18,20 @@
 	}
 }
 
-// trafficMeter counts Traffic. It is safe for concurrent use.
+// trafficMeter accumulates Traffic. It is safe for concurrent use.
 type trafficMeter struct {
-	exchanges, failed, bytes atomic.Int64
+	exchanges, failed, served atomic.Int64
 }
 
-func (m *trafficMeter) exchanged(err error) {
+func (m *trafficMeter) recordExchange(err error) {
 	m.exchanges.Add(1)
 	if err != nil {
 		m.failed.Add(1)
 	}
 }
 
-func (m *trafficMeter) served(n int) { m.bytes.Add(int64(n)) }
+func (m *trafficMeter) recordServed(n int) { m.served.Add(int64(n)) }
 
-func (m *trafficMeter) read() Traffic {
-	return Traffic{Exchanges: m.exchanges.Load(), Failed: m.failed.Load(), Served: m.bytes.Load()}
+func (m *trafficMeter) snapshot() Traffic {
+	return Traffic{Exchanges: m.exchanges.Load(), Failed: m.failed.Load(), Served: m.served.Load()}
 }
