--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -87,7 +87,7 @@
 	// limits decides how many calls each server of a plain service gets.
 	limits *overload.Limiter
 	// retryDetectors recognizes retries after a rejection, by route.
-	retryDetectors map[string]*waitqueue.Returners
+	retryDetectors map[string]*waitqueue.RetryDetector
 	// prefillPool chooses prefill engines, engines the decode engines.
 	prefillPool *prefillpool.Pool
 	engines     *engines
@@ -171,7 +171,7 @@
 	s, ok := f.services[name]
 	if !ok {
 		s = &service{
-			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), retryDetectors: map[string]*waitqueue.Returners{},
+			outliers: outlier.New(), outstanding: map[string]int{}, limits: overload.New(), retryDetectors: map[string]*waitqueue.RetryDetector{},
 			prefillPool: prefillpool.New(prefillConfig(f.Off), f.VM), engines: newEngines(f.VM, f.Zone, f.Off, func() []registry.Server { return f.View.Servers(name) }, f.suspicions.suspected, f.unavailable, f.notifyPlacementChanged),
 		}
 		f.services[name] = s
@@ -271,7 +271,7 @@
 	s := f.service(j.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.budget.Request(f.Retry, j.arrived)
+	s.budget.AddRequest(f.Retry, j.arrived)
 	j.retried = s.isRetry(j)
 	if j.retried {
 		f.Metrics.Counter(metrics.Returners).Inc(1)
@@ -287,10 +287,10 @@
 func (s *service) isRetry(j *job) bool {
 	r, ok := s.retryDetectors[j.route.Name]
 	if !ok {
-		r = &waitqueue.Returners{}
+		r = &waitqueue.RetryDetector{}
 		s.retryDetectors[j.route.Name] = r
 	}
-	return r.Returned(j.meta.ClientTimeout)
+	return r.Observe(j.meta.ClientTimeout)
 }
 
 // takeRetry takes one retry from the budget of the job's service.
@@ -298,7 +298,7 @@
 	s := f.service(j.service)
 	routers := f.View.Routers()
 	f.mu.Lock()
-	ok := s.budget.Repeat(f.Retry, routers, time.Now())
+	ok := s.budget.TryRetry(f.Retry, routers, time.Now())
 	f.mu.Unlock()
 	if !ok {
 		f.Metrics.RetryDenied("budget")
@@ -326,7 +326,7 @@
 			continue
 		}
 		s.engines.forget(table.Has)
-		maps.DeleteFunc(s.retryDetectors, func(name string, _ *waitqueue.Returners) bool { return !table.Has(name) })
+		maps.DeleteFunc(s.retryDetectors, func(name string, _ *waitqueue.RetryDetector) bool { return !table.Has(name) })
 	}
 }
 
@@ -354,7 +354,7 @@
 	defer f.mu.Unlock()
 	return stages.Load{
 		MemoryShort: short,
-		PromptRate:  s.promptRate.At(now), EnginePrefillRate: s.prefillPool.PerSecond(), MemoryDemand: s.holdTime.Demand(s.memoryRate.At(now), s.weightedMemoryRate.At(now)),
+		PromptRate:  s.promptRate.At(now), EnginePrefillRate: s.prefillPool.TokensPerSecond(), MemoryDemand: s.holdTime.Demand(s.memoryRate.At(now), s.weightedMemoryRate.At(now)),
 	}
 }
 
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -62,7 +62,7 @@
 	final, again := r.afterAttempt(ctx, o)
 	if again {
 		terms := r.f.service(r.j.service).engines.terms
-		r.waiter.Until = terms.Again(r.waiter.Until, time.Now(), r.j.deadline)
+		r.waiter.GiveUpAt = terms.GiveUpAfterFailure(r.waiter.GiveUpAt, time.Now(), r.j.deadline)
 	}
 	return final, again
 }
@@ -139,7 +139,7 @@
 // the request waits in the engine's own queue.
 func (a *streamAttempt) reserveAgain(ctx context.Context) string {
 	f, j := a.r.f, a.r.j
-	lifetime := j.table.Services[j.service].Engine.MaxHold
+	lifetime := j.table.Services[j.service].Engine.MaxReservationTTL
 	reservation, err := f.Engines.Reserve(ctx, a.lease.server, j.reservedTokens(), lifetime)
 	if err != nil {
 		f.attemptFailed(j, a.lease.server, outcome.NoPlace, err)
--- a/load/capacity/peer.go
+++ b/load/capacity/peer.go
@@ -49,7 +49,7 @@
 
 func serveIdle(ctx context.Context, conn *drpcconn.Conn, stream wire.DRPCSidecar_SessionClient, set entry.Settings, id string) error {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		HeartbeatInterval: set.Timing.Beat, IdleHeartbeatInterval: set.Timing.IdleBeat, SilenceLimit: set.Timing.Silence,
+		HeartbeatInterval: set.Timing.Heartbeat, IdleHeartbeatInterval: set.Timing.IdleHeartbeat, SilenceLimit: set.Timing.Silence,
 		QueueLimit: set.Bounds.LinkQueue,
 		Active:     func() bool { return false },
 		MakeHeartbeat: func(interval time.Duration) *wire.EntryFrame {
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -64,7 +64,7 @@
 func newFetcher(s *Service, state State, grace time.Duration) *fetcher {
 	return &fetcher{
 		service: s, state: state, offered: make(chan struct{}, 1), rejected: -1,
-		planner: catchup.New(catchup.Config{Grace: grace, Rest: fetchCooldown, Life: memberTTL}),
+		planner: catchup.New(catchup.Config{Grace: grace, Cooldown: fetchCooldown, OfferTTL: memberTTL}),
 	}
 }
 
--- a/policy/kvmemory/simulation_test.go
+++ b/policy/kvmemory/simulation_test.go
@@ -20,9 +20,9 @@
 	deployment
 	rng     *rand.Rand
 	pools   []*kvmemory.Pool
-	queues  []*waitqueue.Line
+	queues  []*waitqueue.Queue
 	lengths []map[string]*outputlength.Learner
-	terms   waitqueue.Terms
+	terms   waitqueue.Policy
 	// expectedFree is the memory that a router expects to become free for it during a run, in
 	// tokens. Nil disables immediate rejection; rejectedAtOnce counts the requests rejected that
 	// way.
@@ -49,7 +49,7 @@
 
 func newSimulation(d deployment, cfg kvmemory.Config) *simulation {
 	s := &simulation{
-		deployment: d, rng: rand.New(rand.NewPCG(d.seed, 7)), terms: waitqueue.DefaultTerms(),
+		deployment: d, rng: rand.New(rand.NewPCG(d.seed, 7)), terms: waitqueue.DefaultPolicy(),
 		queued: map[*waitqueue.Waiter]*simRequest{}, arrivals: map[time.Time][]*simRequest{}, dueReports: map[time.Time][]string{},
 		used: map[string]float64{}, placements: map[string]int{}, rechecks: map[time.Time][]*simRequest{},
 	}
@@ -62,7 +62,7 @@
 		p := kvmemory.New(cfg, fmt.Sprintf("edge-%d", i))
 		p.Sync(list)
 		p.SetRouters(d.routers)
-		s.pools, s.queues = append(s.pools, p), append(s.queues, &waitqueue.Line{})
+		s.pools, s.queues = append(s.pools, p), append(s.queues, &waitqueue.Queue{})
 		s.lengths = append(s.lengths, map[string]*outputlength.Learner{})
 	}
 	s.all = d.requests(s.rng)
@@ -96,7 +96,7 @@
 	late, remaining := now != r.firstArrival, simClientTimeout-now.Sub(r.firstArrival)
 	r.waiter = &waitqueue.Waiter{
 		Need: r.prompt + r.hint, Arrived: now, Late: late,
-		Until: s.terms.Until(now, simObjective, remaining, r.prompt, late),
+		GiveUpAt: s.terms.GiveUpAt(now, simObjective, remaining, r.prompt, late),
 	}
 	learners := s.lengths[r.router]
 	if learners[r.kind.name] == nil {
@@ -105,7 +105,7 @@
 	r.run = &kvmemory.Run{Need: r.waiter.Need, Prompt: r.prompt, Length: learners[r.kind.name].Begin(r.hint, simMaxTokens)}
 	if s.hopeless(r, now) {
 		s.rejectedAtOnce++
-		r.waiter.Until = now
+		r.waiter.GiveUpAt = now
 	}
 	s.queued[r.waiter] = r
 	s.queues[r.router].Add(r.waiter)
@@ -118,7 +118,7 @@
 		return false
 	}
 	rate := s.expectedFree(s.pools[r.router], now) / simRunDuration.Seconds()
-	return s.terms.Hopeless(queue.Ahead(r.waiter), rate, r.waiter.Until.Sub(now))
+	return s.terms.ShouldReject(queue.Ahead(r.waiter), rate, r.waiter.GiveUpAt.Sub(now))
 }
 
 // dispatch places the queued requests of one router.
@@ -258,7 +258,7 @@
 func (s *simulation) rejectExpired(now time.Time) {
 	var expired []*simRequest
 	for w, r := range s.queued {
-		if !now.Before(w.Until) {
+		if !now.Before(w.GiveUpAt) {
 			expired = append(expired, r)
 		}
 	}
@@ -271,7 +271,7 @@
 			r.result = resultRejected
 			continue
 		}
-		delay := s.terms.ComeBack(simClientTimeout-now.Sub(r.firstArrival), s.rng.Float64())
+		delay := s.terms.RetryAfter(simClientTimeout-now.Sub(r.firstArrival), s.rng.Float64())
 		r.router = s.rng.IntN(s.routers)
 		at := start.Add(now.Add(delay).Sub(start).Round(simTick))
 		s.arrivals[at] = append(s.arrivals[at], r)
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -12,16 +12,16 @@
 	"github.com/hibiscusspur/hibiscusspur/upstream"
 )
 
-// TestDialIsBounded: a server that has gone silent costs a request no more than the bound of a connection's
-// opening, and is known not to have seen it.
+// TestDialIsBounded: an unresponsive server delays a request by no more than the dial timeout, and the error says that
+// the request was not sent.
 func TestDialIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 150 * time.Millisecond
-		silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
+		unresponsive := func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		p := upstream.New(upstream.Options{Connect: silent, Dial: bound})
+		p := upstream.New(upstream.Options{Connect: unresponsive, DialTimeout: bound})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		before := time.Now()
