--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -37,7 +37,7 @@
 	conn peerConn
 	// serversVersion is the version of the list of servers that the peer last reported.
 	serversVersion int64
-	// repeated is set if the last exchange followed the one before it without delay.
+	// repeated is set after an exchange that another follows at once; that one is not repeated in turn.
 	repeated bool
 	lost     bool
 	cancel   context.CancelFunc
@@ -45,7 +45,7 @@
 	requested chan struct{}
 }
 
-// requestExchange triggers an exchange at once, or right after the one in progress, which may have missed the
+// requestExchange triggers an exchange at once, or right after the one in progress, which may have missed an
 // update.
 func (l *peerLink) requestExchange() {
 	select {
@@ -133,8 +133,8 @@
 	return time.Since(s.lastInbound[addr]) < inboundIntervals*interval
 }
 
-// exchangeOnce makes one exchangeOnce. It reports whether another should follow at once because the peer turned out to
-// be behind.
+// exchangeOnce makes one exchange. It reports whether another should follow at once because the peer turned out
+// to be behind.
 func (s *Service) exchangeOnce(ctx context.Context, l *peerLink) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/peer/members.go
+++ b/peer/members.go
@@ -34,8 +34,8 @@
 	incarnation uint64
 }
 
-// departure is a gateway that announced that it leaves. Until the given time, reports of it by others count as
-// outdated unless they name another incarnation.
+// departure is a gateway that announced that it leaves. Reports of contact with it up to until are ignored,
+// unless they name another incarnation.
 type departure struct {
 	contact
 	until time.Time
@@ -64,9 +64,9 @@
 		return false
 	}
 	at := now.Add(-age)
-	if left, ok := m.departures[addr]; ok {
-		another := incarnation != 0 && incarnation != left.incarnation
-		if !another && !at.After(left.until) {
+	if departed, ok := m.departures[addr]; ok {
+		restarted := incarnation != 0 && incarnation != departed.incarnation
+		if !restarted && !at.After(departed.until) {
 			return false
 		}
 	}
@@ -96,8 +96,8 @@
 // Live returns the addresses of the other live gateways, sorted.
 func (m *Members) Live(now time.Time) []string {
 	ttl := m.ttl()
-	maps.DeleteFunc(m.contacts, func(_ string, s contact) bool { return now.Sub(s.at) >= ttl })
-	maps.DeleteFunc(m.departures, func(_ string, l departure) bool { return now.After(l.until) })
+	maps.DeleteFunc(m.contacts, func(_ string, c contact) bool { return now.Sub(c.at) >= ttl })
+	maps.DeleteFunc(m.departures, func(_ string, d departure) bool { return now.After(d.until) })
 	return slices.Sorted(maps.Keys(m.contacts))
 }
 
@@ -106,8 +106,8 @@
 // what they receive.
 func (m *Members) Reachable(now time.Time) []string {
 	out := m.Live(now)
-	for addr, l := range m.departures {
-		if now.Sub(l.at) < memberTTL {
+	for addr, d := range m.departures {
+		if now.Sub(d.at) < memberTTL {
 			out = append(out, addr)
 		}
 	}
@@ -131,8 +131,8 @@
 	}
 	out := make([]*Member, 0, len(live))
 	for _, addr := range live {
-		s := m.contacts[addr]
-		out = append(out, &Member{Addr: addr, AgeMs: uint32(now.Sub(s.at).Milliseconds()), Incarnation: s.incarnation})
+		c := m.contacts[addr]
+		out = append(out, &Member{Addr: addr, AgeMs: uint32(now.Sub(c.at).Milliseconds()), Incarnation: c.incarnation})
 	}
 	return out
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -192,7 +192,7 @@
 // Sent is the number of bytes sent over connections that this side dialled.
 func (s *Service) Sent() int64 { return s.meter.Sent() }
 
-// Received is the number of bytes received over them.
+// Received is the number of bytes received over connections that this side dialled.
 func (s *Service) Received() int64 { return s.meter.Received() }
 
 // Traffic returns the counts of exchanges since the start.
