--- a/link/idle_test.go
+++ b/link/idle_test.go
@@ -14,8 +14,8 @@
 // announced the short interval becomes unresponsive.
 func TestIdleLinkDetectsUnresponsivePeerInTime(t *testing.T) {
 	const (
-		idle     = 256 * heartbeatInterval
-		promised = 301 * time.Second // coincides with neither a heartbeat nor a tick
+		idle           = 256 * heartbeatInterval
+		announcedAfter = 301 * time.Second // coincides with neither a heartbeat nor a tick
 	)
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -23,11 +23,11 @@
 		near := connect(t, func(s wire.DRPCSidecar_SessionStream) error {
 			ended := make(chan error, 1)
 			go func() { ended <- drainFrames(s) }()
-			for time.Since(start) < promised {
+			for time.Since(start) < announcedAfter {
 				if err := s.Send(sidecarHeartbeat(idle)); err != nil {
 					return err
 				}
-				time.Sleep(min(idle, promised-time.Since(start)))
+				time.Sleep(min(idle, announcedAfter-time.Since(start)))
 			}
 			if err := s.Send(sidecarHeartbeat(heartbeatInterval)); err != nil {
 				return err
@@ -40,7 +40,7 @@
 			near.ReceiveHeartbeat(time.Duration(f.GetBeat().GetIntervalMs()) * time.Millisecond)
 		})
 		assert.ErrorIs(t, err, ErrUnresponsive)
-		assert.Assert(t, time.Since(start) <= promised+silenceLimit+2*heartbeatInterval, "after %s", time.Since(start))
+		assert.Assert(t, time.Since(start) <= announcedAfter+silenceLimit+2*heartbeatInterval, "after %s", time.Since(start))
 		assert.Assert(t, ticks < 80, "%d ticks", ticks)
 	})
 }
--- a/link/link.go
+++ b/link/link.go
@@ -290,8 +290,8 @@
 
 // silenceLimit is the silence limit, scaled to the interval that the peer announced.
 func (l *Link[Out, In]) silenceLimit() time.Duration {
-	promised := time.Duration(l.peerInterval.Load())
-	return time.Duration(float64(l.opts.SilenceLimit) * float64(promised) / float64(l.opts.HeartbeatInterval))
+	announced := time.Duration(l.peerInterval.Load())
+	return time.Duration(float64(l.opts.SilenceLimit) * float64(announced) / float64(l.opts.HeartbeatInterval))
 }
 
 // ReceiveHeartbeat records the interval that the peer announced in a heartbeat.
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -167,12 +167,12 @@
 	writing chan struct{}
 }
 
-func (a *notifyingConn) Write(p []byte) (int, error) {
+func (c *notifyingConn) Write(p []byte) (int, error) {
 	select {
-	case a.writing <- struct{}{}:
+	case c.writing <- struct{}{}:
 	default:
 	}
-	return a.Conn.Write(p)
+	return c.Conn.Write(p)
 }
 
 // A write blocked in the transport returns when the link is closed.
--- a/link/schedule_test.go
+++ b/link/schedule_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestHeartbeatSchedule(t *testing.T) {
-	const beat, idle = 250 * time.Millisecond, 10 * time.Second
+	const interval, idle = 250 * time.Millisecond, 10 * time.Second
 	for _, c := range []struct {
 		name   string
 		active func(tick int) bool
@@ -23,12 +23,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(0, 0)
-			p := heartbeatSchedule{active: true, lastSent: now}
+			schedule := heartbeatSchedule{active: true, lastSent: now}
 			got := 0
 			for i := range c.ticks {
-				now = now.Add(beat)
-				p.sent = c.sent(i)
-				if p.due(now, c.active(i), beat, beat, idle) {
+				now = now.Add(interval)
+				schedule.sent = c.sent(i)
+				if schedule.due(now, c.active(i), interval, interval, idle) {
 					got++
 				}
 			}
--- a/peer/fetch_test.go
+++ b/peer/fetch_test.go
@@ -20,11 +20,11 @@
 }
 
 // Dial implements Network.
-func (o asymmetricHost) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	if addr == o.unreachable {
+func (h asymmetricHost) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	if addr == h.unreachable {
 		return nil, errors.New("no route")
 	}
-	return o.Host.Dial(ctx, addr)
+	return h.Host.Dial(ctx, addr)
 }
 
 // TestFetchFallsBackToAnotherPeer: of two gateways that have a version, one is unreachable; the fetch uses the
@@ -105,8 +105,8 @@
 		time.Sleep(watched * time.Second)
 		second.mu.Lock()
 		defer second.mu.Unlock()
-		asked := len(second.fetched)
-		assert.Assert(t, asked > 0 && asked <= watched, "asked %d times", asked)
+		fetches := len(second.fetched)
+		assert.Assert(t, fetches > 0 && fetches <= watched, "asked %d times", fetches)
 		cancel()
 	})
 }
--- a/peer/members_test.go
+++ b/peer/members_test.go
@@ -108,31 +108,31 @@
 // terminated does.
 func TestManyMembersDoNotExpire(t *testing.T) {
 	const (
-		many     = 300
-		duration = 60.0
-		ended    = 30.0
+		gatewayCount = 300
+		duration     = 60.0
+		terminatedAt = 30.0
 	)
 	rng := rand.New(rand.NewPCG(1, 2))
-	interval := intervalAmong(many).Seconds()
+	interval := intervalAmong(gatewayCount).Seconds()
 	m := NewMembers("self")
 	name := func(i int) string { return fmt.Sprint("gateway-", i) }
-	step := interval / many
+	step := interval / gatewayCount
 	expired := 0
 	for n := 0; float64(n)*step < duration; n++ {
 		now := float64(n) * step
-		if i := n % many; i > 0 || now < ended {
+		if i := n % gatewayCount; i > 0 || now < terminatedAt {
 			m.RecordContact(name(i), 1, at(now))
 		}
 		for range membersPerReport {
-			i, age := rng.IntN(many), rng.Float64()*interval
-			if i > 0 || now-age < ended {
+			i, age := rng.IntN(gatewayCount), rng.Float64()*interval
+			if i > 0 || now-age < terminatedAt {
 				m.RecordReported(name(i), 1, time.Duration(age*float64(time.Second)), at(now))
 			}
 		}
-		if now > 2*interval && now < ended && len(m.Live(at(now))) < many {
+		if now > 2*interval && now < terminatedAt && len(m.Live(at(now))) < gatewayCount {
 			expired++
 		}
 	}
 	assert.Equal(t, expired, 0)
-	assert.Equal(t, len(m.Live(at(duration))), many-1, "the terminated one has expired")
+	assert.Equal(t, len(m.Live(at(duration))), gatewayCount-1, "the terminated one has expired")
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -200,9 +200,9 @@
 	first.mu.Unlock()
 	first.Announce()
 	third.await(t, "the change", func() bool { return third.table == 7 && third.servers == 40 })
-	late := startGateway(t, d, c)
-	late.await(t, "the state from before its start", func() bool { return late.table == 7 && late.servers == 40 })
-	assert.Assert(t, late.LiveGateways() >= 2)
+	fourth := startGateway(t, d, c)
+	fourth.await(t, "the state from before its start", func() bool { return fourth.table == 7 && fourth.servers == 40 })
+	assert.Assert(t, fourth.LiveGateways() >= 2)
 }
 
 // TestLongListIsFetched: a list too large for a report is fetched, once, in parts.
