--- a/link/link.go
+++ b/link/link.go
@@ -100,12 +100,12 @@
 // Send queues a frame and does not block. The frame belongs to the link from then on.
 func (l *Link[Out, In]) Send(f *Out) error { return l.queueFrame(f, true) }
 
-// queueFrame queues a frame; standsIn means that the frame replaces the next heartbeat.
-func (l *Link[Out, In]) queueFrame(f *Out, standsIn bool) error {
+// queueFrame queues a frame; replacesHeartbeat is set if the frame replaces the next heartbeat.
+func (l *Link[Out, In]) queueFrame(f *Out, replacesHeartbeat bool) error {
 	if l.isDone() {
 		return l.err
 	}
-	if !l.enqueue(f, standsIn) {
+	if !l.enqueue(f, replacesHeartbeat) {
 		l.end(ErrOverflow)
 		return ErrOverflow
 	}
@@ -116,15 +116,15 @@
 	return nil
 }
 
-func (l *Link[Out, In]) enqueue(f *Out, standsIn bool) bool {
+func (l *Link[Out, In]) enqueue(f *Out, replacesHeartbeat bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.queue) >= l.opts.QueueLimit {
 		return false
 	}
 	l.queue = append(l.queue, f)
-	l.schedule.sent = l.schedule.sent || standsIn
-	if standsIn {
+	l.schedule.sent = l.schedule.sent || replacesHeartbeat
+	if replacesHeartbeat {
 		l.endSlowTicks()
 	}
 	return true
@@ -142,7 +142,7 @@
 // Run sends and receives frames until the link ends, and returns the reason. onFrame is called for each
 // received frame in order, on one goroutine; it must not block.
 func (l *Link[Out, In]) Run(ctx context.Context, onFrame func(*In)) error {
-	l.setUpFlush() // before the first Recv, which reads what this sets
+	l.setUpFlush() // must precede the first Recv, which reads the flush mode
 	var wg sync.WaitGroup
 	wg.Go(l.write)
 	wg.Go(func() { l.monitor(ctx) })
@@ -254,7 +254,7 @@
 				l.end(ErrUnresponsive)
 				return
 			}
-			l.heartbeat(now)
+			l.sendDueHeartbeat(now)
 			t.Reset(l.nextTick())
 		}
 	}
@@ -307,8 +307,8 @@
 	}
 }
 
-// heartbeat sends a heartbeat if one is due.
-func (l *Link[Out, In]) heartbeat(now time.Time) {
+// sendDueHeartbeat sends a heartbeat if one is due.
+func (l *Link[Out, In]) sendDueHeartbeat(now time.Time) {
 	active := l.opts.Active()
 	l.mu.Lock()
 	tick := l.opts.HeartbeatInterval
