--- a/gateway/proofs.go
+++ b/gateway/proofs.go
@@ -231,7 +231,7 @@
 		sleep(ctx, peerProofInterval)
 		age, known := s.proofs.age()
 		if s.requiresKeys() && (!known || age >= peerProofAge) {
-			s.peers.Ask()
+			s.peers.QueryPeers()
 		}
 		if now := s.requiresKeys() && !s.proofs.bounds.Trusted(age, known); now != refused {
 			refused = now
@@ -253,10 +253,10 @@
 	return age.Milliseconds()
 }
 
-// Uptime implements peer.Beliefs.
+// Uptime implements peer.LocalState.
 func (s *Service) Uptime() time.Duration { return s.proofs.now() }
 
-// TakeProof implements peer.Beliefs.
-func (s *Service) TakeProof(version int64, at time.Duration) {
+// ReceiveProof implements peer.LocalState.
+func (s *Service) ReceiveProof(version int64, at time.Duration) {
 	s.proofs.recordProof(freshness.Proof{Version: version, At: at})
 }
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -58,7 +58,7 @@
 	maps.DeleteFunc(q.lastLogged, func(customer string, _ time.Time) bool { return !names[customer] })
 }
 
-// Take implements forward.Quota.
+// Receive implements forward.Quota.
 func (q *quotas) Take(customer string, quota route.Quota, cost float64) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -119,8 +119,8 @@
 func (s *Service) refreshQuotas(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, limit.MemberCheckInterval)
-		s.quotas.refresh(s.peers.Pace())
-		s.fwd.ServerLimits().CheckMembers(s.view.Routers(), s.peers.Pace())
+		s.quotas.refresh(s.peers.ExchangeInterval())
+		s.fwd.ServerLimits().CheckMembers(s.view.Routers(), s.peers.ExchangeInterval())
 	}
 }
 
--- a/gateway/quotas_test.go
+++ b/gateway/quotas_test.go
@@ -31,20 +31,20 @@
 		for range 8 {
 			assert.Assert(t, take(cl.gateways[0]))
 		}
-		time.Sleep(cl.gateways[0].peers.Pace())
+		time.Sleep(cl.gateways[0].peers.ExchangeInterval())
 		// Most of what was used has been refilled in the interval; at most a burst is left.
 		for range 10 {
 			take(cl.gateways[1])
 		}
-		time.Sleep(2 * cl.gateways[0].peers.Pace())
+		time.Sleep(2 * cl.gateways[0].peers.ExchangeInterval())
 		before := admitted
 		for range 40 {
 			for _, s := range cl.gateways {
 				take(s)
 			}
-			time.Sleep(cl.gateways[0].peers.Pace())
+			time.Sleep(cl.gateways[0].peers.ExchangeInterval())
 		}
-		refilled := 40 * cl.gateways[0].peers.Pace().Seconds() * quota.Rate
+		refilled := 40 * cl.gateways[0].peers.ExchangeInterval().Seconds() * quota.Rate
 		// Reports reach each gateway once per interval: those of the meantime include at most the last reported
 		// usage.
 		maxAdmitted := int(refilled+quota.Burst)/100 + len(cl.gateways)
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -48,9 +48,9 @@
 		case <-s.guard.Updates():
 		}
 		sleep(ctx, datagramBatchInterval)
-		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
+		s.peers.Broadcast(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
 		s.peers.Spread()
 		sleep(ctx, suspectRepeatInterval)
-		s.peers.Tell(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
+		s.peers.Broadcast(&peer.Placement{Suspects: s.guard.Recent(recentSuspectAge)})
 	}
 }
--- a/gateway/updates_test.go
+++ b/gateway/updates_test.go
@@ -56,7 +56,7 @@
 				cl := newCluster(ctx, 15, manyGateways-15)
 				time.Sleep(setupTime)
 				// All pairs exchange reports once per interval.
-				interval := cl.gateways[0].peers.Pace()
+				interval := cl.gateways[0].peers.ExchangeInterval()
 				assert.Assert(t, updateTime < intervals*interval)
 				before := cl.exchanges()
 				time.Sleep(intervals * interval)
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -104,8 +104,8 @@
 	defer s.Close()
 	sess := &session{entry: &wire.Hello{Incarnation: "e"}}
 	sess.link = link.New[wire.SidecarFrame, wire.EntryFrame](nil, link.Options[wire.SidecarFrame]{
-		Beat: set.Timing.Heartbeat, IdleBeat: set.Timing.IdleHeartbeat, Silence: set.Timing.Silence,
-		QueueLimit: 1 << 20, MakeBeat: s.heartbeat, Active: sess.active.Load,
+		HeartbeatInterval: set.Timing.Heartbeat, IdleHeartbeatInterval: set.Timing.IdleHeartbeat, SilenceLimit: set.Timing.Silence,
+		QueueLimit: 1 << 20, MakeHeartbeat: s.heartbeat, Active: sess.active.Load,
 	})
 	s.addSession(sess)
 	in := bytes.NewReader(data)
--- a/sidecar/ledger_test.go
+++ b/sidecar/ledger_test.go
@@ -73,8 +73,8 @@
 	st := &memoryStream{closed: make(chan struct{})}
 	sess := &session{entry: &wire.Hello{EntryId: entry, Incarnation: entry}}
 	sess.link = link.New(st, link.Options[wire.SidecarFrame]{
-		Beat: time.Hour, IdleBeat: time.Hour, Silence: time.Hour, QueueLimit: 64, Transport: st,
-		Active: func() bool { return false }, MakeBeat: s.heartbeat,
+		HeartbeatInterval: time.Hour, IdleHeartbeatInterval: time.Hour, SilenceLimit: time.Hour, QueueLimit: 64, Transport: st,
+		Active: func() bool { return false }, MakeHeartbeat: s.heartbeat,
 	})
 	go func() { _ = sess.link.Run(s.ctx, func(*wire.EntryFrame) {}) }()
 	s.addSession(sess)
