--- a/cmd/hibiscusspur/gateway.go
+++ b/cmd/hibiscusspur/gateway.go
@@ -71,7 +71,7 @@
 	l, batch := event.NewBatched("gateway", set.VM, log.InfoLevel)
 	defer batch.Flush()
 	pool := upstream.New(upstream.Options{Dial: serverDial})
-	store := platform.NewStore(upstream.New(upstream.Options{}), set.Store, storeTimeout)
+	store := platform.NewStore(upstream.New(upstream.Options{}), set.StoreAddr, storeTimeout)
 	engines := platform.NewEngines(pool, engineTimeout)
 	s := gateway.New(gatewaySettings(set, off), gateway.Deps{
 		Store:   store,
@@ -85,19 +85,19 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go followSettings(ctx, l, path, func(set platform.Settings) {
-		store.Move(set.Store)
+		store.SetAddr(set.StoreAddr)
 		s.Reload(gatewaySettings(set, off))
 	})
-	return runDaemon(l, s, set.Drain-drainMargin)
+	return runDaemon(l, s, set.DrainTimeout-drainMargin)
 }
 
 func gatewaySettings(set platform.Settings, off mechanism.Set) gateway.Settings {
 	return gateway.Settings{
 		VM: set.VM, Zone: set.Zone,
-		Callers: set.Callers, Ready: set.Ready, Control: set.Control, Seeds: set.Seeds,
-		Datagrams: set.Ports[0],
-		Metrics:   net.JoinHostPort(set.IP, strconv.Itoa(set.Ports[0])),
-		Drain:     set.Drain, Notice: gateway.DefaultNotice,
+		Callers: set.ClientAddr, Ready: set.ReadyAddr, Control: set.ControlAddr, Seeds: set.Seeds,
+		Datagrams: set.PortRange[0],
+		Metrics:   net.JoinHostPort(set.IP, strconv.Itoa(set.PortRange[0])),
+		Drain:     set.DrainTimeout, Notice: gateway.DefaultNotice,
 		Retry: retrybudget.Limits{Ratio: set.Retry.Ratio, Window: set.Retry.Window, Slack: set.Retry.Slack},
 		Keys:  keyBounds(set),
 		Off:   off,
@@ -109,5 +109,5 @@
 	if !set.FailClosed {
 		return freshness.Bounds{}
 	}
-	return freshness.Bounds{Revoke: set.Revoke}
+	return freshness.Bounds{Revoke: set.RevokeTimeout}
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -110,7 +110,7 @@
 	s.http, err = httpserver.Start(httpserver.Options{
 		Name: "callers", Addr: s.set.Listen, Handler: s.handler(),
 		MaxBody: s.set.Bounds.BodyBytes + 1, MaxInProgress: s.set.Bounds.InProgress, MaxWriteBuffer: s.set.Bounds.WriteBuffer,
-		Refusal: s.earlyRefusal,
+		Rejection: s.earlyRefusal,
 	})
 	if err != nil {
 		return err
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -221,7 +221,7 @@
 }
 
 func (s *Service) serve(name, addr string, h http.Handler, head func(*http.Request) int) (*httpserver.Server, error) {
-	server, err := httpserver.Start(httpserver.Options{Name: name, Addr: addr, Handler: h, Head: head, Pollers: 1})
+	server, err := httpserver.Start(httpserver.Options{Name: name, Addr: addr, Handler: h, CheckHead: head, Pollers: 1})
 	if err == nil && name != "callers" {
 		s.servers = append(s.servers, server)
 	}
--- a/httpserver/conn.go
+++ b/httpserver/conn.go
@@ -59,7 +59,7 @@
 	headers   int
 	lengths   int
 	expects   bool
-	// method, target and fields are the head of the present request, kept for Options.Head alone; looked is set once that
+	// method, target and fields are the head of the present request, kept for Options.CheckHead alone; looked is set once that
 	// was asked.
 	method, target string
 	fields         []string
@@ -83,14 +83,14 @@
 		}
 		return ok
 	}
-	c.idle = time.AfterFunc(s.opts.Idle, c.idleTooLong)
+	c.idle = time.AfterFunc(s.opts.IdleTimeout, c.idleTooLong)
 	c.ready.Store(true)
 	return c
 }
 
 func (c *conn) handled() {
 	if c.handling.Add(-1) == 0 {
-		c.idle.Reset(c.server.opts.Idle)
+		c.idle.Reset(c.server.opts.IdleTimeout)
 	}
 }
 
@@ -144,9 +144,9 @@
 			return
 		}
 	}
-	if c.inBody && c.server.opts.Head != nil && !c.looked {
+	if c.inBody && c.server.opts.CheckHead != nil && !c.looked {
 		c.looked = true
-		if status := c.server.opts.Head(c.head()); status != 0 {
+		if status := c.server.opts.CheckHead(c.head()); status != 0 {
 			c.refuse(status)
 			return
 		}
@@ -179,7 +179,7 @@
 	if c.handling.Load() > 0 {
 		return
 	}
-	headers, body := c.server.opts.Refusal(status)
+	headers, body := c.server.opts.Rejection(status)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n",
 		status, http.StatusText(status), len(body))
@@ -233,7 +233,7 @@
 	case "Expect":
 		c.expects = strings.EqualFold(strings.TrimSpace(value), "100-continue")
 	}
-	if c.server.opts.Head != nil {
+	if c.server.opts.CheckHead != nil {
 		c.fields = append(c.fields, key, value)
 	}
 	p.Processor.OnHeader(parser, key, value)
@@ -246,9 +246,9 @@
 	if length > c.server.opts.MaxBody {
 		p.fail(http.StatusRequestEntityTooLarge)
 	}
-	if c.expects && c.server.opts.Head != nil && !c.looked {
+	if c.expects && c.server.opts.CheckHead != nil && !c.looked {
 		c.looked = true
-		if status := c.server.opts.Head(c.head()); status != 0 {
+		if status := c.server.opts.CheckHead(c.head()); status != 0 {
 			p.fail(status)
 		}
 	}
--- a/httpserver/server.go
+++ b/httpserver/server.go
@@ -46,18 +46,18 @@
 	// MaxWriteBuffer bounds the bytes waiting for one slow reader; a handler that
 	// writes more waits.
 	MaxWriteBuffer int
-	// Stall is how long a reader may take nothing before its connection is closed.
-	Stall time.Duration
+	// StallTimeout is how long a reader may take nothing before its connection is closed.
+	StallTimeout time.Duration
 	// ReadTimeout bounds the time from the first byte of a request to the last.
 	ReadTimeout time.Duration
-	// Idle is how long a connection without a request is kept.
-	Idle time.Duration
-	// Head looks at a request whose head is there while its body is not, and returns a status with which the request is
+	// IdleTimeout is how long a connection without a request is kept.
+	IdleTimeout time.Duration
+	// CheckHead looks at a request whose head is there while its body is not, and returns a status with which the request is
 	// refused at once, or zero. It must not block, and must not keep what it is given. Nil refuses none.
-	Head func(r *http.Request) int
-	// Refusal returns the headers and the JSON body for a request that is refused
+	CheckHead func(r *http.Request) int
+	// Rejection returns the headers and the JSON body for a request that is refused
 	// before it reaches Handler. It must not block. Nil means neither.
-	Refusal func(status int) (http.Header, []byte)
+	Rejection func(status int) (http.Header, []byte)
 }
 
 // Defaults of Options.
@@ -68,9 +68,9 @@
 	DefaultMaxConns       = 20_000
 	DefaultMaxInProgress  = 4096
 	DefaultMaxWriteBuffer = 1 << 20
-	DefaultStall          = 10 * time.Second
+	DefaultStallTimeout   = 10 * time.Second
 	DefaultReadTimeout    = 30 * time.Second
-	DefaultIdle           = 2 * time.Minute
+	DefaultIdleTimeout    = 2 * time.Minute
 )
 
 const (
@@ -145,11 +145,11 @@
 	setDefault(&o.MaxConns, DefaultMaxConns)
 	setDefault(&o.MaxInProgress, DefaultMaxInProgress)
 	setDefault(&o.MaxWriteBuffer, DefaultMaxWriteBuffer)
-	setDefault(&o.Stall, DefaultStall)
+	setDefault(&o.StallTimeout, DefaultStallTimeout)
 	setDefault(&o.ReadTimeout, DefaultReadTimeout)
-	setDefault(&o.Idle, DefaultIdle)
-	if o.Refusal == nil {
-		o.Refusal = func(int) (http.Header, []byte) { return nil, nil }
+	setDefault(&o.IdleTimeout, DefaultIdleTimeout)
+	if o.Rejection == nil {
+		o.Rejection = func(int) (http.Header, []byte) { return nil, nil }
 	}
 	return o
 }
--- a/httpserver/server_test.go
+++ b/httpserver/server_test.go
@@ -96,7 +96,7 @@
 // A connection is closed when a request takes too long to arrive, or none comes.
 func TestSlowRequest(t *testing.T) {
 	for _, begin := range []string{"", "G", "GET /\r\n\r\n", "POST / HTTP/1.1\r\n", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc"} {
-		addr := start(t, Options{ReadTimeout: 50 * time.Millisecond, Idle: 200 * time.Millisecond}, echo)
+		addr := start(t, Options{ReadTimeout: 50 * time.Millisecond, IdleTimeout: 200 * time.Millisecond}, echo)
 		c := dial(t, addr)
 		_, err := io.WriteString(c, begin)
 		assert.NilError(t, err)
@@ -115,7 +115,7 @@
 
 // The bound on idle connections does not apply to a request in progress.
 func TestHandlerOutlivesIdle(t *testing.T) {
-	addr := start(t, Options{Idle: 50 * time.Millisecond}, func(w http.ResponseWriter, _ *http.Request) {
+	addr := start(t, Options{IdleTimeout: 50 * time.Millisecond}, func(w http.ResponseWriter, _ *http.Request) {
 		for range 10 {
 			_, _ = io.WriteString(w, "a")
 			w.(http.Flusher).Flush()
@@ -290,7 +290,7 @@
 // came with its head is left to the handler, which answers on a connection that stays open.
 func TestHeadIsLookedAtFirst(t *testing.T) {
 	var seen string
-	addr := start(t, Options{Head: func(r *http.Request) int {
+	addr := start(t, Options{CheckHead: func(r *http.Request) int {
 		seen = r.Method + " " + r.Host + r.URL.Path + " " + r.Header.Get("X-Key")
 		if r.Header.Get("X-Key") == "bad" {
 			return http.StatusUnauthorized
--- a/httpserver/writer.go
+++ b/httpserver/writer.go
@@ -32,7 +32,7 @@
 }
 
 func newWriter(c net.Conn, raw *nbio.Conn, o Options) *writer {
-	return &writer{Conn: c, raw: raw, limit: int64(o.MaxWriteBuffer), stall: o.Stall, wake: make(chan struct{}, 1)}
+	return &writer{Conn: c, raw: raw, limit: int64(o.MaxWriteBuffer), stall: o.StallTimeout, wake: make(chan struct{}, 1)}
 }
 
 // Write implements net.Conn. It may block, and must not be called by a poller.
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -33,7 +33,7 @@
 		Pollers:       pollers,
 		MaxInProgress: maxInProgress,
 		MaxBody:       maxBody,
-		Idle:          idle,
+		IdleTimeout:   idle,
 	})
 	if err != nil {
 		return nil, err
