--- a/httpserver/caller.go
+++ b/httpserver/caller.go
@@ -6,14 +6,14 @@
 	"github.com/lesismal/nbio"
 )
 
-// Caller tells whether the caller behind a response is still connected. nbhttp
-// cancels no context and fails no write when a caller leaves.
+// Caller reports whether the client of a request is still connected. nbhttp cancels no context and fails no write
+// when a client disconnects.
 type Caller struct {
 	conn *nbio.Conn
 }
 
-// CallerOf returns the caller of w. Responses that are not of a Server yield a
-// Caller that never leaves.
+// CallerOf returns the caller of w. For a response that is not from a Server it returns a Caller that never
+// disconnects.
 func CallerOf(w http.ResponseWriter) Caller {
 	res, ok := w.(*response)
 	if !ok {
@@ -31,8 +31,7 @@
 	return closed
 }
 
-// Abort closes the connection without completing the response. Bytes that were
-// flushed before may still arrive.
+// Abort closes the connection without completing the response. Bytes that were flushed before may still arrive.
 func Abort(w http.ResponseWriter) {
 	if res, ok := w.(*response); ok {
 		_ = res.out.raw.Close()
--- a/httpserver/conn.go
+++ b/httpserver/conn.go
@@ -16,9 +16,9 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// linger is how long a connection stays open after a refusal, so that a caller
-// that is still sending reads it, or after its last answer.
-const linger = time.Second
+// lingerTime is how long a connection stays open after a rejection, so that a client that is still sending can read
+// it, and after its last response.
+const lingerTime = time.Second
 
 // Errors with which a connection is closed.
 var (
@@ -28,42 +28,41 @@
 
 const continueLine = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// conn watches what a connection sends and stands between nbio and the parser of
-// nbhttp. Parse and the processor run on the connection's poller goroutine, which
-// owns all fields without a comment.
+// conn sits between nbio and the parser of nbhttp and checks what a connection sends. Parse and the processor run on
+// the connection's poller goroutine, which owns all fields after idleTimer.
 type conn struct {
 	*nbhttp.Parser
 	server *Server
 	out    *writer
-	// ready orders the making of a conn before its use by the poller; nbio hands
-	// connections over through the kernel, which the race detector can't see.
+	// ready makes the initialization of a conn happen before its use by the poller: nbio hands connections over
+	// through the kernel, which the race detector can't see.
 	ready atomic.Bool
-	// handling counts the requests that are read but not answered yet.
-	handling atomic.Int32
-	// idle closes the connection when it fires while nothing is handled. nbio's own
-	// read deadline can't do it: nbhttp sets it when a connection is accepted, at
-	// times after the first request has begun, and so cuts off a long one.
-	idle *time.Timer
+	// inProgress counts the requests that have been received but not responded to yet.
+	inProgress atomic.Int32
+	// idleTimer closes the connection if it fires while no request is in progress. nbio's own read deadline can't do
+	// that: nbhttp sets it when it accepts a connection, sometimes after the first request has begun, and so cuts off
+	// a long one.
+	idleTimer *time.Timer
 
-	// refusal is the status with which the present request is refused, or zero.
-	refusal int
-	// refused is set once a refusal was sent; what follows is dropped.
-	refused bool
-	// completed is set when a request ended within the present Parse.
+	// rejectStatus is the status with which the current request is rejected, or zero.
+	rejectStatus int
+	// rejected is set once a rejection was sent; later input is dropped.
+	rejected bool
+	// completed is set if a request ended within the current call of Parse.
 	completed bool
-	// inBody is set between the head of a request and its end.
+	// inBody is set from the end of a request's head to the end of the request.
 	inBody bool
-	// timeout ends a request that arrives too slowly; nil while none is arriving.
-	timeout   *time.Timer
-	headBytes int
-	headers   int
-	lengths   int
-	expects   bool
-	// method, target and fields are the head of the present request, kept for Options.CheckHead alone; looked is set once that
-	// was asked.
+	// readTimer closes the connection if a request arrives too slowly; nil while none is arriving.
+	readTimer       *time.Timer
+	headBytes       int
+	headers         int
+	contentLengths  int
+	expectsContinue bool
+	// method, target and fields are the head of the current request, kept only for Options.CheckHead; headChecked is
+	// set once that has been called.
 	method, target string
 	fields         []string
-	looked         bool
+	headChecked    bool
 }
 
 func newConn(s *Server, raw *nbio.Conn, p *nbhttp.Parser) *conn {
@@ -73,66 +72,65 @@
 	p.Processor = &processor{Processor: p.Processor, conn: c}
 	execute := p.Execute
 	p.Execute = func(f func()) bool {
-		c.handling.Add(1)
+		c.inProgress.Add(1)
 		ok := execute(func() {
-			defer c.handled()
+			defer c.requestDone()
 			f()
 		})
 		if !ok {
-			c.handled()
+			c.requestDone()
 		}
 		return ok
 	}
-	c.idle = time.AfterFunc(s.opts.IdleTimeout, c.idleTooLong)
+	c.idleTimer = time.AfterFunc(s.opts.IdleTimeout, c.closeIfIdle)
 	c.ready.Store(true)
 	return c
 }
 
-func (c *conn) handled() {
-	if c.handling.Add(-1) == 0 {
-		c.idle.Reset(c.server.opts.IdleTimeout)
+func (c *conn) requestDone() {
+	if c.inProgress.Add(-1) == 0 {
+		c.idleTimer.Reset(c.server.opts.IdleTimeout)
 	}
 }
 
-func (c *conn) idleTooLong() {
-	if c.handling.Load() == 0 {
+func (c *conn) closeIfIdle() {
+	if c.inProgress.Load() == 0 {
 		_ = c.out.raw.CloseWithError(errIdle)
 	}
 }
 
-// busy reports whether an answer is being made or sent.
+// busy reports whether a response is being produced or sent.
 func (c *conn) busy() bool {
 	if closed, _ := c.out.raw.IsClosed(); closed {
 		return false
 	}
-	return c.handling.Load() > 0 || c.out.pending.Load() > 0
+	return c.inProgress.Load() > 0 || c.out.pending.Load() > 0
 }
 
 // Parse implements nbhttp.ParserCloser.
 func (c *conn) Parse(data []byte) error {
-	if !c.ready.Load() || c.refused {
+	if !c.ready.Load() || c.rejected {
 		return nil
 	}
 	c.completed = false
 	err := c.Parser.Parse(data)
 	switch {
-	case c.refusal != 0:
-		c.refuse(c.refusal)
+	case c.rejectStatus != 0:
+		c.reject(c.rejectStatus)
 	case errors.Is(err, net.ErrClosed):
 		return err
 	case errors.Is(err, nbhttp.ErrTooLong):
-		c.refuse(http.StatusRequestEntityTooLarge)
+		c.reject(http.StatusRequestEntityTooLarge)
 	case err != nil:
-		c.refuse(http.StatusBadRequest)
+		c.reject(http.StatusBadRequest)
 	default:
-		c.bound(len(data))
+		c.enforceLimits(len(data))
 	}
 	return nil
 }
 
-// bound limits the size of a head that is not whole yet, and the time for a
-// request to arrive.
-func (c *conn) bound(n int) {
+// enforceLimits bounds the size of an incomplete head and the time for a request to arrive.
+func (c *conn) enforceLimits(n int) {
 	if c.completed {
 		c.headBytes = 0
 		return
@@ -140,23 +138,23 @@
 	if !c.inBody {
 		c.headBytes += n
 		if c.headBytes > c.server.opts.MaxHeaderBytes {
-			c.refuse(http.StatusRequestHeaderFieldsTooLarge)
+			c.reject(http.StatusRequestHeaderFieldsTooLarge)
 			return
 		}
 	}
-	if c.inBody && c.server.opts.CheckHead != nil && !c.looked {
-		c.looked = true
+	if c.inBody && c.server.opts.CheckHead != nil && !c.headChecked {
+		c.headChecked = true
 		if status := c.server.opts.CheckHead(c.head()); status != 0 {
-			c.refuse(status)
+			c.reject(status)
 			return
 		}
 	}
-	if c.timeout == nil && c.handling.Load() == 0 {
-		c.timeout = time.AfterFunc(c.server.opts.ReadTimeout, func() { _ = c.out.raw.CloseWithError(errSlow) })
+	if c.readTimer == nil && c.inProgress.Load() == 0 {
+		c.readTimer = time.AfterFunc(c.server.opts.ReadTimeout, func() { _ = c.out.raw.CloseWithError(errSlow) })
 	}
 }
 
-// head is the present request without its body.
+// head returns the current request without its body.
 func (c *conn) head() *http.Request {
 	r := &http.Request{Method: c.method, RequestURI: c.target, Header: make(http.Header, len(c.fields)/2)}
 	for i := 0; i+1 < len(c.fields); i += 2 {
@@ -171,12 +169,11 @@
 	return r
 }
 
-// refuse answers a request that the handler never sees. While another answer is
-// in progress on the connection nothing can be said in between; then the
-// connection closes when it has been idle.
-func (c *conn) refuse(status int) {
-	c.refused = true
-	if c.handling.Load() > 0 {
+// reject responds to a request that the handler never receives. While another response is in progress on the
+// connection nothing can be sent in between; the connection then closes once it has been idle.
+func (c *conn) reject(status int) {
+	c.rejected = true
+	if c.inProgress.Load() > 0 {
 		return
 	}
 	headers, body := c.server.opts.Rejection(status)
@@ -187,26 +184,26 @@
 	b.WriteString("\r\n")
 	b.Write(body)
 	c.out.writeNow(b.Bytes())
-	time.AfterFunc(linger, func() { _ = c.out.raw.Close() })
+	time.AfterFunc(lingerTime, func() { _ = c.out.raw.Close() })
 }
 
-// processor looks at the parts of a request before nbhttp does.
+// processor checks the parts of a request before nbhttp processes them.
 type processor struct {
 	nbhttp.Processor
 	conn *conn
 }
 
-func (p *processor) fail(status int) {
-	if p.conn.refusal == 0 {
-		p.conn.refusal = status
+func (p *processor) reject(status int) {
+	if p.conn.rejectStatus == 0 {
+		p.conn.rejectStatus = status
 	}
 }
 
 // OnMethod implements nbhttp.Processor.
 func (p *processor) OnMethod(parser *nbhttp.Parser, method string) {
 	c := p.conn
-	c.headers, c.lengths, c.expects = 0, 0, false
-	c.method, c.fields, c.looked = method, c.fields[:0], false
+	c.headers, c.contentLengths, c.expectsContinue = 0, 0, false
+	c.method, c.fields, c.headChecked = method, c.fields[:0], false
 	p.Processor.OnMethod(parser, method)
 }
 
@@ -221,17 +218,17 @@
 	c := p.conn
 	c.headers++
 	if c.headers > c.server.opts.MaxHeaders {
-		p.fail(http.StatusRequestHeaderFieldsTooLarge)
+		p.reject(http.StatusRequestHeaderFieldsTooLarge)
 		return
 	}
 	switch key {
 	case "Content-Length":
-		// Two lengths could be read differently by a balancer in front.
-		if c.lengths++; c.lengths > 1 {
-			p.fail(http.StatusBadRequest)
+		// A load balancer in front could choose the other of two lengths (request smuggling).
+		if c.contentLengths++; c.contentLengths > 1 {
+			p.reject(http.StatusBadRequest)
 		}
 	case "Expect":
-		c.expects = strings.EqualFold(strings.TrimSpace(value), "100-continue")
+		c.expectsContinue = strings.EqualFold(strings.TrimSpace(value), "100-continue")
 	}
 	if c.server.opts.CheckHead != nil {
 		c.fields = append(c.fields, key, value)
@@ -239,20 +236,20 @@
 	p.Processor.OnHeader(parser, key, value)
 }
 
-// OnContentLength implements nbhttp.Processor; it is called at the end of the head.
+// OnContentLength implements nbhttp.Processor; nbhttp calls it at the end of the head.
 func (p *processor) OnContentLength(parser *nbhttp.Parser, length int) {
 	c := p.conn
 	c.inBody = true
 	if length > c.server.opts.MaxBody {
-		p.fail(http.StatusRequestEntityTooLarge)
+		p.reject(http.StatusRequestEntityTooLarge)
 	}
-	if c.expects && c.server.opts.CheckHead != nil && !c.looked {
-		c.looked = true
+	if c.expectsContinue && c.server.opts.CheckHead != nil && !c.headChecked {
+		c.headChecked = true
 		if status := c.server.opts.CheckHead(c.head()); status != 0 {
-			p.fail(status)
+			p.reject(status)
 		}
 	}
-	if c.expects && c.refusal == 0 && length != 0 && c.handling.Load() == 0 {
+	if c.expectsContinue && c.rejectStatus == 0 && length != 0 && c.inProgress.Load() == 0 {
 		c.out.writeNow([]byte(continueLine))
 	}
 	p.Processor.OnContentLength(parser, length)
@@ -262,11 +259,11 @@
 func (p *processor) OnComplete(parser *nbhttp.Parser) {
 	c := p.conn
 	c.inBody, c.completed = false, true
-	if c.timeout != nil {
-		c.timeout.Stop()
-		c.timeout = nil
+	if c.readTimer != nil {
+		c.readTimer.Stop()
+		c.readTimer = nil
 	}
-	if c.refusal != 0 {
+	if c.rejectStatus != 0 {
 		p.Clean(parser)
 		return
 	}
--- a/httpserver/idle_test.go
+++ b/httpserver/idle_test.go
@@ -13,14 +13,13 @@
 	"github.com/hibiscusspur/hibiscusspur/httpserver"
 )
 
-// TestShutdownClosesIdleConnectionsFirst: a connection that waits for a request ends at
-// once, so that no request comes on it that could not be finished any more; the answer in
-// progress on another one is whole.
+// TestShutdownClosesIdleConnectionsFirst: a connection that waits for a request closes at once, so that no request
+// arrives on it that could not be finished any more; the response in progress on another connection arrives whole.
 func TestShutdownClosesIdleConnectionsFirst(t *testing.T) {
-	began, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	s, err := httpserver.Start(httpserver.Options{Addr: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
-			close(began)
+			close(started)
 			<-finish
 		}
 		_, _ = io.WriteString(w, "whole")
@@ -48,11 +47,11 @@
 		body, _ := io.ReadAll(res.Body)
 		long <- string(body)
 	}()
-	<-began
+	<-started
 	ended := make(chan error, 1)
 	go func() { ended <- s.Shutdown(context.Background()) }()
 	_, err = br.ReadByte()
-	assert.Equal(t, err, io.EOF, "while the long answer is in progress")
+	assert.Equal(t, err, io.EOF, "while the long response is in progress")
 	close(finish)
 	assert.Equal(t, <-long, "whole")
 	assert.NilError(t, <-ended)
--- a/httpserver/listener.go
+++ b/httpserver/listener.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// acceptPause is the pause after a failed accept, such as one for want of file
-// descriptors; nbhttp would try again at once.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for example for lack of file descriptors; nbhttp would retry
+// at once.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// listener can stop accepting while its connections go on being served. nbhttp
-// has no such state: after it is told to stop it closes all connections, and
-// until then it accepts in a loop.
+// listener can stop accepting while its connections are still served. nbhttp has no such state: once stopped it
+// closes all connections, and until then it accepts in a loop.
 type listener struct {
 	net.Listener
 	stopping, closed         chan struct{}
@@ -23,7 +22,7 @@
 	return &listener{Listener: l, stopping: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// Accept implements net.Listener. Once accepting has stopped it blocks until Close.
+// Accept implements net.Listener. Once accepting has stopped, it blocks until Close.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
@@ -33,7 +32,7 @@
 	case <-l.stopping:
 		<-l.closed
 	case <-l.closed:
-	case <-time.After(acceptPause):
+	case <-time.After(acceptRetryDelay):
 	}
 	return nil, err
 }
--- a/httpserver/logging.go
+++ b/httpserver/logging.go
@@ -11,7 +11,7 @@
 	"github.com/hibiscusspur/hibiscusspur/event"
 )
 
-// nbioLogger passes the warnings and errors of nbio into our own log.
+// nbioLogger forwards nbio's warnings and errors to the process's log.
 type nbioLogger struct{}
 
 var (
@@ -19,8 +19,8 @@
 	routeOnce   sync.Once
 )
 
-// RouteLogs sends nbio's log lines to l, for all servers of the process. Debug and
-// information are dropped. It is safe for concurrent use.
+// RouteLogs sends nbio's log lines to l, for all servers of the process. Debug and info messages are dropped. It is
+// safe for concurrent use.
 func RouteLogs(l *log.Logger) {
 	destination.Store(l)
 	routeOnce.Do(func() { logging.SetLogger(nbioLogger{}) })
@@ -33,11 +33,11 @@
 func (nbioLogger) Info(string, ...any) {}
 
 // Warn implements logging.Logger.
-func (nbioLogger) Warn(format string, v ...any) { emit(format, v) }
+func (nbioLogger) Warn(format string, v ...any) { logMessage(format, v) }
 
 // Error implements logging.Logger.
-func (nbioLogger) Error(format string, v ...any) { emit(format, v) }
+func (nbioLogger) Error(format string, v ...any) { logMessage(format, v) }
 
-func emit(format string, v []any) {
+func logMessage(format string, v []any) {
 	event.Library.Log(destination.Load()).Str("library", "nbio").Str("message", fmt.Sprintf(format, v...)).Msg("")
 }
--- a/httpserver/response.go
+++ b/httpserver/response.go
@@ -8,18 +8,16 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// flushBytes is how much of a chunked response is kept before it is sent. It stays
-// well under the 64 KiB from which nbhttp v1.6.8 goes on using a buffer that it
-// has given back to its pool.
-const flushBytes = 32 << 10
+// maxBufferedBytes is how much of a chunked response is buffered before it is sent. It is well below the 64 KiB from
+// which nbhttp v1.6.8 continues to use a buffer that it has returned to its pool.
+const maxBufferedBytes = 32 << 10
 
-// response is the http.ResponseWriter of handlers. It belongs to the goroutine of
-// one handler.
+// response is the http.ResponseWriter of handlers. It is used by the goroutine of one handler only.
 type response struct {
 	inner *nbhttp.Response
 	req   *http.Request
 	out   *writer
-	// buffered counts the body bytes since the last flush, total all of them.
+	// buffered counts the body bytes since the last flush, total all body bytes.
 	buffered, total int
 	started         bool
 }
@@ -31,8 +29,8 @@
 // Header implements http.ResponseWriter.
 func (w *response) Header() http.Header { return w.inner.Header() }
 
-// WriteHeader implements http.ResponseWriter. A status without a standard text
-// becomes the first of its hundred, since nbhttp would send 200 in its place.
+// WriteHeader implements http.ResponseWriter. A status without a standard text is replaced by the first status of its
+// class, as nbhttp would send 200 instead.
 func (w *response) WriteHeader(status int) {
 	w.started = true
 	if http.StatusText(status) == "" {
@@ -44,7 +42,7 @@
 	w.inner.WriteHeader(status)
 }
 
-// Write implements http.ResponseWriter. It fails once the caller has left.
+// Write implements http.ResponseWriter. It fails once the client has disconnected.
 func (w *response) Write(b []byte) (int, error) {
 	w.started = true
 	if w.gone() {
@@ -55,8 +53,8 @@
 		return len(b), nil
 	}
 	for done := 0; done < len(b); {
-		n := min(len(b)-done, flushBytes)
-		if w.buffered+n > flushBytes {
+		n := min(len(b)-done, maxBufferedBytes)
+		if w.buffered+n > maxBufferedBytes {
 			w.Flush()
 		}
 		if _, err := w.inner.Write(b[done : done+n]); err != nil {
@@ -68,8 +66,8 @@
 	return len(b), nil
 }
 
-// Flush implements http.Flusher. A response without a length to a caller that
-// does not know chunks is sent at its end instead.
+// Flush implements http.Flusher. A response without a length to a client that doesn't support chunked encoding is
+// sent when it is complete.
 func (w *response) Flush() {
 	w.started = true
 	w.buffered = 0
@@ -86,15 +84,15 @@
 	return closed
 }
 
-// finish prepares the response to a HEAD request, of which nbhttp knows nothing.
+// finish completes the response to a HEAD request, which nbhttp does not support.
 func (w *response) finish() {
 	if w.req.Method == http.MethodHead && w.Header().Get("Content-Length") == "" {
 		w.Header().Set("Content-Length", strconv.Itoa(w.total))
 	}
 }
 
-// fail ends the response of a handler that has panicked: with status 500 when
-// nothing was sent yet, otherwise by closing the connection.
+// fail ends the response of a handler that has panicked: with status 500 if nothing was sent yet, otherwise by
+// closing the connection.
 func (w *response) fail() {
 	if w.started {
 		_ = w.out.raw.Close()
--- a/httpserver/server.go
+++ b/httpserver/server.go
@@ -1,10 +1,9 @@
-// Package httpserver runs an HTTP server on nbio's nbhttp with the limits that
-// every process of hibiscusspur wants, and tells whether a caller has left.
+// Package httpserver runs an HTTP server on nbio's nbhttp with the limits that every process of hibiscusspur needs,
+// and reports whether a caller (the client of a request) has disconnected.
 //
-// It bounds what nbhttp leaves open: the time to read a request, the number and
-// size of headers, and the memory for a slow reader. It answers malformed
-// requests, where nbhttp only closes the connection, and it holds connections
-// open until an answer is on its way whole.
+// It limits what nbhttp leaves unlimited: the time to receive a request, the number and size of headers, and the
+// memory for a client that reads slowly. It responds to malformed requests, where nbhttp only closes the connection,
+// and keeps connections open until a response has been sent whole.
 package httpserver
 
 import (
@@ -25,38 +24,36 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// Options tune a server. Fields left zero take the default.
+// Options configure a server. Fields left zero take the default.
 type Options struct {
 	// Name is used in nbio's own log lines.
 	Name string
-	// Addr is "ip:port"; port 0 takes a free one, see Server.Addr.
+	// Addr is "ip:port"; port 0 selects a free port, see Server.Addr.
 	Addr    string
 	Handler http.Handler
 	// MaxBody bounds a request's body in bytes.
 	MaxBody int
 	// MaxHeaders and MaxHeaderBytes bound the head of a request.
 	MaxHeaders, MaxHeaderBytes int
-	// MaxConns bounds the open connections; one more is closed at once.
+	// MaxConns bounds the open connections; further ones are closed at once.
 	MaxConns int
 	// MaxInProgress bounds the requests handled at once.
 	MaxInProgress int
-	// Pollers is the number of goroutines that read from connections; zero is
-	// nbio's own default.
+	// Pollers is the number of goroutines that read from connections; zero is nbio's own default.
 	Pollers int
-	// MaxWriteBuffer bounds the bytes waiting for one slow reader; a handler that
-	// writes more waits.
+	// MaxWriteBuffer bounds the bytes waiting for one slow client; a handler that writes more blocks.
 	MaxWriteBuffer int
-	// StallTimeout is how long a reader may take nothing before its connection is closed.
+	// StallTimeout is how long a client may read nothing before its connection is closed.
 	StallTimeout time.Duration
 	// ReadTimeout bounds the time from the first byte of a request to the last.
 	ReadTimeout time.Duration
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout time.Duration
-	// CheckHead looks at a request whose head is there while its body is not, and returns a status with which the request is
-	// refused at once, or zero. It must not block, and must not keep what it is given. Nil refuses none.
+	// CheckHead checks a request whose head has arrived before its body, and returns a status with which to reject it
+	// at once, or zero. It must not block or retain the request. Nil accepts all requests.
 	CheckHead func(r *http.Request) int
-	// Rejection returns the headers and the JSON body for a request that is refused
-	// before it reaches Handler. It must not block. Nil means neither.
+	// Rejection returns the headers and the JSON body of the response to a request that is rejected before it reaches
+	// Handler. It must not block. Nil means neither.
 	Rejection func(status int) (http.Header, []byte)
 }
 
@@ -74,23 +71,22 @@
 )
 
 const (
-	readBuffer = 16 << 10
-	// parseSlack is what the parser may hold beyond a head and a body.
-	parseSlack = 64 << 10
+	readBufferBytes = 16 << 10
+	// parserOverhead is what the parser may hold in addition to a head and a body.
+	parserOverhead = 64 << 10
 	// maxOpenFiles sizes nbio's table of connections, 8 bytes for each.
 	maxOpenFiles = 1 << 17
-	// shutdownCheck is the interval at which Shutdown looks for unfinished answers.
-	shutdownCheck = 5 * time.Millisecond
-	// never switches nbhttp's own idle timeout off; see conn.idle.
-	never = 10 * 365 * 24 * time.Hour
+	// shutdownCheckInterval is the interval at which Shutdown checks for unfinished responses.
+	shutdownCheckInterval = 5 * time.Millisecond
+	// noTimeout is long enough to disable nbhttp's own idle timeout; see conn.idleTimer.
+	noTimeout = 10 * 365 * 24 * time.Hour
 	// closeTimeout bounds the closing of connections once they are idle.
 	closeTimeout = 5 * time.Second
-	// stopTimeout bounds Close, which blocks for good when the pollers of nbio
-	// v1.6.8 have not begun yet.
+	// stopTimeout bounds Close, which blocks forever if the pollers of nbio v1.6.8 have not started yet.
 	stopTimeout = time.Second
 )
 
-var setOpenFiles sync.Once
+var setMaxOpenFiles sync.Once
 
 // Server is a running HTTP server.
 type Server struct {
@@ -105,11 +101,11 @@
 
 // Start listens and serves until Shutdown or Close.
 func Start(o Options) (*Server, error) {
-	setOpenFiles.Do(func() { nbio.MaxOpenFiles = maxOpenFiles })
+	setMaxOpenFiles.Do(func() { nbio.MaxOpenFiles = maxOpenFiles })
 	s := &Server{opts: withDefaults(o), conns: make(map[*conn]struct{})}
 	o = s.opts
-	// Listening comes first, since an engine whose listener fails stops its pollers
-	// before they have begun, and that blocks for good in nbio v1.6.8.
+	// Listen first: an engine whose listener fails stops its pollers before they have started, and that blocks
+	// forever in nbio v1.6.8.
 	lis, err := net.Listen("tcp", o.Addr)
 	if err != nil {
 		return nil, merry.Prependf(err, "listen on %s", o.Addr)
@@ -123,11 +119,11 @@
 		Handler:                http.HandlerFunc(s.serve),
 		MaxLoad:                o.MaxConns,
 		NPoller:                o.Pollers,
-		ReadLimit:              o.MaxBody + o.MaxHeaderBytes + parseSlack,
+		ReadLimit:              o.MaxBody + o.MaxHeaderBytes + parserOverhead,
 		MaxHTTPBodySize:        o.MaxBody,
 		MessageHandlerPoolSize: o.MaxInProgress,
-		ReadBufferSize:         readBuffer,
-		KeepaliveTime:          never,
+		ReadBufferSize:         readBufferBytes,
+		KeepaliveTime:          noTimeout,
 	})
 	s.engine.Engine.OnOpen(s.opened)
 	s.engine.OnClose(s.closed)
@@ -163,7 +159,7 @@
 // Addr is the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// opened runs before anything is read from a connection.
+// opened is called before anything is read from a connection.
 func (s *Server) opened(raw *nbio.Conn) {
 	parser, ok := raw.Session().(*nbhttp.Parser)
 	if !ok {
@@ -185,13 +181,13 @@
 	if !ok {
 		return
 	}
-	c.idle.Stop()
+	c.idleTimer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// serve runs the handler; nbhttp sends what is left of the response afterwards.
+// serve runs the handler; nbhttp sends the rest of the response afterwards.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	res := newResponse(w.(*nbhttp.Response), r)
 	r.Close = r.Close || s.closing.Load()
@@ -205,9 +201,9 @@
 	s.opts.Handler.ServeHTTP(res, r)
 }
 
-// Shutdown stops listening, closes connections that wait for a request, waits until
-// every answer in progress has been sent, and closes what is left. When ctx ends before, answers are cut off and the
-// error is that of ctx.
+// Shutdown stops listening, closes connections that wait for a request, waits until every response in progress has
+// been sent, and closes the remaining connections. If ctx ends first, responses are cut off and the error is that of
+// ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.closing.Store(true)
 	s.listener.stopAccepting()
@@ -234,26 +230,25 @@
 }
 
 func (s *Server) waitIdle(ctx context.Context) error {
-	t := time.NewTicker(shutdownCheck)
+	t := time.NewTicker(shutdownCheckInterval)
 	defer t.Stop()
 	for s.closeIdle() > 0 {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("answers in progress: %w", ctx.Err())
+			return fmt.Errorf("responses in progress: %w", ctx.Err())
 		case <-t.C:
 		}
 	}
 	return nil
 }
 
-// closeIdle closes the connections without an answer in progress and returns the
-// number of the others.
+// closeIdle closes the connections without a response in progress and returns the number of other connections.
 func (s *Server) closeIdle() int {
 	s.mu.Lock()
-	open := slices.Collect(maps.Keys(s.conns))
+	conns := slices.Collect(maps.Keys(s.conns))
 	s.mu.Unlock()
 	busy := 0
-	for _, c := range open {
+	for _, c := range conns {
 		if c.busy() {
 			busy++
 			continue
--- a/httpserver/server_test.go
+++ b/httpserver/server_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// send writes raw bytes and reads one response to a request of the given method.
+// send writes raw bytes and reads the response to a request with the given method.
 func send(t *testing.T, c net.Conn, method, raw string) (*http.Response, string) {
 	t.Helper()
 	_, _ = io.WriteString(c, raw)
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n%s\r\n%s", len(body), strings.Join(append(headers, ""), "\r\n"), body)
 }
 
-func TestRefusedRequests(t *testing.T) {
+func TestRejectedRequests(t *testing.T) {
 	addr := start(t, Options{MaxBody: 1000, MaxHeaders: 20, MaxHeaderBytes: 8 << 10}, echo)
 	for _, tc := range []struct {
 		name, raw string
@@ -74,17 +74,17 @@
 	}{
 		{"whole", post("abc"), 200},
 		{"largest body", post(strings.Repeat("a", 1000)), 200},
-		{"no request", "hello there\r\n\r\n", 400},
+		{"not a request", "hello there\r\n\r\n", 400},
 		{"bad length", "POST / HTTP/1.1\r\nContent-Length: many\r\n\r\n", 400},
 		{"two lengths", "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400},
 		{"unknown coding", "POST / HTTP/1.1\r\nTransfer-Encoding: zip\r\n\r\n", 400},
 		{"header without colon", "GET / HTTP/1.1\r\nnothing\r\n\r\n", 400},
-		{"body announced too large", "POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", 413},
+		{"Content-Length too large", "POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", 413},
 		{"body far too large", post(strings.Repeat("a", 1<<20)), 413},
 		{"chunks too large", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3e8\r\n" + strings.Repeat("a", 1000) + "\r\n1\r\na\r\n0\r\n\r\n", 413},
 		{"too many headers", post("", strings.Split(strings.Repeat("A: b\n", 40), "\n")[:40]...), 431},
 		{"headers too long", post("", "A: "+strings.Repeat("b", 40<<10)), 431},
-		{"endless request line", "GET /" + strings.Repeat("b", 40<<10), 431},
+		{"request line without end", "GET /" + strings.Repeat("b", 40<<10), 431},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			res, _ := send(t, dial(t, addr), "POST", tc.raw)
@@ -93,7 +93,7 @@
 	}
 }
 
-// A connection is closed when a request takes too long to arrive, or none comes.
+// A connection is closed if a request takes too long to arrive or none arrives.
 func TestSlowRequest(t *testing.T) {
 	for _, begin := range []string{"", "G", "GET /\r\n\r\n", "POST / HTTP/1.1\r\n", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc"} {
 		addr := start(t, Options{ReadTimeout: 50 * time.Millisecond, IdleTimeout: 200 * time.Millisecond}, echo)
@@ -103,36 +103,36 @@
 		_, err = c.Read(make([]byte, 1))
 		assert.Assert(t, err != nil)
 		var timeout net.Error
-		assert.Assert(t, !asTimeout(err, &timeout), "connection still open")
+		assert.Assert(t, !asTimeoutError(err, &timeout), "connection still open")
 	}
 }
 
-func asTimeout(err error, out *net.Error) bool {
+func asTimeoutError(err error, out *net.Error) bool {
 	ne, ok := err.(net.Error)
 	*out = ne
 	return ok && ne.Timeout()
 }
 
-// The bound on idle connections does not apply to a request in progress.
-func TestHandlerOutlivesIdle(t *testing.T) {
+// IdleTimeout does not apply to a request in progress.
+func TestIdleTimeoutIgnoresRequestInProgress(t *testing.T) {
 	addr := start(t, Options{IdleTimeout: 50 * time.Millisecond}, func(w http.ResponseWriter, _ *http.Request) {
 		for range 10 {
 			_, _ = io.WriteString(w, "a")
 			w.(http.Flusher).Flush()
-			time.Sleep(20 * time.Millisecond) // the work of the handler
+			time.Sleep(20 * time.Millisecond) // simulates the handler's work
 		}
 	})
 	_, body := send(t, dial(t, addr), "GET", "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	assert.Equal(t, body, strings.Repeat("a", 10))
 }
 
-// An answer larger than the write buffer arrives whole at a reader that is slower
-// than the handler, however it is written.
-func TestLargeAnswers(t *testing.T) {
+// A response larger than the write buffer arrives whole at a client that reads more slowly than the handler writes,
+// however it is written.
+func TestLargeResponses(t *testing.T) {
 	want := bytes.Repeat([]byte("0123456789abcdef"), 4<<20/16)
 	for _, tc := range []struct {
 		name, headers string
-		piece         int
+		writeBytes    int
 		length, flush bool
 	}{
 		{"at once", "", len(want), true, false},
@@ -148,8 +148,8 @@
 				if tc.length {
 					w.Header().Set("Content-Length", strconv.Itoa(len(want)))
 				}
-				for rest := want; len(rest) > 0; rest = rest[min(tc.piece, len(rest)):] {
-					_, _ = w.Write(rest[:min(tc.piece, len(rest))])
+				for left := want; len(left) > 0; left = left[min(tc.writeBytes, len(left)):] {
+					_, _ = w.Write(left[:min(tc.writeBytes, len(left))])
 					if tc.flush {
 						w.(http.Flusher).Flush()
 					}
@@ -181,8 +181,8 @@
 		{"chunked", "GET", get("GET", "/", "1.1"), "abc", 200},
 		{"HEAD has no body", "HEAD", get("HEAD", "/", "1.1"), "", 200},
 		{"HTTP/1.0 has a length", "GET", get("GET", "/", "1.0"), "abc", 200},
-		{"status unknown to the library", "GET", get("GET", "/499", "1.1"), "abc", 400},
-		{"server status unknown to the library", "GET", get("GET", "/520", "1.1"), "abc", 500},
+		{"client error unknown to net/http", "GET", get("GET", "/499", "1.1"), "abc", 400},
+		{"server error unknown to net/http", "GET", get("GET", "/520", "1.1"), "abc", 500},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := dial(t, addr)
@@ -219,7 +219,7 @@
 	}
 }
 
-// A handler that panics costs its own request only.
+// A handler that panics fails only its own request.
 func TestPanic(t *testing.T) {
 	addr := start(t, Options{}, func(http.ResponseWriter, *http.Request) { panic("broken") })
 	res, _ := send(t, dial(t, addr), "GET", "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -233,13 +233,13 @@
 	assert.Equal(t, body, "abc")
 	_, err := io.ReadAll(dial(t, addr)) // closed at once
 	var timeout net.Error
-	assert.Assert(t, !asTimeout(err, &timeout))
+	assert.Assert(t, !asTimeoutError(err, &timeout))
 	_, body = send(t, first, "POST", post("still"))
 	assert.Equal(t, body, "still")
 }
 
-// Shutdown lets a slow reader have its whole answer, and takes no new connection.
-func TestShutdownFinishesAnswers(t *testing.T) {
+// Shutdown delivers the whole response to a slow client and accepts no new connection.
+func TestShutdownFinishesResponses(t *testing.T) {
 	RouteLogs(&log.Logger{Level: log.PanicLevel})
 	want := strings.Repeat("a", 2<<20)
 	begun := make(chan struct{})
@@ -257,11 +257,11 @@
 	ended := make(chan error)
 	go func() { ended <- s.Shutdown(t.Context()) }()
 	for {
-		late, err := net.Dial("tcp", s.Addr())
+		again, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			break
 		}
-		_ = late.Close()
+		_ = again.Close()
 	}
 	close(proceed)
 	_, body := receive(t, bufio.NewReader(c), "GET")
@@ -269,7 +269,7 @@
 	assert.NilError(t, <-ended)
 }
 
-func TestShutdownGivesUp(t *testing.T) {
+func TestShutdownStopsWithContext(t *testing.T) {
 	begun := make(chan struct{})
 	s, err := Start(Options{Addr: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
@@ -286,9 +286,9 @@
 	assert.ErrorIs(t, s.Shutdown(ctx), context.Canceled)
 }
 
-// TestHeadIsLookedAtFirst: a request that is refused by its head is answered while its body is still to come, and one whose body
-// came with its head is left to the handler, which answers on a connection that stays open.
-func TestHeadIsLookedAtFirst(t *testing.T) {
+// TestHeadIsCheckedBeforeBody: a request rejected by CheckHead gets its response before its body arrives. One whose
+// body arrives with its head is left to the handler, whose response keeps the connection open.
+func TestHeadIsCheckedBeforeBody(t *testing.T) {
 	var seen string
 	addr := start(t, Options{CheckHead: func(r *http.Request) int {
 		seen = r.Method + " " + r.Host + r.URL.Path + " " + r.Header.Get("X-Key")
@@ -302,8 +302,8 @@
 		status                int
 	}{
 		{"refused", "bad", "", "par", 401},
-		{"refused before it is told to go on", "bad", "Expect: 100-continue\r\n", "", 401},
-		{"whole, and left to the handler", "bad", "", "whole", 200},
+		{"rejected instead of 100 Continue", "bad", "Expect: 100-continue\r\n", "", 401},
+		{"complete request, left to the handler", "bad", "", "whole", 200},
 	} {
 		conn := dial(t, addr)
 		head := "POST /path HTTP/1.1\r\nHost: h\r\nX-Key: " + c.key + "\r\n" + c.more + "Content-Length: 5\r\n\r\n"
@@ -311,7 +311,7 @@
 		assert.Equal(t, res.StatusCode, c.status, c.name)
 		if c.status == http.StatusUnauthorized {
 			assert.Equal(t, seen, "POST h/path bad", c.name)
-			assert.Assert(t, res.Close, "the rest of the body is not read")
+			assert.Assert(t, res.Close, "connection must close, as the rest of the body is not read")
 		}
 	}
 	conn := dial(t, addr)
--- a/httpserver/start_test.go
+++ b/httpserver/start_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// hang is far above what a start or a close takes; beyond it they count as blocked.
-const hang = 20 * time.Second
+// blockedAfter is far above the duration of Start or Close; a call that takes longer counts as blocked.
+const blockedAfter = 20 * time.Second
 
-func within(t *testing.T, what string, f func()) {
+func assertReturns(t *testing.T, what string, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -21,20 +21,20 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(hang):
+	case <-time.After(blockedAfter):
 		t.Fatalf("%s blocks", what)
 	}
 }
 
-// A port in use is an error at once: nbio's engine blocks for good when it is
-// stopped before its pollers have begun, as it does after a failed listen.
+// A port in use is reported as an error at once: nbio's engine blocks forever if it is stopped before its pollers
+// have started, as happens after a failed listen.
 func TestStartOnPortInUse(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	used, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = used.Close() }()
 	for range 20 {
-		within(t, "Start", func() {
-			_, err = Start(Options{Addr: taken.Addr().String(), Handler: http.NotFoundHandler()})
+		assertReturns(t, "Start", func() {
+			_, err = Start(Options{Addr: used.Addr().String(), Handler: http.NotFoundHandler()})
 		})
 		assert.ErrorContains(t, err, "address already in use")
 	}
@@ -42,7 +42,7 @@
 
 func TestCloseRightAfterStart(t *testing.T) {
 	for range 3 {
-		within(t, "Close", func() {
+		assertReturns(t, "Close", func() {
 			s, err := Start(Options{Addr: "127.0.0.1:0", Handler: http.NotFoundHandler()})
 			assert.NilError(t, err)
 			s.Close()
--- a/httpserver/watcher.go
+++ b/httpserver/watcher.go
@@ -12,17 +12,16 @@
 var (
 	// ErrCallerGone means that the caller closed its connection.
 	ErrCallerGone = merry.Sentinel("caller gone")
-	// ErrDeadline means that the request's time is over.
+	// ErrDeadline means that the request's deadline has passed.
 	ErrDeadline = merry.Sentinel("deadline exceeded")
 )
 
-// Watcher notices callers that have left while their request is in progress. One
-// goroutine looks at all of them, since nbhttp reports a closed connection to a
-// handler only after the handler has returned.
+// Watcher detects callers that disconnect while their request is in progress. One goroutine checks all of them, since
+// nbhttp reports a closed connection to a handler only after the handler has returned.
 type Watcher struct {
-	mu   sync.Mutex
-	next uint64
-	open map[uint64]watched
+	mu       sync.Mutex
+	lastID   uint64
+	requests map[uint64]watched
 }
 
 type watched struct {
@@ -30,48 +29,48 @@
 	cancel context.CancelCauseFunc
 }
 
-// NewWatcher returns a watcher without requests.
+// NewWatcher returns a Watcher that watches no requests yet.
 func NewWatcher() *Watcher {
-	return &Watcher{open: make(map[uint64]watched)}
+	return &Watcher{requests: make(map[uint64]watched)}
 }
 
-// Watch returns a context that ends when the caller leaves or the deadline
-// passes; end must be called when the request is over.
+// Watch returns a context that ends when the caller disconnects or the deadline passes; end must be called when the
+// request is done.
 func (w *Watcher) Watch(caller Caller, deadline time.Time) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	ctx, stop := context.WithDeadlineCause(ctx, deadline, ErrDeadline)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next++
-	id := w.next
-	w.open[id] = watched{caller: caller, cancel: cancel}
+	w.lastID++
+	id := w.lastID
+	w.requests[id] = watched{caller: caller, cancel: cancel}
 	return ctx, func() {
 		w.mu.Lock()
-		delete(w.open, id)
+		delete(w.requests, id)
 		w.mu.Unlock()
 		stop()
 		cancel(nil)
 	}
 }
 
-// Run looks every interval until ctx ends.
-func (w *Watcher) Run(ctx context.Context, every time.Duration) {
-	t := time.NewTicker(every)
+// Run checks the callers at every interval until ctx ends.
+func (w *Watcher) Run(ctx context.Context, interval time.Duration) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			w.sweep()
+			w.scan()
 		}
 	}
 }
 
-func (w *Watcher) sweep() {
+func (w *Watcher) scan() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, r := range w.open {
+	for _, r := range w.requests {
 		if r.caller.Gone() {
 			r.cancel(ErrCallerGone)
 		}
--- a/httpserver/writer.go
+++ b/httpserver/writer.go
@@ -9,41 +9,40 @@
 	"github.com/lesismal/nbio"
 )
 
-// pieceBytes is the size in which large writes are handed to nbio.
-const pieceBytes = 32 << 10
+// maxPieceBytes is the size of the pieces in which large writes are passed to nbio.
+const maxPieceBytes = 32 << 10
 
-// closedCheck is the interval at which a waiting writer looks whether its
-// connection was closed.
-const closedCheck = 20 * time.Millisecond
+// closedCheckInterval is the interval at which a blocked writer checks whether its connection was closed.
+const closedCheckInterval = 20 * time.Millisecond
 
-var errStalled = merry.Sentinel("caller reads nothing")
+var errStalled = merry.Sentinel("client reads nothing")
 
-// writer is the connection to which nbhttp writes responses. Unlike nbio's own, it
-// makes a writer wait for a slow reader in place of closing the connection once
-// the buffer is full, and it closes only after everything was sent.
+// writer is the connection to which nbhttp writes responses. Unlike nbio's own, it blocks the writer while the client
+// reads slowly instead of closing the connection once the buffer is full, and it closes only after everything was
+// sent.
 type writer struct {
 	net.Conn
-	raw   *nbio.Conn
-	limit int64
-	stall time.Duration
-	// pending counts the bytes that nbio has taken and not yet written.
+	raw          *nbio.Conn
+	maxPending   int64
+	stallTimeout time.Duration
+	// pending counts the bytes that nbio has accepted but not written yet.
 	pending atomic.Int64
 	wake    chan struct{}
 }
 
 func newWriter(c net.Conn, raw *nbio.Conn, o Options) *writer {
-	return &writer{Conn: c, raw: raw, limit: int64(o.MaxWriteBuffer), stall: o.StallTimeout, wake: make(chan struct{}, 1)}
+	return &writer{Conn: c, raw: raw, maxPending: int64(o.MaxWriteBuffer), stallTimeout: o.StallTimeout, wake: make(chan struct{}, 1)}
 }
 
-// Write implements net.Conn. It may block, and must not be called by a poller.
+// Write implements net.Conn. It may block, so it must not be called by a poller.
 func (w *writer) Write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
-		n := min(len(b)-done, pieceBytes)
-		if err := w.waitPending(max(w.limit-int64(n), 0)); err != nil {
+		n := min(len(b)-done, maxPieceBytes)
+		if err := w.waitPending(max(w.maxPending-int64(n), 0)); err != nil {
 			return done, err
 		}
-		if err := w.hand(b[done : done+n]); err != nil {
+		if err := w.send(b[done : done+n]); err != nil {
 			return done, err
 		}
 		done += n
@@ -52,34 +51,33 @@
 }
 
 // writeNow writes a few bytes without blocking.
-func (w *writer) writeNow(b []byte) { _ = w.hand(b) }
+func (w *writer) writeNow(b []byte) { _ = w.send(b) }
 
-func (w *writer) hand(b []byte) error {
+func (w *writer) send(b []byte) error {
 	w.pending.Add(int64(len(b)))
 	_, err := w.raw.Write(b)
 	return err
 }
 
-// Close implements net.Conn. It waits until everything was sent and then leaves
-// it to the caller to close first, for as long as linger. When nbio v1.6.8 closes
-// a connection while its caller does, a late event of the old connection can hit
-// a new one that got the same file descriptor, and closes that one.
+// Close implements net.Conn. It waits until everything was sent, then waits up to lingerTime for the client to close
+// first. If nbio v1.6.8 closes a connection at the same time as its client, a late event of the old connection can
+// reach a new one with the same file descriptor and close that one.
 func (w *writer) Close() error {
 	if err := w.waitPending(0); err != nil {
 		return w.raw.Close()
 	}
-	time.AfterFunc(linger, func() { _ = w.raw.Close() })
+	time.AfterFunc(lingerTime, func() { _ = w.raw.Close() })
 	return nil
 }
 
-// waitPending blocks until at most n bytes wait to be sent. A reader that takes
-// nothing for the stall time loses its connection.
+// waitPending blocks until at most n bytes wait to be sent. If the client reads nothing for stallTimeout, its
+// connection is closed.
 func (w *writer) waitPending(n int64) error {
-	last, since := w.pending.Load(), time.Now()
-	if last <= n {
+	lastPending, lastProgress := w.pending.Load(), time.Now()
+	if lastPending <= n {
 		return nil
 	}
-	t := time.NewTicker(closedCheck)
+	t := time.NewTicker(closedCheckInterval)
 	defer t.Stop()
 	for {
 		if closed, _ := w.raw.IsClosed(); closed {
@@ -89,21 +87,21 @@
 		case <-w.wake:
 		case <-t.C:
 		}
-		now := w.pending.Load()
-		if now <= n {
+		pending := w.pending.Load()
+		if pending <= n {
 			return nil
 		}
-		if now != last {
-			last, since = now, time.Now()
+		if pending != lastPending {
+			lastPending, lastProgress = pending, time.Now()
 		}
-		if time.Since(since) > w.stall {
+		if time.Since(lastProgress) > w.stallTimeout {
 			_ = w.raw.CloseWithError(errStalled)
 			return errStalled
 		}
 	}
 }
 
-// written is called by nbio, under the lock of raw.
+// written is called by nbio with the lock of raw held.
 func written(raw *nbio.Conn, _ []byte, n int) {
 	c, ok := raw.Session().(*conn)
 	if !ok || !c.ready.Load() {
