--- a/route/route_test.go
+++ b/route/route_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// linear is what Match means: the first of the longest prefixes.
-func linear(table *route.Table, host, path string) *route.Route {
+// matchByScan is the reference for Match: the first of the routes with the longest prefix, by a scan of all.
+func matchByScan(table *route.Table, host, path string) *route.Route {
 	var best *route.Route
 	for i := range table.Routes {
 		r := &table.Routes[i]
@@ -47,11 +47,11 @@
 	return best
 }
 
-func TestMatchOfDrawnTables(t *testing.T) {
+func TestMatchOfRandomTables(t *testing.T) {
 	r := rand.New(rand.NewPCG(4711, 2))
-	draw := func(most int) string {
+	randomPath := func(maxParts int) string {
 		var b strings.Builder
-		for range r.IntN(most) + 1 {
+		for range r.IntN(maxParts) + 1 {
 			b.WriteString([]string{"/", "a", "b", "//", "a/", ""}[r.IntN(6)])
 		}
 		return b.String()
@@ -59,17 +59,17 @@
 	for range 2000 {
 		table := &route.Table{}
 		for i := range r.IntN(12) {
-			table.Routes = append(table.Routes, route.Route{Name: fmt.Sprint(i), Host: []string{"h", "g"}[r.IntN(2)], Prefix: draw(4)})
+			table.Routes = append(table.Routes, route.Route{Name: fmt.Sprint(i), Host: []string{"h", "g"}[r.IntN(2)], Prefix: randomPath(4)})
 		}
 		table.Build()
 		for range 20 {
-			path := "/" + draw(8)
-			assert.Equal(t, table.Match("h", path), linear(table, "h", path), "%s of %+v", path, table.Routes)
+			path := "/" + randomPath(8)
+			assert.Equal(t, table.Match("h", path), matchByScan(table, "h", path), "%s of %+v", path, table.Routes)
 		}
 	}
 }
 
-// BenchmarkMatch is a request that no route of 4,250 takes.
+// BenchmarkMatch measures a request that none of 4,250 routes matches.
 func BenchmarkMatch(b *testing.B) {
 	table := &route.Table{}
 	for i := range 4250 {
@@ -78,7 +78,7 @@
 	table.Build()
 	for b.Loop() {
 		if table.Match("h", "/nothing/1") != nil {
-			b.Fatal("a route")
+			b.Fatal("a route matched")
 		}
 	}
 }
