--- a/sidecar/session.go
+++ b/sidecar/session.go
@@ -50,14 +50,14 @@
 	}
 	sess := &session{entry: hello}
 	opts := link.Options[wire.SidecarFrame]{
-		Beat:       s.set.Timing.Heartbeat,
-		IdleBeat:   s.set.Timing.IdleHeartbeat,
-		Silence:    s.set.Timing.Silence,
-		QueueLimit: s.set.Bounds.LinkQueue,
-		Active:     sess.active.Load,
-		MakeBeat:   func(interval time.Duration) *wire.SidecarFrame { return s.heartbeatTo(sess, interval) },
-		Transport:  transport,
-		Dropped: func(err error) {
+		HeartbeatInterval:     s.set.Timing.Heartbeat,
+		IdleHeartbeatInterval: s.set.Timing.IdleHeartbeat,
+		SilenceLimit:          s.set.Timing.Silence,
+		QueueLimit:            s.set.Bounds.LinkQueue,
+		Active:                sess.active.Load,
+		MakeHeartbeat:         func(interval time.Duration) *wire.SidecarFrame { return s.heartbeatTo(sess, interval) },
+		Transport:             transport,
+		OnDropped: func(err error) {
 			event.FrameDropped.Log(s.log).Str("entry", hello.GetEntryId()).Err(err).Msg("")
 		},
 	}
@@ -71,7 +71,7 @@
 
 // linkEndEvent returns the log event for the error that ended a link.
 func linkEndEvent(err error) event.Event {
-	if errors.Is(err, link.ErrSilent) {
+	if errors.Is(err, link.ErrUnresponsive) {
 		return event.LinkSilent
 	}
 	return event.LinkDown
@@ -125,7 +125,7 @@
 // mu.
 func (s *Server) pullIfBehind(sess *session) {
 	if s.pull.Offer(sess, sess.peerRevision, s.state.Head(), time.Now()) {
-		sess.send(s.makeHeartbeat(sess.link.Interval()))
+		sess.send(s.makeHeartbeat(sess.link.HeartbeatInterval()))
 	}
 }
 
@@ -161,7 +161,7 @@
 // its own head and is then sent the records. The caller must not hold mu.
 func (s *Server) announce() {
 	for _, sess := range s.sessionsBehind() {
-		sess.link.BeatNow()
+		sess.link.SendHeartbeat()
 	}
 }
 
@@ -181,7 +181,7 @@
 // holds mu.
 func (s *Server) retryPull(now time.Time) {
 	if sess, ok := s.pull.Retry(s.state.Head(), now); ok {
-		sess.send(s.makeHeartbeat(sess.link.Interval()))
+		sess.send(s.makeHeartbeat(sess.link.HeartbeatInterval()))
 	}
 }
 
