--- a/httpserver/idle_test.go
+++ b/httpserver/idle_test.go
@@ -48,11 +48,11 @@
 		long <- string(body)
 	}()
 	<-started
-	ended := make(chan error, 1)
-	go func() { ended <- s.Shutdown(context.Background()) }()
+	shutdownDone := make(chan error, 1)
+	go func() { shutdownDone <- s.Shutdown(context.Background()) }()
 	_, err = br.ReadByte()
 	assert.Equal(t, err, io.EOF, "while the long response is in progress")
 	close(finish)
 	assert.Equal(t, <-long, "whole")
-	assert.NilError(t, <-ended)
+	assert.NilError(t, <-shutdownDone)
 }
--- a/httpserver/server_test.go
+++ b/httpserver/server_test.go
@@ -254,8 +254,8 @@
 	_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	assert.NilError(t, err)
 	<-begun
-	ended := make(chan error)
-	go func() { ended <- s.Shutdown(t.Context()) }()
+	shutdownDone := make(chan error)
+	go func() { shutdownDone <- s.Shutdown(t.Context()) }()
 	for {
 		again, err := net.Dial("tcp", s.Addr())
 		if err != nil {
@@ -266,7 +266,7 @@
 	close(proceed)
 	_, body := receive(t, bufio.NewReader(c), "GET")
 	assert.Equal(t, len(body), len(want))
-	assert.NilError(t, <-ended)
+	assert.NilError(t, <-shutdownDone)
 }
 
 func TestShutdownStopsWithContext(t *testing.T) {
