--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -57,7 +57,7 @@
 	ordered     []int64
 }
 
-func (e *engineWithStart) OrdersTaken(context.Context, registry.Server) (int64, int64, error) {
+func (e *engineWithStart) OrdersAccepted(context.Context, registry.Server) (int64, int64, error) {
 	return e.taken, e.born, nil
 }
 
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -16,9 +16,9 @@
 
 // Orders gives orders to engines. Calls return promptly when their context ends.
 type Orders interface {
-	// OrdersTaken is the number of orders that an engine has taken since its start, and the start;
+	// OrdersAccepted is the number of orders that an engine has accepted since its start, and the start;
 	// zero if it tells none.
-	OrdersTaken(ctx context.Context, s registry.Server) (taken, born int64, err error)
+	OrdersAccepted(ctx context.Context, s registry.Server) (accepted, born int64, err error)
 	// SetStage orders an engine to another stage if it has taken no order since.
 	SetStage(ctx context.Context, s registry.Server, to registry.Stage, holder string, fence, taken int64) error
 }
@@ -124,7 +124,7 @@
 			return 0, err
 		}
 	}
-	taken, born, err := s.orders.OrdersTaken(ctx, m.Server)
+	taken, born, err := s.orders.OrdersAccepted(ctx, m.Server)
 	if err != nil {
 		return 0, err
 	}
