--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -57,7 +57,7 @@
 	ordered     []int64
 }
 
-func (e *engineWithIncarnation) OrdersTaken(context.Context, registry.Server) (int64, int64, error) {
+func (e *engineWithIncarnation) OrdersAccepted(context.Context, registry.Server) (int64, int64, error) {
 	return e.taken, e.born, nil
 }
 
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -16,9 +16,9 @@
 
 // Orders sends orders to engines. Calls return promptly when their context ends.
 type Orders interface {
-	// OrdersTaken returns the number of orders that an engine has accepted since its start, and the time of the
+	// OrdersAccepted returns the number of orders that an engine has accepted since its start, and the time of the
 	// start; zero if it states none.
-	OrdersTaken(ctx context.Context, s registry.Server) (taken, born int64, err error)
+	OrdersAccepted(ctx context.Context, s registry.Server) (accepted, born int64, err error)
 	// SetStage orders an engine to another stage if it has accepted no order since.
 	SetStage(ctx context.Context, s registry.Server, to registry.Stage, holder string, fence, taken int64) error
 }
@@ -123,7 +123,7 @@
 			return 0, err
 		}
 	}
-	taken, born, err := s.orders.OrdersTaken(ctx, m.Server)
+	taken, born, err := s.orders.OrdersAccepted(ctx, m.Server)
 	if err != nil {
 		return 0, err
 	}
