--- a/cmd/hibiscusspur/gateway.go
+++ b/cmd/hibiscusspur/gateway.go
@@ -94,10 +94,10 @@
 func gatewaySettings(set platform.Settings, off mechanism.Set) gateway.Settings {
 	return gateway.Settings{
 		VM: set.VM, Zone: set.Zone,
-		Callers: set.ClientAddr, Ready: set.ReadyAddr, Control: set.ControlAddr, Seeds: set.Seeds,
-		Datagrams: set.PortRange[0],
-		Metrics:   net.JoinHostPort(set.IP, strconv.Itoa(set.PortRange[0])),
-		Drain:     set.DrainTimeout, Notice: gateway.DefaultNotice,
+		ClientAddr: set.ClientAddr, ReadyAddr: set.ReadyAddr, ControlAddr: set.ControlAddr, Seeds: set.Seeds,
+		Datagrams:   set.PortRange[0],
+		MetricsAddr: net.JoinHostPort(set.IP, strconv.Itoa(set.PortRange[0])),
+		Drain:       set.DrainTimeout, Notice: gateway.DefaultNotice,
 		Retry:     retrybudget.Limits{Ratio: set.Retry.Ratio, Window: set.Retry.Window, Slack: set.Retry.Slack},
 		Freshness: keyBounds(set),
 		Off:       off,
--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -119,7 +119,7 @@
 // stream sends a streaming request and returns its answer; the caller closes it.
 func (p *process) stream(t *testing.T, id, body string) *http.Response {
 	t.Helper()
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.settings.Callers+"/s/1", strings.NewReader(body))
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.settings.ClientAddr+"/s/1", strings.NewReader(body))
 	assert.NilError(t, err)
 	r.Host = "h"
 	r.Header.Set(site.RequestID, id)
@@ -133,8 +133,8 @@
 // startGateways starts three gateways that know each other.
 func startGateways(t *testing.T, store *site.Store) []*process {
 	a := start(t, store, "g1")
-	b := start(t, store, "g2", a.settings.Control)
-	c := start(t, store, "g3", a.settings.Control, b.settings.Control)
+	b := start(t, store, "g2", a.settings.ControlAddr)
+	c := start(t, store, "g3", a.settings.ControlAddr, b.settings.ControlAddr)
 	list := []*process{a, b, c}
 	for _, p := range list {
 		p.waitReady(t, http.StatusOK)
@@ -271,7 +271,7 @@
 	gateways := startGateways(t, cl.store)
 	cl.crashUntilQuarantined(gateways)
 	cl.store.Set(site.Busy)
-	p := start(t, cl.store, "g4", gateways[0].settings.Control)
+	p := start(t, cl.store, "g4", gateways[0].settings.ControlAddr)
 	p.waitReady(t, http.StatusOK)
 	waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
 	cl.assertRejected(p, "again")
--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -53,16 +53,16 @@
 
 // engineWithIncarnation counts its orders since its start.
 type engineWithIncarnation struct {
-	taken, born int64
-	ordered     []int64
+	accepted, born int64
+	ordered        []int64
 }
 
 func (e *engineWithIncarnation) OrdersAccepted(context.Context, registry.Server) (int64, int64, error) {
-	return e.taken, e.born, nil
+	return e.accepted, e.born, nil
 }
 
-func (e *engineWithIncarnation) SetStage(_ context.Context, _ registry.Server, _ registry.Stage, _ string, _, taken int64) error {
-	e.ordered = append(e.ordered, taken)
+func (e *engineWithIncarnation) SetStage(_ context.Context, _ registry.Server, _ registry.Stage, _ string, _, accepted int64) error {
+	e.ordered = append(e.ordered, accepted)
 	return nil
 }
 
@@ -70,7 +70,7 @@
 // next.
 func TestOrderForEarlierIncarnation(t *testing.T) {
 	s := serviceWithoutLog()
-	engine := &engineWithIncarnation{taken: 3, born: 7}
+	engine := &engineWithIncarnation{accepted: 3, born: 7}
 	s.orders, s.lease = engine, fencing.New(memory.New(memory.Options{}).Table(), "orders", "g1", nil)
 	planned := registry.Server{ID: "a@6", Born: 6, Stage: registry.Decode}
 	_, err := s.orderStage(t.Context(), stages.Move{Server: planned, To: registry.Prefill})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,9 +49,9 @@
 type Settings struct {
 	// VM is the name of this VM, Zone its availability zone.
 	VM, Zone string
-	// Listen addresses, each "ip:port": Callers for clients, Ready for readiness checks, Control for other gateways,
-	// Metrics for metrics.
-	Callers, Ready, Control, Metrics string
+	// Listen addresses, each "ip:port": ClientAddr for clients, ReadyAddr for readiness checks, ControlAddr for other
+	// gateways, MetricsAddr for metrics.
+	ClientAddr, ReadyAddr, ControlAddr, MetricsAddr string
 	// Datagrams is the UDP port on which gateways report changes of placement to each other.
 	Datagrams int
 	// Seeds are addresses of other gateways; they may be stale.
@@ -162,7 +162,7 @@
 	}
 	s.view.proofs = s.proofs
 	s.quotas = newQuotas(d.Log, time.Now())
-	s.peers = peer.New(settings.Control, settings.Datagrams, settings.Seeds, s)
+	s.peers = peer.New(settings.ControlAddr, settings.Datagrams, settings.Seeds, s)
 	s.metrics.GaugeFunc(metrics.UpstreamDials, d.Pool.Dialed)
 	s.metrics.Gauge(metrics.MechanismsOff).Update(int64(settings.Off.Len()))
 	s.metrics.GaugeFunc(metrics.LinkBytesSent, s.peers.Sent)
@@ -204,17 +204,17 @@
 
 func (s *Service) listen() error {
 	var err error
-	s.callers, err = s.serve("callers", s.settings.Callers, s.fwd, s.fwd.CheckHead)
+	s.callers, err = s.serve("callers", s.settings.ClientAddr, s.fwd, s.fwd.CheckHead)
 	if err != nil {
 		return err
 	}
-	if _, err = s.serve("ready", s.settings.Ready, http.HandlerFunc(s.handleReady), nil); err != nil {
+	if _, err = s.serve("ready", s.settings.ReadyAddr, http.HandlerFunc(s.handleReady), nil); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", s.metrics)
 	mux.HandleFunc("GET "+AccessPath, s.handleAccess)
-	_, err = s.serve("metrics", s.settings.Metrics, mux, nil)
+	_, err = s.serve("metrics", s.settings.MetricsAddr, mux, nil)
 	return err
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -47,7 +47,7 @@
 
 func start(t *testing.T, store *site.Store, vm string, seeds ...string) *process {
 	settings := gateway.Settings{
-		VM: vm, Zone: "z1", Callers: freeAddr(t), Ready: freeAddr(t), Control: freeAddr(t), Metrics: freeAddr(t),
+		VM: vm, Zone: "z1", ClientAddr: freeAddr(t), ReadyAddr: freeAddr(t), ControlAddr: freeAddr(t), MetricsAddr: freeAddr(t),
 		Seeds: seeds, Drain: 10 * time.Second, Notice: 50 * time.Millisecond,
 		Retry: retrybudget.Limits{Ratio: 0.2, Window: 10 * time.Second, Slack: 50},
 	}
@@ -80,7 +80,7 @@
 func (p *process) waitReady(t *testing.T, want int) {
 	t.Helper()
 	for t.Context().Err() == nil {
-		res, err := http.Get("http://" + p.settings.Ready)
+		res, err := http.Get("http://" + p.settings.ReadyAddr)
 		if err != nil && len(p.done) > 0 {
 			t.Fatalf("the gateway has terminated: %v", <-p.done)
 		}
@@ -98,7 +98,7 @@
 // get sends a request and returns the status and the body of the answer.
 func (p *process) get(t *testing.T, path string) (int, string) {
 	t.Helper()
-	r, err := http.NewRequest(http.MethodGet, "http://"+p.settings.Callers+path, nil)
+	r, err := http.NewRequest(http.MethodGet, "http://"+p.settings.ClientAddr+path, nil)
 	assert.NilError(t, err)
 	r.Host = "h"
 	r.Header.Set(site.RequestID, "id-1")
@@ -150,7 +150,7 @@
 	store.Put("op", "config", manifest(5, "one"))
 	store.Put("servers", "b", entry(b, "two", "draining"))
 	waitUntil(t, "the leaving server gets no requests", func() bool { status, _ := p.get(t, "/a/1"); return status == http.StatusServiceUnavailable })
-	res, err := http.Get("http://" + p.settings.Metrics + "/metrics")
+	res, err := http.Get("http://" + p.settings.MetricsAddr + "/metrics")
 	assert.NilError(t, err)
 	defer func() { _ = res.Body.Close() }()
 	var shown map[string]any
@@ -167,7 +167,7 @@
 	first := start(t, store, "g1")
 	first.waitReady(t, http.StatusOK)
 	store.Set(site.Busy)
-	second := start(t, store, "g2", first.settings.Control)
+	second := start(t, store, "g2", first.settings.ControlAddr)
 	second.waitReady(t, http.StatusOK)
 	_, body := second.get(t, "/a/1")
 	assert.Equal(t, body, "answer of a to /a/1")
@@ -210,7 +210,7 @@
 	second := start(t, store, "g2")
 	second.waitReady(t, http.StatusServiceUnavailable)
 	settings := second.settings
-	settings.Seeds = []string{first.settings.Control}
+	settings.Seeds = []string{first.settings.ControlAddr}
 	second.s.Reload(settings)
 	second.waitReady(t, http.StatusOK)
 }
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -18,7 +18,7 @@
 	store.Put("servers", "a", entry(leaving, "one", "ready"))
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
-	gateways := []*process{first, start(t, store, "g2", first.settings.Control)}
+	gateways := []*process{first, start(t, store, "g2", first.settings.ControlAddr)}
 	for _, p := range gateways {
 		p.waitReady(t, http.StatusOK)
 	}
--- a/gateway/limited_test.go
+++ b/gateway/limited_test.go
@@ -32,7 +32,7 @@
 	store.Put("op", "config", manifest(3, "one"))
 	gateways := []*process{start(t, store, "g1")}
 	for _, vm := range []string{"g2", "g3"} {
-		gateways = append(gateways, start(t, store, vm, gateways[0].settings.Control))
+		gateways = append(gateways, start(t, store, vm, gateways[0].settings.ControlAddr))
 	}
 	for _, p := range gateways {
 		p.waitReady(t, http.StatusOK)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -23,7 +23,7 @@
 // exchangeReports runs the exchange with the other gateways. Without it the process continues with what it reads
 // itself.
 func (s *Service) exchangeReports(ctx context.Context) {
-	if s.settings.Control == "" {
+	if s.settings.ControlAddr == "" {
 		return
 	}
 	if err := s.peers.Run(ctx); err != nil && ctx.Err() == nil {
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -25,7 +25,7 @@
 }
 
 func (p *process) metric(t *testing.T, name string) shown {
-	res, err := http.Get("http://" + p.settings.Metrics + "/metrics")
+	res, err := http.Get("http://" + p.settings.MetricsAddr + "/metrics")
 	assert.NilError(t, err)
 	defer func() { _ = res.Body.Close() }()
 	var all map[string]shown
--- a/gateway/stages.go
+++ b/gateway/stages.go
@@ -20,7 +20,7 @@
 	// start; zero if it states none.
 	OrdersAccepted(ctx context.Context, s registry.Server) (accepted, born int64, err error)
 	// SetStage orders an engine to another stage if it has accepted no order since.
-	SetStage(ctx context.Context, s registry.Server, to registry.Stage, holder string, fence, taken int64) error
+	SetStage(ctx context.Context, s registry.Server, to registry.Stage, holder string, fence, accepted int64) error
 }
 
 const (
@@ -123,7 +123,7 @@
 			return 0, err
 		}
 	}
-	taken, born, err := s.orders.OrdersAccepted(ctx, m.Server)
+	accepted, born, err := s.orders.OrdersAccepted(ctx, m.Server)
 	if err != nil {
 		return 0, err
 	}
@@ -134,5 +134,5 @@
 	if !held {
 		return fence, fencing.ErrHeld
 	}
-	return fence, s.orders.SetStage(ctx, m.Server, m.To, s.settings.VM, fence, taken)
+	return fence, s.orders.SetStage(ctx, m.Server, m.To, s.settings.VM, fence, accepted)
 }
--- a/gateway/table_spread_test.go
+++ b/gateway/table_spread_test.go
@@ -94,7 +94,7 @@
 		deps.Clock = func() time.Duration { return time.Since(epoch) + time.Duration(offset.Load()) }
 		cl.clockOffsets = append(cl.clockOffsets, offset)
 		deps.Store, deps.Log = store(i), &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}
-		settings.VM, settings.Control, settings.Seeds = addr(i), addr(i), []string{addr(0), addr(1)}
+		settings.VM, settings.ControlAddr, settings.Seeds = addr(i), addr(i), []string{addr(0), addr(1)}
 		s := New(settings, deps)
 		host := network.Host(addr(i), rate)
 		s.peers.SetNetwork(host)
