--- a/dissemination/sweep.go
+++ b/dissemination/sweep.go
@@ -13,20 +13,20 @@
 
 // Bounds of a Sweeper.
 const (
-	// SweepRows is how many rows one transaction of a sweep deletes at most.
-	SweepRows = 100
-	// KeepLogRows is how many of the newest log rows stay whatever their age: those
+	// SweepBatchRows is how many rows one transaction of a sweep deletes at most.
+	SweepBatchRows = 100
+	// MinLogRows is how many of the newest log rows stay whatever their age: those
 	// that a reader which is a little behind catches up by.
-	KeepLogRows = maxLogReads
+	MinLogRows = maxLogReads
 	// maxFailures is how many calls may fail in a row before a sweep gives up.
 	maxFailures = 5
 	// failurePause is the pause after a failed call.
 	failurePause = time.Second
 )
 
-// Swept counts the rows that a Sweeper has deleted, as far as the platform has
+// SweepCounts counts the rows that a Sweeper has deleted, as far as the platform has
 // acknowledged it.
-type Swept struct {
+type SweepCounts struct {
 	LogRows       int `json:"log_rows"`
 	Tombstones    int `json:"tombstones"`
 	Confirmations int `json:"confirmations"`
@@ -38,7 +38,7 @@
 type Sweeper struct {
 	table store.Table
 	pause time.Duration
-	swept Swept
+	swept SweepCounts
 }
 
 // NewSweeper returns a sweeper that rests for pause after each transaction.
@@ -51,7 +51,7 @@
 // confirmedBefore. The log goes first: a reader takes its beginning for the
 // revision from which on all tombstones are still there. What was done before an
 // error stands.
-func (s *Sweeper) Sweep(ctx context.Context, logBefore, confirmedBefore time.Time) (Swept, error) {
+func (s *Sweeper) Sweep(ctx context.Context, logBefore, confirmedBefore time.Time) (SweepCounts, error) {
 	err := s.sweepAll(ctx, logBefore, confirmedBefore)
 	return s.swept, err
 }
@@ -97,7 +97,7 @@
 			return keepRest, merry.Prependf(err, "decode row %s", row.Key)
 		}
 		t, err := time.Parse(time.RFC3339, e.Time)
-		if err != nil || !t.Before(before) || e.Revision+KeepLogRows > head {
+		if err != nil || !t.Before(before) || e.Revision+MinLogRows > head {
 			return keepRest, nil
 		}
 		return deleteRow, nil
@@ -169,8 +169,8 @@
 }
 
 func (s *Sweeper) page(ctx context.Context, prefix, after string, j judge) (page, error) {
-	rows, err := s.table.List(ctx, prefix, after, SweepRows)
-	p := page{end: len(rows) < SweepRows}
+	rows, err := s.table.List(ctx, prefix, after, SweepBatchRows)
+	p := page{end: len(rows) < SweepBatchRows}
 	if err != nil {
 		return p, err
 	}
--- a/dissemination/sweep_test.go
+++ b/dissemination/sweep_test.go
@@ -69,7 +69,7 @@
 
 		swept, err := NewSweeper(table, time.Second).Sweep(t.Context(), time.Now().Add(-60*time.Hour), time.Now())
 		assert.NilError(t, err)
-		assert.DeepEqual(t, swept, Swept{LogRows: 301, Tombstones: 3})
+		assert.DeepEqual(t, swept, SweepCounts{LogRows: 301, Tombstones: 3})
 		now, nowVersion, err := ReadHead(t.Context(), table)
 		assert.NilError(t, err)
 		assert.Equal(t, now, head)
@@ -88,7 +88,7 @@
 		// The newest rows of the log stay however old they are.
 		_, err = NewSweeper(table, time.Second).Sweep(t.Context(), time.Now(), time.Now())
 		assert.NilError(t, err)
-		assert.Equal(t, rows(t, table, LogPrefix), KeepLogRows)
+		assert.Equal(t, rows(t, table, LogPrefix), MinLogRows)
 	})
 }
 
--- a/operator/compact.go
+++ b/operator/compact.go
@@ -51,7 +51,7 @@
 type CompactResult struct {
 	// Removed are the backend servers whose records were removed.
 	Removed []string `json:"removed"`
-	dissemination.Swept
+	dissemination.SweepCounts
 	// Head is the newest revision, LogBegins the oldest that the log still holds.
 	Head      uint64 `json:"head"`
 	LogBegins uint64 `json:"log_begins"`
@@ -119,7 +119,7 @@
 }
 
 // Compact removes the records of servers retired long ago, in changes of at most
-// dissemination.SweepRows records, and then deletes old log rows, tombstones and
+// dissemination.SweepBatchRows records, and then deletes old log rows, tombstones and
 // confirmations. When it fails part-way, the error is a *PartialError, what was
 // done stands and it may be run again. Two may run at once.
 func (o *Operator) Compact(ctx context.Context, opts CompactOptions) (*CompactResult, error) {
@@ -133,7 +133,7 @@
 	now := o.now()
 	var err error
 	sweeper := dissemination.NewSweeper(o.table, opts.Pause)
-	if r.Swept, err = sweeper.Sweep(ctx, now.Add(-opts.KeepLog), now.Add(-KeepConfirmations)); err != nil {
+	if r.SweepCounts, err = sweeper.Sweep(ctx, now.Add(-opts.KeepLog), now.Add(-KeepConfirmations)); err != nil {
 		return r, partial(err)
 	}
 	if r.Head, r.LogBegins, err = o.logBounds(ctx); err != nil {
@@ -148,7 +148,7 @@
 		if err != nil || len(ids) == 0 {
 			return err
 		}
-		ids = ids[:min(len(ids), dissemination.SweepRows)]
+		ids = ids[:min(len(ids), dissemination.SweepBatchRows)]
 		err = o.remove(ctx, ids, head, opts.Step)
 		var conflict *dissemination.ConflictError
 		switch {
--- a/operator/compact_test.go
+++ b/operator/compact_test.go
@@ -80,19 +80,19 @@
 		assert.Assert(t, !ok)
 
 		// A month later the log and the tombstones go.
-		for i := range dissemination.KeepLogRows {
+		for i := range dissemination.MinLogRows {
 			apply(t, o, mustLoad(t, "a.yaml", contractText("a", fmt.Sprint("key-", i))), Options{})
 		}
 		time.Sleep(31 * 24 * time.Hour)
 		r, err = o.Compact(t.Context(), compactOptions)
 		assert.NilError(t, err)
 		assert.Equal(t, len(r.Removed), 10)
-		assert.DeepEqual(t, r.Swept, dissemination.Swept{LogRows: 6, Tombstones: 150})
+		assert.DeepEqual(t, r.SweepCounts, dissemination.SweepCounts{LogRows: 6, Tombstones: 150})
 		assert.Equal(t, r.LogBegins, uint64(7))
 		h, err := o.History(t.Context(), "", 1000)
 		assert.NilError(t, err)
 		assert.Equal(t, h.LogBegins, uint64(7))
-		assert.Equal(t, len(h.Items), dissemination.KeepLogRows)
+		assert.Equal(t, len(h.Items), dissemination.MinLogRows)
 		c, err := o.FindChange(t.Context(), ChangeRef{Revision: 3, ID: "x"})
 		assert.NilError(t, err)
 		assert.Equal(t, c.State, ChangeForgotten)
--- a/standin/platform/ports.go
+++ b/standin/platform/ports.go
@@ -44,7 +44,7 @@
 		return nil, port.Invalid("limit is no number")
 	}
 	rows, err := s.store.Table().List(s.ctx, r.FormValue(port.ParamPrefix), r.FormValue(port.ParamAfter), limit)
-	return port.RowsAnswer{Rows: rows}, err
+	return port.RowsResponse{Rows: rows}, err
 }
 
 func (s *Server) commit(r *http.Request) (any, error) {
@@ -73,12 +73,12 @@
 
 func (s *Server) listObjects(r *http.Request) (any, error) {
 	keys, err := s.store.Objects().List(s.ctx, r.FormValue(port.ParamPrefix))
-	return port.ObjectsAnswer{Keys: keys}, err
+	return port.ObjectsResponse{Keys: keys}, err
 }
 
 func (s *Server) listVMs(*http.Request) (any, error) {
 	list, age, err := s.store.VMs().List(s.ctx)
-	return port.VMsAnswer{VMs: list, Age: age}, err
+	return port.VMsResponse{VMs: list, Age: age}, err
 }
 
 // openWeights streams a model version under the shared limit. A fault behind
--- a/standin/platform/server_test.go
+++ b/standin/platform/server_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func faulty(t *testing.T) storetest.Faulty {
+func faulty(t *testing.T) storetest.FaultyPlatform {
 	s, hc := start(t, Options{})
 	s.Store().SetPatternWeights(storetest.SeedModel, storetest.SeedVersion, storetest.SeedWeightBytes)
 	c := NewControl(s.URL(), hc)
@@ -81,7 +81,7 @@
 		storetest.Hang:       Hang,
 		storetest.HangAfter:  HangAfter,
 	}
-	return storetest.Faulty{
+	return storetest.FaultyPlatform{
 		Table:   port.NewHTTPTable(s.URL(), hc, patience),
 		Objects: port.NewHTTPObjects(s.URL(), hc, patience),
 		VMs:     port.NewHTTPVMs(s.URL(), hc, patience),
@@ -94,8 +94,8 @@
 			_, err := c.SetFault(t.Context(), Fault{Port: p, Side: side, Kind: kinds[f]})
 			assert.NilError(t, err)
 		},
-		Clear:     func() { assert.NilError(t, c.ClearFault(t.Context(), 0)) },
-		AwaitHeld: func() { awaitHeld(t, s) },
+		Clear:        func() { assert.NilError(t, c.ClearFault(t.Context(), 0)) },
+		AwaitBlocked: func() { awaitHeld(t, s) },
 	}
 }
 
--- a/store/http.go
+++ b/store/http.go
@@ -108,7 +108,7 @@
 	if status/100 == 2 {
 		return nil
 	}
-	var a ErrorAnswer
+	var a ErrorResponse
 	bad := json.Unmarshal(body, &a)
 	switch {
 	case status == http.StatusConflict && bad == nil && a.Conflict != nil:
@@ -124,7 +124,7 @@
 	}
 }
 
-func answered(kind error, a ErrorAnswer) error {
+func answered(kind error, a ErrorResponse) error {
 	return merry.Append(kind, a.Message, merry.NoCaptureStack())
 }
 
--- a/store/http_ports.go
+++ b/store/http_ports.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	q := url.Values{ParamPrefix: {prefix}, ParamAfter: {after}, ParamLimit: {strconv.Itoa(limit)}}
-	var a RowsAnswer
+	var a RowsResponse
 	err := t.h.read(ctx, PathRows, q, &a)
 	return a.Rows, err
 }
@@ -90,7 +90,7 @@
 
 // List implements Objects.
 func (o httpObjects) List(ctx context.Context, prefix string) ([]string, error) {
-	var a ObjectsAnswer
+	var a ObjectsResponse
 	err := o.h.read(ctx, PathObjects, url.Values{ParamPrefix: {prefix}}, &a)
 	return a.Keys, err
 }
@@ -104,7 +104,7 @@
 
 // List implements VMs.
 func (v httpVMs) List(ctx context.Context) ([]VM, time.Duration, error) {
-	var a VMsAnswer
+	var a VMsResponse
 	if err := v.h.read(ctx, PathVMs, nil, &a); err != nil {
 		return nil, 0, err
 	}
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -69,7 +69,7 @@
 	return store.ErrUnavailable
 }
 
-func faulty(*testing.T) storetest.Faulty {
+func faulty(*testing.T) storetest.FaultyPlatform {
 	var now atomic.Pointer[fault]
 	held := make(chan struct{})
 	p := memory.New(memory.Options{Hook: func(op memory.Op) error {
@@ -79,13 +79,13 @@
 		return nil
 	}})
 	p.SetPatternWeights(storetest.SeedModel, storetest.SeedVersion, storetest.SeedWeightBytes)
-	return storetest.Faulty{
+	return storetest.FaultyPlatform{
 		Table: p.Table(), Objects: p.Objects(), VMs: p.VMs(), Weights: p.Weights(),
 		Inject: func(port memory.Port, write bool, kind storetest.Fault) {
 			now.Store(&fault{port: port, write: write, kind: kind, held: held})
 		},
-		Clear:     func() { now.Store(nil) },
-		AwaitHeld: func() { <-held },
+		Clear:        func() { now.Store(nil) },
+		AwaitBlocked: func() { <-held },
 	}
 }
 
--- a/store/protocol.go
+++ b/store/protocol.go
@@ -28,24 +28,24 @@
 	ParamVersion = "version"
 )
 
-// RowsAnswer is the body of an answer to PathRows.
-type RowsAnswer struct {
+// RowsResponse is the body of an answer to PathRows.
+type RowsResponse struct {
 	Rows []Row `json:"rows"`
 }
 
-// ObjectsAnswer is the body of an answer to PathObjects.
-type ObjectsAnswer struct {
+// ObjectsResponse is the body of an answer to PathObjects.
+type ObjectsResponse struct {
 	Keys []string `json:"keys"`
 }
 
-// VMsAnswer is the body of an answer to PathVMs. Age is in nanoseconds.
-type VMsAnswer struct {
+// VMsResponse is the body of an answer to PathVMs. Age is in nanoseconds.
+type VMsResponse struct {
 	VMs []VM          `json:"vms"`
 	Age time.Duration `json:"age"`
 }
 
-// ErrorAnswer is the body of an answer that reports an error.
-type ErrorAnswer struct {
+// ErrorResponse is the body of an answer that reports an error.
+type ErrorResponse struct {
 	Message  string    `json:"message"`
 	Conflict *Conflict `json:"conflict,omitempty"`
 }
@@ -59,8 +59,8 @@
 
 // EncodeError returns the status and body that carry err, an error of a port.
 // The client turns them back into an error of the same kind.
-func EncodeError(err error) (int, ErrorAnswer) {
-	a := ErrorAnswer{Message: err.Error()}
+func EncodeError(err error) (int, ErrorResponse) {
+	a := ErrorResponse{Message: err.Error()}
 	var conflict *ConflictError
 	switch {
 	case errors.As(err, &conflict):
--- a/store/storetest/faults.go
+++ b/store/storetest/faults.go
@@ -27,8 +27,8 @@
 	HangAfter Fault = "hang after"
 )
 
-// Faulty is a platform with the means to make it fail.
-type Faulty struct {
+// FaultyPlatform is a platform with the means to make it fail.
+type FaultyPlatform struct {
 	Table   store.Table
 	Objects store.Objects
 	VMs     store.VMs
@@ -36,16 +36,16 @@
 	// Inject puts f in force for the reads or the writes of a port until Clear.
 	Inject func(p memory.Port, write bool, f Fault)
 	Clear  func()
-	// AwaitHeld returns once a call is held by Hang or HangAfter.
-	AwaitHeld func()
+	// AwaitBlocked returns once a call is held by Hang or HangAfter.
+	AwaitBlocked func()
 }
 
 // faultedCall is a call under test. done tells whether a write took effect.
 type faultedCall struct {
 	name string
 	port memory.Port
-	call func(context.Context, Faulty) error
-	done func(context.Context, Faulty) (bool, error)
+	call func(context.Context, FaultyPlatform) error
+	done func(context.Context, FaultyPlatform) (bool, error)
 }
 
 // seedKey is a row and an object that TestFaults finds in place.
@@ -61,7 +61,7 @@
 
 // TestFaults runs each call of each port under each fault. fresh returns a
 // platform that holds nothing but the weights named above.
-func TestFaults(t *testing.T, fresh func(t *testing.T) Faulty) {
+func TestFaults(t *testing.T, fresh func(t *testing.T) FaultyPlatform) {
 	cases := []struct {
 		fault Fault
 		// effect tells whether a write takes effect.
@@ -89,7 +89,7 @@
 
 func errs(list ...error) []error { return list }
 
-func runFaulted(t *testing.T, f Faulty, call faultedCall, fault Fault, want []error, effect bool) {
+func runFaulted(t *testing.T, f FaultyPlatform, call faultedCall, fault Fault, want []error, effect bool) {
 	commit(t, f.Table, put(seedKey, "1"))
 	assert.NilError(t, f.Objects.Put(t.Context(), seedKey, []byte("1")))
 	write := call.done != nil
@@ -98,7 +98,7 @@
 	defer cancel()
 	if fault == Hang || fault == HangAfter {
 		go func() {
-			f.AwaitHeld()
+			f.AwaitBlocked()
 			cancel()
 		}()
 	}
@@ -130,46 +130,46 @@
 
 func faultedCalls() []faultedCall {
 	return []faultedCall{
-		{"table get", memory.PortTable, func(ctx context.Context, f Faulty) error {
+		{"table get", memory.PortTable, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Table.Get(ctx, seedKey)
 			return err
 		}, nil},
-		{"table list", memory.PortTable, func(ctx context.Context, f Faulty) error {
+		{"table list", memory.PortTable, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Table.List(ctx, "", "", 10)
 			return err
 		}, nil},
-		{"table commit", memory.PortTable, func(ctx context.Context, f Faulty) error {
+		{"table commit", memory.PortTable, func(ctx context.Context, f FaultyPlatform) error {
 			return f.Table.Commit(ctx, store.Txn{Writes: []store.Write{put("new", "1")}})
-		}, func(ctx context.Context, f Faulty) (bool, error) {
+		}, func(ctx context.Context, f FaultyPlatform) (bool, error) {
 			_, err := f.Table.Get(ctx, "new")
 			return found(err)
 		}},
-		{"objects get", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects get", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Objects.Get(ctx, seedKey)
 			return err
 		}, nil},
-		{"objects list", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects list", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Objects.List(ctx, "")
 			return err
 		}, nil},
-		{"objects put", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects put", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			return f.Objects.Put(ctx, "new", nil)
-		}, func(ctx context.Context, f Faulty) (bool, error) {
+		}, func(ctx context.Context, f FaultyPlatform) (bool, error) {
 			_, err := f.Objects.Get(ctx, "new")
 			return found(err)
 		}},
-		{"objects delete", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects delete", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			return f.Objects.Delete(ctx, seedKey)
-		}, func(ctx context.Context, f Faulty) (bool, error) {
+		}, func(ctx context.Context, f FaultyPlatform) (bool, error) {
 			_, err := f.Objects.Get(ctx, seedKey)
 			there, err := found(err)
 			return !there, err
 		}},
-		{"vms list", memory.PortVMs, func(ctx context.Context, f Faulty) error {
+		{"vms list", memory.PortVMs, func(ctx context.Context, f FaultyPlatform) error {
 			_, _, err := f.VMs.List(ctx)
 			return err
 		}, nil},
-		{"weights", memory.PortWeights, func(ctx context.Context, f Faulty) error {
+		{"weights", memory.PortWeights, func(ctx context.Context, f FaultyPlatform) error {
 			r, err := f.Weights.Open(ctx, SeedModel, SeedVersion)
 			if err != nil {
 				return err
