--- a/dissemination/bench_test.go
+++ b/dissemination/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscusspur/hibiscusspur/contract"
 )
 
-// Size of the configuration in the benchmarks: that of the plan for two years.
+// Size of the configuration in the benchmarks: the planned size in two years.
 const (
 	benchContracts   = 340
 	benchBackends    = 4500
@@ -17,15 +17,15 @@
 	benchRemoveAfter = 1    // days until a retired record is removed
 )
 
-// world produces the changes of a configuration, one revision each.
-type world struct {
+// configChurn generates changes of a configuration, one revision each.
+type configChurn struct {
 	head    uint64
 	next    int // number of the next backend server
 	retired []string
 	apply   func(Delta)
 }
 
-func (w *world) commit(records ...Record) {
+func (w *configChurn) commit(records ...Record) {
 	w.head++
 	for i := range records {
 		records[i].Revision = w.head
@@ -43,12 +43,12 @@
 	return contractRecord(name, fmt.Sprintf("key-%s-%d", name, changed), 0)
 }
 
-func (w *world) addBackend() {
+func (w *configChurn) addBackend() {
 	w.commit(benchBackend(fmt.Sprintf("vm-%08d", w.next), false))
 	w.next++
 }
 
-func (w *world) start() {
+func (w *configChurn) fill() {
 	for i := range benchContracts {
 		w.commit(benchContract(i, 0))
 	}
@@ -57,9 +57,9 @@
 	}
 }
 
-// day is one day of churn: each server replaced is a record added and one
-// retired, removed a day later; the other changes are of contracts.
-func (w *world) day() {
+// runDay simulates one day of churn: each replaced server adds a record and retires
+// one, which is removed a day later; all other changes are of contracts.
+func (w *configChurn) runDay() {
 	remove := w.retired
 	w.retired = nil
 	for _, id := range remove {
@@ -76,25 +76,25 @@
 	}
 }
 
-func benchState(b *testing.B, days int, index bool) (*State, *world) {
+func benchState(b *testing.B, days int, index bool) (*State, *configChurn) {
 	b.Helper()
 	s := NewState()
 	if index {
 		NewIndex(s, func(key string, _ uint64, err error) { b.Fatal(key, err) })
 	}
-	w := &world{apply: func(d Delta) {
+	w := &configChurn{apply: func(d Delta) {
 		if _, err := s.Apply(d); err != nil {
 			b.Fatal(err)
 		}
 	}}
-	w.start()
+	w.fill()
 	for range days {
-		w.day()
+		w.runDay()
 	}
 	return s, w
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -106,12 +106,12 @@
 	for _, days := range []int{3, 30} {
 		b.Run(fmt.Sprintf("days=%d", days), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				s, _ := benchState(b, days, false)
-				held := heap() - before
+				used := heapBytes() - before
 				b.ReportMetric(float64(len(s.records)), "records")
-				b.ReportMetric(float64(held)/float64(len(s.records)), "B/record")
-				b.ReportMetric(float64(held), "B/state")
+				b.ReportMetric(float64(used)/float64(len(s.records)), "B/record")
+				b.ReportMetric(float64(used), "B/state")
 				runtime.KeepAlive(s)
 			}
 		})
@@ -161,23 +161,24 @@
 
 func BenchmarkIndexMemory(b *testing.B) {
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		s := NewState()
 		x := NewIndex(s, func(key string, _ uint64, err error) { b.Fatal(key, err) })
-		w := &world{apply: func(d Delta) { _, _ = s.Apply(d) }}
-		w.start()
+		w := &configChurn{apply: func(d Delta) { _, _ = s.Apply(d) }}
+		w.fill()
 		x.Backends()
-		b.ReportMetric(float64(heap()-before), "B/state+index")
+		b.ReportMetric(float64(heapBytes()-before), "B/state+index")
 		runtime.KeepAlive(x)
 	}
 }
 
-// BenchmarkBackendsAfterChange is the list made anew after a change of one server.
+// BenchmarkBackendsAfterChange measures rebuilding the list after a change of one
+// server.
 func BenchmarkBackendsAfterChange(b *testing.B) {
 	s := NewState()
 	x := NewIndex(s, func(key string, _ uint64, err error) { b.Fatal(key, err) })
-	w := &world{apply: func(d Delta) { _, _ = s.Apply(d) }}
-	w.start()
+	w := &configChurn{apply: func(d Delta) { _, _ = s.Apply(d) }}
+	w.fill()
 	b.ReportAllocs()
 	for b.Loop() {
 		w.commit(benchBackend("vm-00000007", false))
--- a/dissemination/compaction_test.go
+++ b/dissemination/compaction_test.go
@@ -14,12 +14,12 @@
 	return Record{Key: key, Revision: revision, Value: fmt.Append(nil, key, revision)}
 }
 
-func gone(key string, revision uint64) Record {
+func tombstone(key string, revision uint64) Record {
 	return Record{Key: key, Revision: revision, Deleted: true}
 }
 
-// live returns the revisions of the records of s that are not deleted.
-func live(s *State) map[string]uint64 {
+// liveRevisions returns the revisions of the records of s that are not deleted.
+func liveRevisions(s *State) map[string]uint64 {
 	out := make(map[string]uint64)
 	for key, r := range s.records {
 		if !r.Deleted {
@@ -32,64 +32,64 @@
 func TestFullDeltas(t *testing.T) {
 	base := Delta{Head: 4, Records: []Record{rec("a", 1), rec("b", 2), rec("c", 4)}}
 	for _, c := range []struct {
-		name    string
-		delta   Delta
-		applied bool
-		live    map[string]uint64
-		told    []Record
+		name     string
+		delta    Delta
+		applied  bool
+		live     map[string]uint64
+		notified []Record
 	}{
 		{"replaces", Delta{From: 6, Head: 8, Full: true, Records: []Record{rec("a", 1), rec("c", 7), rec("d", 8)}}, true,
-			map[string]uint64{"a": 1, "c": 7, "d": 8}, []Record{gone("b", 8), rec("c", 7), rec("d", 8)}},
-		{"of the same head", Delta{From: 3, Head: 4, Full: true}, false, live(applied(base)), nil},
-		{"of a lower head", Delta{From: 2, Head: 3, Full: true, Records: []Record{rec("a", 1)}}, false, live(applied(base)), nil},
+			map[string]uint64{"a": 1, "c": 7, "d": 8}, []Record{tombstone("b", 8), rec("c", 7), rec("d", 8)}},
+		{"of the same head", Delta{From: 3, Head: 4, Full: true}, false, liveRevisions(stateWith(base)), nil},
+		{"of a lower head", Delta{From: 2, Head: 3, Full: true, Records: []Record{rec("a", 1)}}, false, liveRevisions(stateWith(base)), nil},
 		{"with an older record", Delta{Head: 5, Full: true, Records: []Record{rec("a", 1), rec("b", 2), rec("c", 3)}}, true,
 			map[string]uint64{"a": 1, "b": 2, "c": 4}, nil},
-		{"with a tombstone", Delta{Head: 5, Full: true, Records: []Record{rec("a", 1), gone("b", 5), rec("c", 4)}}, true,
-			map[string]uint64{"a": 1, "c": 4}, []Record{gone("b", 5)}},
+		{"with a tombstone", Delta{Head: 5, Full: true, Records: []Record{rec("a", 1), tombstone("b", 5), rec("c", 4)}}, true,
+			map[string]uint64{"a": 1, "c": 4}, []Record{tombstone("b", 5)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := applied(base)
-			var told []Record
-			s.Watch(func(d Delta) { told = d.Records })
+			s := stateWith(base)
+			var notified []Record
+			s.Watch(func(d Delta) { notified = d.Records })
 			ok, err := s.Apply(FromWire(ToWire(c.delta)))
 			assert.NilError(t, err)
 			assert.Equal(t, ok, c.applied)
-			assert.DeepEqual(t, live(s), c.live)
-			assert.DeepEqual(t, told, c.told)
+			assert.DeepEqual(t, liveRevisions(s), c.live)
+			assert.DeepEqual(t, notified, c.notified)
 		})
 	}
 }
 
-func applied(d Delta) *State {
+func stateWith(d Delta) *State {
 	s := NewState()
 	_, _ = s.Apply(d)
 	return s
 }
 
-func TestTombstonesAreForgotten(t *testing.T) {
+func TestOldTombstonesAreDropped(t *testing.T) {
 	s := newState(2)
 	applyTo(t, s, 1, rec("a", 1), rec("b", 1))
-	applyTo(t, s, 2, gone("a", 2))
+	applyTo(t, s, 2, tombstone("a", 2))
 	applyTo(t, s, 4, rec("b", 4))
 	assert.Equal(t, len(s.records), 1)
-	assert.Equal(t, s.Revision("a"), uint64(2), "whoever holds a record forgotten here holds an old one")
+	assert.Equal(t, s.Revision("a"), uint64(2), "a record below the dropped tombstone is stale")
 	assert.DeepEqual(t, s.Since(2), Delta{From: 2, Head: 4, Records: []Record{rec("b", 4)}})
 	assert.DeepEqual(t, s.Since(1), Delta{From: 2, Head: 4, Full: true, Records: []Record{rec("b", 4)}})
-	// A plain delta from before the deletion does not bring the record back.
+	// An incremental delta from before the deletion does not restore the record.
 	_, err := s.Apply(Delta{From: 0, Head: 5, Records: []Record{rec("a", 1), rec("c", 5)}})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, live(s), map[string]uint64{"b": 4, "c": 5})
+	assert.DeepEqual(t, liveRevisions(s), map[string]uint64{"b": 4, "c": 5})
 }
 
-// history is what was accepted: the live records at every head.
-type history struct {
+// changeHistory holds the committed changes and the live records at every head.
+type changeHistory struct {
 	at  []map[string]uint64
 	log []Delta
 }
 
-func (h *history) head() uint64 { return uint64(len(h.at) - 1) }
+func (h *changeHistory) head() uint64 { return uint64(len(h.at) - 1) }
 
-func (h *history) commit(rng *rand.Rand) {
+func (h *changeHistory) commit(rng *rand.Rand) {
 	head := h.head() + 1
 	now := maps.Clone(h.at[head-1])
 	d := Delta{From: head - 1, Head: head}
@@ -100,7 +100,7 @@
 		}
 		if _, ok := now[key]; ok && rng.IntN(2) == 0 {
 			delete(now, key)
-			d.Records = append(d.Records, gone(key, head))
+			d.Records = append(d.Records, tombstone(key, head))
 		} else {
 			now[key] = head
 			d.Records = append(d.Records, rec(key, head))
@@ -109,8 +109,9 @@
 	h.at, h.log = append(h.at, now), append(h.log, d)
 }
 
-// full is a reading of all rows after a compaction has deleted every tombstone up to floor.
-func (h *history) full(floor uint64) Delta {
+// full returns the snapshot of all rows after a sweep has deleted every tombstone up
+// to floor.
+func (h *changeHistory) full(floor uint64) Delta {
 	d := Delta{From: floor, Head: h.head(), Full: true}
 	for key, revision := range h.at[h.head()] {
 		d.Records = append(d.Records, rec(key, revision))
@@ -129,7 +130,7 @@
 	return d
 }
 
-// replica is a state with what a watcher of it knows.
+// replica is a state and the records that its watcher was notified of.
 type replica struct {
 	*State
 	watched map[string]uint64
@@ -148,17 +149,17 @@
 	return r
 }
 
-// Whatever deltas reach a state, in whatever order and however late, it holds
-// exactly what was accepted at its head, and the head never falls.
+// A state that receives deltas in any order, with any delay and repeatedly holds
+// exactly the committed records at its head, and its head never decreases.
 func TestStatesNeverRevert(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		h := &history{at: []map[string]uint64{{}}}
+		h := &changeHistory{at: []map[string]uint64{{}}}
 		replicas := make([]*replica, 5)
 		for i := range replicas {
 			replicas[i] = newReplica(uint64(1 + rng.IntN(12)))
 		}
-		var late []Delta
+		var delayed []Delta
 		for step := range 400 {
 			r, peer := replicas[rng.IntN(len(replicas))], replicas[rng.IntN(len(replicas))]
 			before := r.Head()
@@ -168,9 +169,9 @@
 				h.commit(rng)
 			case 2:
 				d = peer.Since(r.Head())
-			case 3: // to another state, or later, or twice
-				late = append(late, peer.Since(uint64(rng.IntN(int(h.head())+1))))
-				d = late[rng.IntN(len(late))]
+			case 3: // sent to another state, delayed or repeated
+				delayed = append(delayed, peer.Since(uint64(rng.IntN(int(h.head())+1))))
+				d = delayed[rng.IntN(len(delayed))]
 			case 4:
 				if r.Head() < h.head() {
 					d = h.log[r.Head()]
@@ -183,14 +184,14 @@
 			_, _ = r.Apply(d)
 			assert.Assert(t, r.Head() >= before, "seed %d step %d", seed, step)
 			want := h.at[r.Head()]
-			assert.Assert(t, maps.Equal(live(r.State), want), "seed %d step %d: %v, want %v", seed, step, live(r.State), want)
+			assert.Assert(t, maps.Equal(liveRevisions(r.State), want), "seed %d step %d: %v, want %v", seed, step, liveRevisions(r.State), want)
 			assert.Assert(t, maps.Equal(r.watched, want), "seed %d step %d: %v, want %v", seed, step, r.watched, want)
 		}
 		_, _ = replicas[0].Apply(h.full(h.head()))
 		for _, r := range replicas {
 			_, err := r.Apply(replicas[0].Since(r.Head()))
 			assert.NilError(t, err)
-			assert.DeepEqual(t, live(r.State), h.at[h.head()])
+			assert.DeepEqual(t, liveRevisions(r.State), h.at[h.head()])
 		}
 	}
 }
--- a/dissemination/confirmation.go
+++ b/dissemination/confirmation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ConfirmRefresh is how often an entry writes its confirmation anew when nothing
-// has changed, so that a row that is much older is of a process that is gone.
+// ConfirmRefresh is how often an entry rewrites an unchanged confirmation. A row that
+// is much older belongs to a process that no longer runs.
 const ConfirmRefresh = time.Minute
 
 // Roles of processes in confirmations.
@@ -12,8 +12,8 @@
 	RoleSidecar = "sidecar"
 )
 
-// Confirmation is the value of a confirmed row: the newest revision that one
-// entry has in force, and those of the sidecars that it is linked to.
+// Confirmation is the value of a confirmed row: the newest revision in force at an
+// entry and those in force at the sidecars it is connected to.
 type Confirmation struct {
 	ID string `json:"id"`
 	// Role is RoleEntry or RoleSidecar.
@@ -24,7 +24,7 @@
 	Sidecars []SidecarsInZone `json:"sidecars,omitempty"`
 }
 
-// SidecarsInZone are the sidecars of one availability zone that have the same
+// SidecarsInZone lists the sidecars of one availability zone that have the same
 // revision in force.
 type SidecarsInZone struct {
 	Zone     string   `json:"zone"`
--- a/dissemination/conflict.go
+++ b/dissemination/conflict.go
@@ -11,22 +11,22 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// maxConflictLog bounds the revisions that a conflict error names.
+// maxConflictLog is the maximum number of revisions that a ConflictError lists.
 const maxConflictLog = 100
 
-// ConflictError means that others changed the configuration after the head that
-// the writer expected. Nothing was written.
+// ConflictError means that the configuration was changed after the head that the
+// writer expected. Nothing was written.
 type ConflictError struct {
-	// Expected is the head that the writer saw, Head the one found.
+	// Expected is the head that the writer saw, Head the current one.
 	Expected, Head uint64
-	// Since are the changes after Expected, oldest first; empty when they could
-	// not be read, and at most maxConflictLog of them.
+	// Since lists at most maxConflictLog changes after Expected, oldest first. It is
+	// empty if they could not be read.
 	Since []RevisionSummary
-	// Overlap are the keys that both the writer and the others changed.
+	// Overlap lists the keys that both the writer and the other changes modify.
 	Overlap []string
 }
 
-// RevisionSummary is what a conflict tells of one change.
+// RevisionSummary describes one change in a ConflictError.
 type RevisionSummary struct {
 	Revision uint64
 	Author   string
@@ -39,15 +39,15 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "conflict: expected head revision %d, found %d", e.Expected, e.Head)
 	for _, s := range e.Since {
-		fmt.Fprintf(&b, "; revision %d by %s changed %s", s.Revision, nameOr(s.Author, "unknown"), strings.Join(s.Keys, ", "))
+		fmt.Fprintf(&b, "; revision %d by %s changed %s", s.Revision, valueOr(s.Author, "unknown"), strings.Join(s.Keys, ", "))
 	}
 	return b.String()
 }
 
-// UnknownOutcomeError means that the platform lost the answer to a write and
-// gave no reading of it before the context ended.
+// UnknownOutcomeError means that the response to a write was lost and its outcome
+// could not be read before the context ended.
 type UnknownOutcomeError struct {
-	// Revision is the one that the change becomes if it took effect.
+	// Revision is the revision of the change if it was committed.
 	Revision uint64
 	ChangeID string
 	Cause    error
@@ -63,8 +63,8 @@
 	return e.Cause
 }
 
-// Conflict describes what was committed after expected, for a writer of changes.
-// Details that cannot be read are left out.
+// Conflict describes the changes committed after expected, for a writer of changes.
+// Details that cannot be read are omitted.
 func (w *Writer) Conflict(ctx context.Context, expected uint64, changes map[string]Change) *ConflictError {
 	e := &ConflictError{Expected: expected, Head: expected}
 	if head, _, err := ReadHead(ctx, w.table); err == nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-func nameOr(name, fallback string) string {
+func valueOr(name, fallback string) string {
 	if name == "" {
 		return fallback
 	}
--- a/dissemination/convert.go
+++ b/dissemination/convert.go
@@ -2,7 +2,7 @@
 
 import "github.com/hibiscusspur/hibiscusspur/wire"
 
-// ToWire returns d as a message.
+// ToWire converts d to its protobuf message.
 func ToWire(d Delta) *wire.Records {
 	out := &wire.Records{From: d.From, Head: d.Head, Full: d.Full}
 	for _, r := range d.Records {
@@ -11,7 +11,7 @@
 	return out
 }
 
-// FromWire returns the delta in m.
+// FromWire converts a protobuf message to a delta.
 func FromWire(m *wire.Records) Delta {
 	d := Delta{From: m.GetFrom(), Head: m.GetHead(), Full: m.GetFull()}
 	for _, r := range m.GetRecords() {
--- a/dissemination/index.go
+++ b/dissemination/index.go
@@ -11,31 +11,31 @@
 	"github.com/hibiscusspur/hibiscusspur/contract"
 )
 
-// Index keeps the contracts and backend records of a State parsed and ready for
-// lookup. It is safe for concurrent use. What it returns is shared and must not
-// be changed.
+// Index holds the contracts and backend records of a State parsed for lookup. It is
+// safe for concurrent use. The values that it returns are shared and must not be
+// changed.
 type Index struct {
 	report func(key string, revision uint64, err error)
 
 	mu        sync.RWMutex
-	contracts map[string]contractAt
+	contracts map[string]contractVersion
 	backends  map[string]contract.Backend
-	list      []contract.Backend // backends by id; nil when it is to be made anew
+	sorted    []contract.Backend // backends by id; nil after a change, until the next use
 	keys      apikey.Owners
 }
 
-type contractAt struct {
+type contractVersion struct {
 	contract *contract.Contract
 	revision uint64
 }
 
 // NewIndex returns an index that follows s. Call it before the first Apply. The
-// latest record that parses stays in force; report is called, on the applying
-// goroutine, for each record that was kept out and must not call s.
+// latest valid record of a key stays in force. report is called on the applying
+// goroutine for each rejected record and must not call s.
 func NewIndex(s *State, report func(key string, revision uint64, err error)) *Index {
 	x := &Index{
 		report:    report,
-		contracts: make(map[string]contractAt),
+		contracts: make(map[string]contractVersion),
 		backends:  make(map[string]contract.Backend),
 		keys:      make(apikey.Owners),
 	}
@@ -44,7 +44,7 @@
 	return x
 }
 
-// CustomerByKey returns the customer to whom the API key with this hash belongs.
+// CustomerByKey returns the customer that owns the API key with this hash.
 func (x *Index) CustomerByKey(hash apikey.Hash) (string, bool) {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -67,20 +67,20 @@
 }
 
 // Backends returns all backend records by id, retired ones included. The list is
-// made anew when it is asked for after a record has changed.
+// rebuilt by the first call after a change.
 func (x *Index) Backends() []contract.Backend {
 	x.mu.RLock()
-	list := x.list
+	list := x.sorted
 	x.mu.RUnlock()
 	if list != nil {
 		return list
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.list == nil {
-		x.list = x.sortedBackends()
+	if x.sorted == nil {
+		x.sorted = x.sortedBackends()
 	}
-	return x.list
+	return x.sorted
 }
 
 func (x *Index) sortedBackends() []contract.Backend {
@@ -103,26 +103,26 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, r := range d.Records {
-		if err := x.take(r); err != nil {
+		if err := x.applyRecord(r); err != nil {
 			x.report(r.Key, r.Revision, err)
 		}
 	}
 }
 
-// take applies one record, or returns why it is kept out.
-func (x *Index) take(r Record) error {
+// applyRecord applies one record, or returns why it was rejected.
+func (x *Index) applyRecord(r Record) error {
 	if customer, ok := strings.CutPrefix(r.Key, ContractPrefix); ok {
-		return x.takeContract(customer, r)
+		return x.applyContract(customer, r)
 	}
 	if id, ok := strings.CutPrefix(r.Key, BackendPrefix); ok {
-		return x.takeBackend(id, r)
+		return x.applyBackend(id, r)
 	}
 	return nil
 }
 
-func (x *Index) takeContract(customer string, r Record) error {
+func (x *Index) applyContract(customer string, r Record) error {
 	if r.Deleted {
-		x.dropContract(customer)
+		x.removeContract(customer)
 		return nil
 	}
 	c, err := contract.Parse(r.Key, r.Value)
@@ -132,12 +132,12 @@
 	if c.Customer != customer {
 		return fmt.Errorf("row of %q holds a contract of %q", customer, c.Customer)
 	}
-	x.dropContract(customer)
-	x.contracts[customer] = contractAt{c, r.Revision}
+	x.removeContract(customer)
+	x.contracts[customer] = contractVersion{c, r.Revision}
 	for _, k := range c.Keys {
 		hash, err := apikey.Parse(k.SHA256)
 		if err != nil {
-			return err // The contract was checked for it.
+			return err // unreachable: Parse has checked the hash
 		}
 		if others := x.keys.Add(hash, customer); len(others) > 0 {
 			x.report(r.Key, r.Revision, fmt.Errorf("key %q also belongs to %s; none may use it", k.Name, strings.Join(others, ", ")))
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (x *Index) dropContract(customer string) {
+func (x *Index) removeContract(customer string) {
 	if old, ok := x.contracts[customer]; ok {
 		for _, k := range old.contract.Keys {
 			if hash, err := apikey.Parse(k.SHA256); err == nil {
@@ -157,10 +157,10 @@
 	delete(x.contracts, customer)
 }
 
-func (x *Index) takeBackend(id string, r Record) error {
+func (x *Index) applyBackend(id string, r Record) error {
 	if r.Deleted {
 		delete(x.backends, id)
-		x.list = nil
+		x.sorted = nil
 		return nil
 	}
 	b, err := contract.ParseBackend(r.Key, r.Value)
@@ -171,6 +171,6 @@
 		return fmt.Errorf("row of %q holds backend server %q", id, b.ID)
 	}
 	x.backends[id] = *b
-	x.list = nil
+	x.sorted = nil
 	return nil
 }
--- a/dissemination/index_test.go
+++ b/dissemination/index_test.go
@@ -56,7 +56,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestIndexLeavesOutOlderRecords(t *testing.T) {
+func TestIndexIgnoresOlderRecords(t *testing.T) {
 	s := NewState()
 	x := NewIndex(s, func(key string, _ uint64, err error) { t.Error(key, err) })
 	applyTo(t, s, 5, contractRecord("a", "new", 5))
@@ -65,7 +65,7 @@
 	assert.Assert(t, ok)
 }
 
-func TestKeyOfTwoContractsAdmitsNobodyUntilOneLetsGo(t *testing.T) {
+func TestKeyOfTwoContractsIsRejected(t *testing.T) {
 	s := NewState()
 	reports := 0
 	x := NewIndex(s, func(string, uint64, error) { reports++ })
@@ -78,7 +78,7 @@
 	assert.Equal(t, customer, "b")
 }
 
-func TestIndexForgetsWhatAFullDeltaLacks(t *testing.T) {
+func TestIndexDropsRecordsMissingFromFullDelta(t *testing.T) {
 	s := NewState()
 	x := NewIndex(s, func(key string, _ uint64, err error) { t.Error(key, err) })
 	backend := Record{Key: "backends/vm-1", Revision: 1, Value: []byte("{id: vm-1, address: '10.0.0.1:7400', zone: a, role: mixed, models: [portal]}")}
--- a/dissemination/pull_test.go
+++ b/dissemination/pull_test.go
@@ -10,27 +10,28 @@
 func TestPullAsksOneAtATime(t *testing.T) {
 	now := time.Unix(100, 0)
 	var p Pull[string]
-	assert.Assert(t, !p.Offer("a", 5, 5, now), "nothing lacks")
+	assert.Assert(t, !p.Offer("a", 5, 5, now), "nothing is missing")
 	assert.Assert(t, p.Offer("a", 6, 5, now))
 	assert.Assert(t, !p.Offer("b", 6, 5, now), "a was just asked")
 	_, again := p.Retry(5, now)
 	assert.Assert(t, !again)
-	now = now.Add(pullPatience)
+	now = now.Add(pullTimeout)
 	from, again := p.Retry(5, now)
 	assert.Assert(t, again)
 	assert.Equal(t, from, "b")
 	p.Forget("b")
-	_, again = p.Retry(5, now.Add(pullPatience))
-	assert.Assert(t, !again, "nobody left to ask")
-	assert.Assert(t, p.Offer("c", 7, 5, now.Add(pullPatience)))
+	_, again = p.Retry(5, now.Add(pullTimeout))
+	assert.Assert(t, !again, "no peer left to ask")
+	assert.Assert(t, p.Offer("c", 7, 5, now.Add(pullTimeout)))
 	_, again = p.Retry(7, now.Add(time.Hour))
 	assert.Assert(t, !again, "reached")
 }
 
-// TestPullOverASmallLink: the whole configuration of two years, 2.4 MB, comes over a link of 10 Mbit/s.
-// While it comes, each further copy that is asked for takes its share of the link. Asked for every
-// 300 ms it took minutes; as route tables did that came unasked, copies kept each other from arriving.
-func TestPullOverASmallLink(t *testing.T) {
+// TestPullOverSlowLink transfers the whole configuration at its expected size in two
+// years, 2.4 MB, over a 10 Mbit/s link that all copies in progress share. With a request
+// every 300 ms the transfer took minutes: the copies delayed each other, as unrequested
+// route tables once did.
+func TestPullOverSlowLink(t *testing.T) {
 	const size, rate, step = 2_400_000, 1_250_000, 10 * time.Millisecond
 	start := time.Unix(100, 0)
 	var p Pull[string]
@@ -55,5 +56,5 @@
 	assert.Assert(t, took < 10*time.Second, "%v", took)
 	assert.Assert(t, len(copies) <= 5, "%d copies", len(copies))
 	assert.Assert(t, !p.Offer("a", 6, 6, start.Add(took)), "reached")
-	assert.Assert(t, p.Offer("a", 7, 6, start.Add(took)), "the next one is asked for at once")
+	assert.Assert(t, p.Offer("a", 7, 6, start.Add(took)), "the next revision is requested immediately")
 }
--- a/dissemination/push/push.go
+++ b/dissemination/push/push.go
@@ -1,5 +1,5 @@
-// Package push hands a committed change straight to a few sidecars, from which it
-// spreads, so that it comes into force even when the platform's table goes out
+// Package push sends a committed change directly to a few sidecars, from which it
+// spreads, so that it takes effect even if the platform's table becomes unavailable
 // right after the commit.
 package push
 
@@ -18,20 +18,20 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// Fanout is how many sidecars a change is handed to, in as many zones as there are.
+// Fanout is how many sidecars a change is sent to, spread over all zones.
 const Fanout = 6
 
 // Timeout bounds the exchange with one sidecar.
 const Timeout = time.Second
 
-// entryID is how the pushing command presents itself on a session.
+// entryID is the entry id that the pushing command sends in its hello.
 const entryID = "operator"
 
 // errNotConfirmed means that the sidecar ended the session without the revision.
 var errNotConfirmed = merry.Sentinel("sidecar did not confirm the revision")
 
-// Targets chooses up to Fanout backend servers that are not retired, taking the
-// zones in turn.
+// Targets chooses up to Fanout backend servers that are not retired, round-robin over
+// the zones.
 func Targets(backends []contract.Backend) []contract.Backend {
 	byZone := make(map[string][]contract.Backend)
 	var zones []string
@@ -59,8 +59,8 @@
 	return out
 }
 
-// Push hands what state holds to the targets at once, and returns those that
-// confirmed its head. It blocks until all have answered or timed out.
+// Push sends the records of state to all targets concurrently and returns the targets
+// that confirmed its head. It blocks until all have responded or timed out.
 func Push(ctx context.Context, state *dissemination.State, targets []contract.Backend, conf *tls.Config) []contract.Backend {
 	var (
 		wg        sync.WaitGroup
@@ -69,7 +69,7 @@
 	)
 	for _, b := range targets {
 		wg.Go(func() {
-			if pushOne(ctx, state, b.Address, conf) != nil {
+			if pushTo(ctx, state, b.Address, conf) != nil {
 				return
 			}
 			mu.Lock()
@@ -81,9 +81,9 @@
 	return confirmed
 }
 
-// pushOne runs one short session: hello, welcome, records, and the heartbeat that
+// pushTo runs one short session: hello, welcome, records and the heartbeat that
 // confirms them.
-func pushOne(ctx context.Context, state *dissemination.State, addr string, conf *tls.Config) error {
+func pushTo(ctx context.Context, state *dissemination.State, addr string, conf *tls.Config) error {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	conn, err := link.Dial(ctx, addr, conf, Timeout, new(link.Meter))
@@ -105,15 +105,15 @@
 		if err != nil {
 			return merry.Wrap(errNotConfirmed, merry.WithCause(err))
 		}
-		done, err := answer(stream, state, f, head)
+		done, err := handleFrame(stream, state, f, head)
 		if done || err != nil {
 			return err
 		}
 	}
 }
 
-// answer handles one frame of the sidecar; it reports whether head is confirmed.
-func answer(stream wire.DRPCSidecar_SessionClient, state *dissemination.State, f *wire.SidecarFrame, head uint64) (bool, error) {
+// handleFrame handles one frame of the sidecar and reports whether head is confirmed.
+func handleFrame(stream wire.DRPCSidecar_SessionClient, state *dissemination.State, f *wire.SidecarFrame, head uint64) (bool, error) {
 	switch b := f.GetBody().(type) {
 	case *wire.SidecarFrame_Welcome:
 		if b.Welcome.GetHeadRevision() >= head {
--- a/dissemination/reader.go
+++ b/dissemination/reader.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// maxLogReads is how many revisions a reader catches up one by one; further
-	// behind it reads all rows.
+	// maxLogReads is the largest lag, in revisions, that a reader catches up from the
+	// log; with a larger one it reads all rows.
 	maxLogReads = 64
-	pageRows    = 500
-	// maxSnapshots is how often a reader starts anew because the head moved while
-	// it read all rows.
-	maxSnapshots = 4
+	pageSize    = 500
+	// maxSnapshotAttempts is how often a reader tries to read all rows while the head
+	// moves.
+	maxSnapshotAttempts = 4
 )
 
-// errMoving means that the head moved during every reading of all rows.
-var errMoving = merry.Sentinel("the head moved while all rows were read")
+// errHeadMoved means that the head moved during every attempt to read all rows.
+var errHeadMoved = merry.Sentinel("the head moved during every attempt to read all rows")
 
-// Reader brings a State up to the head of the platform's table. It is for one
-// goroutine at a time.
+// Reader brings a State up to the head of the platform's table. It is not safe for
+// concurrent use.
 type Reader struct {
 	table store.Table
 	state *State
@@ -37,8 +37,8 @@
 	return &Reader{table: table, state: state}
 }
 
-// Poll reads the head row and, when it is ahead of the state, what changed
-// since. One read when nothing has changed.
+// Poll reads the head row and, if it is ahead of the state, the changes since. If
+// nothing has changed, it costs one read.
 func (r *Reader) Poll(ctx context.Context) error {
 	head, _, err := ReadHead(ctx, r.table)
 	if err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// readLog applies all revisions after from in one step, so that nothing is decided
-// under one of those in between.
+// readLog applies all revisions after from in one step, so that no intermediate
+// revision takes effect.
 func (r *Reader) readLog(ctx context.Context, from, to uint64) error {
 	latest := make(map[string]Record)
 	for rev := from + 1; rev <= to; rev++ {
@@ -76,7 +76,7 @@
 }
 
 func (r *Reader) readAll(ctx context.Context, head uint64) error {
-	for range maxSnapshots {
+	for range maxSnapshotAttempts {
 		d, err := r.snapshot(ctx, head)
 		if err != nil {
 			return err
@@ -91,11 +91,12 @@
 		}
 		head = now.Revision
 	}
-	return errMoving
+	return errHeadMoved
 }
 
 // snapshot reads all rows. The log is trimmed before the tombstones of its
-// revisions are deleted, so that its beginning, read last, bounds what may be missing.
+// revisions are deleted, so the beginning of the log, read last, is above every
+// revision whose tombstone may be missing.
 func (r *Reader) snapshot(ctx context.Context, head uint64) (Delta, error) {
 	d := Delta{Head: head, Full: true}
 	for _, prefix := range []string{ContractPrefix, BackendPrefix} {
@@ -117,7 +118,7 @@
 	var out []Record
 	after := ""
 	for {
-		rows, err := r.table.List(ctx, prefix, after, pageRows)
+		rows, err := r.table.List(ctx, prefix, after, pageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -129,7 +130,7 @@
 			out = append(out, record(row.Key, rec))
 			after = row.Key
 		}
-		if len(rows) < pageRows {
+		if len(rows) < pageSize {
 			return out, nil
 		}
 	}
--- a/dissemination/revisionlog.go
+++ b/dissemination/revisionlog.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// revisionLog lists the records of a State by revision, so that finding what changed
-// since a revision costs as much as was changed. It is guarded by the State.
+// revisionLog indexes the records of a State by revision, so that the cost of finding
+// the changes since a revision is proportional to their number. It is guarded by the
+// State.
 type revisionLog struct {
-	changes []changeAt
-	// tombstones are those of changes that are deletions.
-	tombstones []changeAt
+	changes []keyChange
+	// tombstones lists the deletions among changes.
+	tombstones []keyChange
 	unsorted   bool
 }
 
-// changeAt says that a key was changed at a revision. It is out of date once the
+// keyChange records that a key was changed at a revision. It is stale once the
 // record of the key has another revision.
-type changeAt struct {
+type keyChange struct {
 	revision uint64
 	key      string
 }
 
-// slackChanges is how many entries out of date are kept, besides half as many as
-// there are records.
-const slackChanges = 64
+// maxStaleChanges is how many stale entries are kept in addition to half the number
+// of records.
+const maxStaleChanges = 64
 
-// add lists r. Call sort after the last of several.
+// add appends r. Call sort after the last of a series.
 func (l *revisionLog) add(r Record) {
-	c := changeAt{r.Revision, r.Key}
+	c := keyChange{r.Revision, r.Key}
 	if n := len(l.changes); n > 0 && r.Revision < l.changes[n-1].revision {
 		l.unsorted = true
 	}
@@ -41,7 +42,7 @@
 	if !l.unsorted {
 		return
 	}
-	byRevision := func(a, b changeAt) int {
+	byRevision := func(a, b keyChange) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.key, b.key))
 	}
 	slices.SortFunc(l.changes, byRevision)
@@ -49,31 +50,31 @@
 	l.unsorted = false
 }
 
-// after returns the changes above revision; some may be out of date.
-func (l *revisionLog) after(revision uint64) []changeAt {
+// after returns the changes above revision; some may be stale.
+func (l *revisionLog) after(revision uint64) []keyChange {
 	return l.changes[firstAfter(l.changes, revision):]
 }
 
-// popTombstones removes and returns the keys of tombstones up to revision.
-func (l *revisionLog) popTombstones(revision uint64) []changeAt {
+// popTombstones removes and returns the tombstones up to revision.
+func (l *revisionLog) popTombstones(revision uint64) []keyChange {
 	n := firstAfter(l.tombstones, revision)
 	popped := l.tombstones[:n]
 	l.tombstones = l.tombstones[n:]
 	return popped
 }
 
-// compact drops the changes that are out of date once there are many.
+// compact drops the stale changes once there are many.
 func (l *revisionLog) compact(records map[string]Record) {
-	if len(l.changes) <= len(records)+len(records)/2+slackChanges {
+	if len(l.changes) <= len(records)+len(records)/2+maxStaleChanges {
 		return
 	}
-	l.changes = slices.DeleteFunc(l.changes, func(c changeAt) bool {
+	l.changes = slices.DeleteFunc(l.changes, func(c keyChange) bool {
 		r, ok := records[c.key]
 		return !ok || r.Revision != c.revision
 	})
 }
 
-func firstAfter(changes []changeAt, revision uint64) int {
-	i, _ := slices.BinarySearchFunc(changes, revision+1, func(c changeAt, r uint64) int { return cmp.Compare(c.revision, r) })
+func firstAfter(changes []keyChange, revision uint64) int {
+	i, _ := slices.BinarySearchFunc(changes, revision+1, func(c keyChange, r uint64) int { return cmp.Compare(c.revision, r) })
 	return i
 }
--- a/dissemination/schema.go
+++ b/dissemination/schema.go
@@ -11,9 +11,9 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// Rows of the platform's table. The head row is checked and rewritten by every
-// change; the log row of a revision holds the records that it changed, so that a
-// reader that is a few revisions behind reads just those.
+// Keys of the rows in the platform's table. Every change checks and rewrites the
+// head row. The log row of a revision holds the records that it changed, so that a
+// reader a few revisions behind reads only those.
 const (
 	// HeadKey holds a Head in JSON.
 	HeadKey = "head"
@@ -22,7 +22,7 @@
 	ContractPrefix = "contracts/"
 	BackendPrefix  = "backends/"
 	// LogPrefix is followed by the revision, see LogKey; the value is a LogEntry in
-	// JSON. The log may begin above revision 1, see Compactor.
+	// JSON. The log may begin above revision 1, see Sweeper.
 	LogPrefix = "log/"
 	// ConfirmPrefix is followed by the id of an entry; the value is a Confirmation in JSON.
 	ConfirmPrefix = "confirmed/"
@@ -31,8 +31,8 @@
 // Head is the value of the head row.
 type Head struct {
 	Revision uint64 `json:"revision"`
-	// ChangeID names the change that wrote this head, so that a writer whose
-	// answer was lost can tell by reading.
+	// ChangeID identifies the change that wrote this head, so that a writer whose
+	// response was lost can find out whether its change was committed.
 	ChangeID string `json:"change_id"`
 }
 
@@ -52,18 +52,18 @@
 	Records  map[string]StoredRecord `json:"records"`
 }
 
-// LogKey returns the key of the log row of a revision; keys sort by revision.
+// LogKey returns the key of the log row of a revision. The keys sort by revision.
 func LogKey(revision uint64) string {
 	return fmt.Sprintf("%s%016x", LogPrefix, revision)
 }
 
-// logRevision returns the revision whose log row has key.
+// logRevision returns the revision of the log row with key.
 func logRevision(key string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.TrimPrefix(key, LogPrefix), 16, 64)
 	return revision, merry.Prependf(err, "log row %s", key)
 }
 
-// LogBegin returns the lowest revision that the log still holds, 0 if it is empty.
+// LogBegin returns the lowest revision in the log, or 0 if the log is empty.
 func LogBegin(ctx context.Context, table store.Table) (uint64, error) {
 	rows, err := table.List(ctx, LogPrefix, "", 1)
 	if err != nil || len(rows) == 0 {
--- a/dissemination/state.go
+++ b/dissemination/state.go
@@ -1,7 +1,7 @@
-// Package dissemination keeps every process at the newest accepted revision of
-// the configuration. The platform's table holds one head revision; entries poll
-// it, and entries and sidecars hand each other whatever the other lacks. A
-// process never goes back to a lower revision.
+// Package dissemination replicates the configuration to every process at the
+// newest committed revision, by anti-entropy. The platform's table holds one head
+// revision; entries poll it, and entries and sidecars send each other the records
+// that the peer is missing. A process never reverts to a lower revision.
 package dissemination
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// tombstoneKeep is how many revisions below the head a State remembers deletions,
-// more than a day of changes at the size that is designed for. Whoever is further
-// behind is handed a full delta.
-const tombstoneKeep = 4096
+// tombstoneRevisions is how many revisions below the head a State retains
+// tombstones: more than a day of changes at the design size. A peer that is further
+// behind gets a full delta.
+const tombstoneRevisions = 4096
 
-// Record is one row of the configuration at the revision that last changed it.
+// Record is a row of the configuration at the revision that last changed it.
 type Record struct {
 	Key      string
 	Revision uint64
@@ -25,29 +25,31 @@
 	Deleted  bool
 }
 
-// Delta leads from one revision to a higher one. It holds every record changed
-// after From, up to and including Head.
+// Delta takes a state from one revision to a higher one. It holds every record
+// changed after From, up to and including Head.
 type Delta struct {
 	From, Head uint64
 	Records    []Record
-	// Full means that the records are the whole configuration at Head. Deletions
-	// after From are among them; earlier ones show only by the record's absence.
+	// Full means that the records are the whole configuration at Head. They include
+	// tombstones of deletions after From; earlier deletions show only by the absence
+	// of the record.
 	Full bool
 }
 
-// ErrGap means that a delta starts after the revision that the state has reached.
+// ErrGap means that a delta starts above the head of the state.
 var ErrGap = merry.Sentinel("delta starts beyond the known revision")
 
-// State is the configuration as one process knows it. It is safe for concurrent use.
+// State is the local copy of the configuration in one process. It is safe for
+// concurrent use.
 type State struct {
-	// keep is how many revisions below the head deletions are remembered.
-	keep uint64
-	// applying orders deltas and the calls of watchers; mu guards the fields and is
-	// never held while a watcher runs.
+	// tombstoneRevisions is how many revisions below the head tombstones are retained.
+	tombstoneRevisions uint64
+	// applying serializes deltas and the calls of watchers; mu guards the fields and
+	// is never held while a watcher runs.
 	applying sync.Mutex
 	mu       sync.RWMutex
 	head     uint64
-	// floor is the revision up to which deletions may have been forgotten.
+	// floor is the revision up to which tombstones may have been dropped.
 	floor    uint64
 	records  map[string]Record
 	order    revisionLog
@@ -56,11 +58,11 @@
 
 // NewState returns an empty state at revision 0.
 func NewState() *State {
-	return newState(tombstoneKeep)
+	return newState(tombstoneRevisions)
 }
 
-func newState(keep uint64) *State {
-	return &State{keep: keep, records: make(map[string]Record)}
+func newState(tombstoneRevisions uint64) *State {
+	return &State{tombstoneRevisions: tombstoneRevisions, records: make(map[string]Record)}
 }
 
 // Head returns the highest revision applied.
@@ -71,21 +73,21 @@
 }
 
 // Watch registers f, which is called after each applied delta, in order, on the
-// applying goroutine, with the records that have changed in the state; one that a
-// full delta lacks is among them as deleted. It may read the state but must not
-// apply to it. Register before the first Apply.
+// applying goroutine, with the records that changed in the state. A record that is
+// missing from a full delta is passed as deleted. f may read the state but must not
+// call Apply. Call Watch before the first Apply.
 func (s *State) Watch(f func(Delta)) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
 	s.watchers = append(s.watchers, f)
 }
 
-// Apply takes d if it leads to a higher revision. It reports whether it did.
-// Records older than those known are left out one by one.
+// Apply applies d if its head is above that of the state, and reports whether it
+// did. Records of d that are older than those in the state are skipped one by one.
 func (s *State) Apply(d Delta) (bool, error) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
-	changes, err := s.take(d)
+	changes, err := s.applyDelta(d)
 	if changes == nil {
 		return false, err
 	}
@@ -95,8 +97,8 @@
 	return true, nil
 }
 
-// take applies d and returns what has changed, or nil.
-func (s *State) take(d Delta) (*Delta, error) {
+// applyDelta applies d under the lock and returns the changes, or nil.
+func (s *State) applyDelta(d Delta) (*Delta, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if d.Head <= s.head {
@@ -111,7 +113,7 @@
 		s.floor = d.From
 	}
 	for _, r := range d.Records {
-		if s.isNews(r, d.Full) {
+		if s.isNewer(r, d.Full) {
 			s.records[r.Key] = r
 			s.order.add(r)
 			changes.Records = append(changes.Records, r)
@@ -119,13 +121,14 @@
 	}
 	s.order.sort()
 	s.head = d.Head
-	s.forget()
+	s.dropOldTombstones()
 	return changes, nil
 }
 
-// isNews reports whether r is newer than what is known. In a plain delta, a record
-// at or below the floor of which nothing is known is one whose deletion is forgotten.
-func (s *State) isNews(r Record, full bool) bool {
+// isNewer reports whether r is newer than the state's record of the same key. In an
+// incremental delta, an unknown record at or below the floor was deleted and its
+// tombstone was dropped.
+func (s *State) isNewer(r Record, full bool) bool {
 	known, ok := s.records[r.Key]
 	switch {
 	case ok:
@@ -137,31 +140,31 @@
 	}
 }
 
-// dropAbsent removes the records that a full delta lacks and returns them as
-// deleted. A record newer than the delta's head is none of its business.
+// dropAbsent removes the records that are missing from a full delta and returns
+// them as deleted. Records newer than the delta's head are kept.
 func (s *State) dropAbsent(d Delta) []Record {
 	present := make(map[string]struct{}, len(d.Records))
 	for _, r := range d.Records {
 		present[r.Key] = struct{}{}
 	}
-	var gone []Record
+	var removed []Record
 	for key, r := range s.records {
 		if _, ok := present[key]; ok || r.Revision > d.Head {
 			continue
 		}
 		delete(s.records, key)
 		if !r.Deleted {
-			gone = append(gone, Record{Key: key, Revision: d.Head, Deleted: true})
+			removed = append(removed, Record{Key: key, Revision: d.Head, Deleted: true})
 		}
 	}
-	sortByKey(gone)
-	return gone
+	sortByKey(removed)
+	return removed
 }
 
-// forget drops the tombstones far below the head.
-func (s *State) forget() {
-	if s.head > s.keep {
-		s.floor = max(s.floor, s.head-s.keep)
+// dropOldTombstones drops the tombstones more than tombstoneRevisions below the head.
+func (s *State) dropOldTombstones() {
+	if s.head > s.tombstoneRevisions {
+		s.floor = max(s.floor, s.head-s.tombstoneRevisions)
 	}
 	for _, c := range s.order.popTombstones(s.floor) {
 		if r, ok := s.records[c.key]; ok && r.Revision == c.revision {
@@ -171,8 +174,8 @@
 	s.order.compact(s.records)
 }
 
-// Since returns what a peer at revision from lacks: a full delta if deletions that
-// the peer has not seen may be forgotten. Records are in the order of their revisions.
+// Since returns the delta for a peer at revision from: a full one if tombstones that
+// the peer has not seen may have been dropped. Records are ordered by revision.
 func (s *State) Since(from uint64) Delta {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -189,7 +192,7 @@
 	return d
 }
 
-// Get returns the record under key unless it is absent or deleted.
+// Get returns the record of key unless it is absent or deleted.
 func (s *State) Get(key string) (Record, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -197,9 +200,9 @@
 	return r, ok && !r.Deleted
 }
 
-// Revision returns a revision at or above the one that last changed key, deleted
-// or not, and at most the head: the exact one, or for a key without a record that up to which
-// deletions are forgotten. Whoever holds key at a lower revision holds an old record.
+// Revision returns an upper bound, at most the head, of the revision that last
+// changed or deleted key: the exact one if there is a record, otherwise the revision
+// up to which tombstones were dropped. A record of key at a lower revision is stale.
 func (s *State) Revision(key string) uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/dissemination/state_test.go
+++ b/dissemination/state_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A watcher may use the state, and so may another goroutine whose lock the watcher waits for.
+// A watcher may read the state, and so may another goroutine that holds a lock the
+// watcher waits for.
 func TestWatcherMayReadState(t *testing.T) {
 	s := NewState()
 	var heads []uint64
@@ -18,7 +19,7 @@
 	assert.DeepEqual(t, heads, []uint64{1, 2, 3})
 }
 
-func TestApplyNeverGoesBack(t *testing.T) {
+func TestApplyNeverReverts(t *testing.T) {
 	put := func(rev uint64, value string) Record { return Record{Key: "k", Revision: rev, Value: []byte(value)} }
 	for _, c := range []struct {
 		name    string
--- a/dissemination/sweep.go
+++ b/dissemination/sweep.go
@@ -13,47 +13,47 @@
 
 // Bounds of a Sweeper.
 const (
-	// SweepBatchRows is how many rows one transaction of a sweep deletes at most.
+	// SweepBatchRows is the maximum number of rows that one transaction deletes.
 	SweepBatchRows = 100
-	// MinLogRows is how many of the newest log rows stay whatever their age: those
-	// that a reader which is a little behind catches up by.
+	// MinLogRows is how many of the newest log rows are kept regardless of age, for
+	// readers that catch up from the log.
 	MinLogRows = maxLogReads
-	// maxFailures is how many calls may fail in a row before a sweep gives up.
-	maxFailures = 5
-	// failurePause is the pause after a failed call.
-	failurePause = time.Second
+	// maxConsecutiveFailures is how many calls in a row may fail before a sweep aborts.
+	maxConsecutiveFailures = 5
+	// retryDelay is the delay after a failed call.
+	retryDelay = time.Second
 )
 
-// SweepCounts counts the rows that a Sweeper has deleted, as far as the platform has
-// acknowledged it.
+// SweepCounts counts the rows whose deletion by a Sweeper the platform has
+// acknowledged.
 type SweepCounts struct {
 	LogRows       int `json:"log_rows"`
 	Tombstones    int `json:"tombstones"`
 	Confirmations int `json:"confirmations"`
 }
 
-// Sweeper deletes rows of the table that no reader needs any more. It never
-// touches the head, a live record or a row that was rewritten since it was read.
-// Several may run at once, and an interrupted one may be started again.
+// Sweeper deletes rows of the table that no reader needs any more. It never deletes
+// the head, a live record or a row that was rewritten since it was read. Several
+// sweepers may run concurrently, and an interrupted sweep may be run again.
 type Sweeper struct {
-	table store.Table
-	pause time.Duration
-	swept SweepCounts
+	table    store.Table
+	interval time.Duration
+	counts   SweepCounts
 }
 
-// NewSweeper returns a sweeper that rests for pause after each transaction.
-func NewSweeper(table store.Table, pause time.Duration) *Sweeper {
-	return &Sweeper{table: table, pause: pause}
+// NewSweeper returns a sweeper that waits for interval after each transaction.
+func NewSweeper(table store.Table, interval time.Duration) *Sweeper {
+	return &Sweeper{table: table, interval: interval}
 }
 
 // Sweep deletes the log rows written before logBefore, then the tombstones of
-// revisions that the log no longer holds, then the confirmations written before
-// confirmedBefore. The log goes first: a reader takes its beginning for the
-// revision from which on all tombstones are still there. What was done before an
-// error stands.
+// revisions that are no longer in the log, then the confirmations written before
+// confirmedBefore. The log is trimmed first because readers assume that all
+// tombstones from the beginning of the log on are present. Rows deleted before an
+// error stay deleted.
 func (s *Sweeper) Sweep(ctx context.Context, logBefore, confirmedBefore time.Time) (SweepCounts, error) {
 	err := s.sweepAll(ctx, logBefore, confirmedBefore)
-	return s.swept, err
+	return s.counts, err
 }
 
 func (s *Sweeper) sweepAll(ctx context.Context, logBefore, confirmedBefore time.Time) error {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.sweep(ctx, LogPrefix, &s.swept.LogRows, oldLogRows(logBefore, head.Revision)); err != nil {
+	if err := s.sweepPrefix(ctx, LogPrefix, &s.counts.LogRows, oldLogRows(logBefore, head.Revision)); err != nil {
 		return err
 	}
 	begin, err := LogBegin(ctx, s.table)
@@ -69,46 +69,46 @@
 		return err
 	}
 	for _, prefix := range []string{ContractPrefix, BackendPrefix} {
-		if err := s.sweep(ctx, prefix, &s.swept.Tombstones, tombstonesBelow(begin)); err != nil {
+		if err := s.sweepPrefix(ctx, prefix, &s.counts.Tombstones, tombstonesBelow(begin)); err != nil {
 			return err
 		}
 	}
-	return s.sweep(ctx, ConfirmPrefix, &s.swept.Confirmations, confirmationsBefore(confirmedBefore))
+	return s.sweepPrefix(ctx, ConfirmPrefix, &s.counts.Confirmations, confirmationsBefore(confirmedBefore))
 }
 
-// verdict is what to do with one row.
-type verdict int
+// rowAction is what a rule decides for a row.
+type rowAction int
 
 const (
-	keepRow verdict = iota
+	keepRow rowAction = iota
 	deleteRow
-	// keepRest keeps the row and all that follow.
-	keepRest
+	// keepRemaining keeps the row and all rows after it.
+	keepRemaining
 )
 
-type judge func(store.Row) (verdict, error)
+type rowRule func(store.Row) (rowAction, error)
 
 // oldLogRows deletes from the beginning of the log up to the first row that is
-// younger or whose time cannot be read.
-func oldLogRows(before time.Time, head uint64) judge {
-	return func(row store.Row) (verdict, error) {
+// newer, is among the MinLogRows newest or has an unreadable time.
+func oldLogRows(before time.Time, head uint64) rowRule {
+	return func(row store.Row) (rowAction, error) {
 		var e LogEntry
 		if err := json.Unmarshal(row.Value, &e); err != nil {
-			return keepRest, merry.Prependf(err, "decode row %s", row.Key)
+			return keepRemaining, merry.Prependf(err, "decode row %s", row.Key)
 		}
 		t, err := time.Parse(time.RFC3339, e.Time)
 		if err != nil || !t.Before(before) || e.Revision+MinLogRows > head {
-			return keepRest, nil
+			return keepRemaining, nil
 		}
 		return deleteRow, nil
 	}
 }
 
-func tombstonesBelow(begin uint64) judge {
-	return func(row store.Row) (verdict, error) {
+func tombstonesBelow(begin uint64) rowRule {
+	return func(row store.Row) (rowAction, error) {
 		var r StoredRecord
 		if err := json.Unmarshal(row.Value, &r); err != nil {
-			return keepRest, merry.Prependf(err, "decode row %s", row.Key)
+			return keepRemaining, merry.Prependf(err, "decode row %s", row.Key)
 		}
 		if r.Deleted && r.Revision < begin {
 			return deleteRow, nil
@@ -117,11 +117,11 @@
 	}
 }
 
-func confirmationsBefore(before time.Time) judge {
-	return func(row store.Row) (verdict, error) {
+func confirmationsBefore(before time.Time) rowRule {
+	return func(row store.Row) (rowAction, error) {
 		var c Confirmation
 		if err := json.Unmarshal(row.Value, &c); err != nil {
-			return keepRest, merry.Prependf(err, "decode row %s", row.Key)
+			return keepRemaining, merry.Prependf(err, "decode row %s", row.Key)
 		}
 		if c.Time.Before(before) {
 			return deleteRow, nil
@@ -130,28 +130,28 @@
 	}
 }
 
-// sweep deletes the rows with prefix that j condemns, page by page, and adds to n.
-// A page is read again when a call failed or a row was changed meanwhile.
-func (s *Sweeper) sweep(ctx context.Context, prefix string, n *int, j judge) error {
+// sweepPrefix deletes the rows with prefix that rule selects, page by page, and adds
+// their number to n. A page is read again after a failed call or a conflict.
+func (s *Sweeper) sweepPrefix(ctx context.Context, prefix string, n *int, rule rowRule) error {
 	after, failures := "", 0
 	for {
-		p, err := s.page(ctx, prefix, after, j)
+		p, err := s.readPage(ctx, prefix, after, rule)
 		if err == nil {
-			err = s.delete(ctx, p.condemned)
+			err = s.delete(ctx, p.expired)
 		}
 		switch {
 		case err == nil:
 			failures = 0
-			*n += len(p.condemned)
+			*n += len(p.expired)
 			after = p.last
 			if p.end {
 				return nil
 			}
-		case isConflict(err): // somebody else has got on; read what is left
-			sleep(ctx, failurePause)
-		case isPassing(err) && failures < maxFailures:
+		case isConflict(err): // another process changed a row; read the page again
+			sleep(ctx, retryDelay)
+		case isTransient(err) && failures < maxConsecutiveFailures:
 			failures++
-			sleep(ctx, failurePause)
+			sleep(ctx, retryDelay)
 		default:
 			return err
 		}
@@ -161,37 +161,39 @@
 	}
 }
 
-// page is a few rows and the condemned among them.
+// page is the result of reading one page of rows: those to delete, the last key
+// decided and whether the sweep of the prefix ends here.
 type page struct {
-	condemned []store.Row
-	last      string
-	end       bool
+	expired []store.Row
+	last    string
+	end     bool
 }
 
-func (s *Sweeper) page(ctx context.Context, prefix, after string, j judge) (page, error) {
+func (s *Sweeper) readPage(ctx context.Context, prefix, after string, rule rowRule) (page, error) {
 	rows, err := s.table.List(ctx, prefix, after, SweepBatchRows)
 	p := page{end: len(rows) < SweepBatchRows}
 	if err != nil {
 		return p, err
 	}
 	for _, row := range rows {
-		v, err := j(row)
+		action, err := rule(row)
 		if err != nil {
 			return p, err
 		}
-		if v == keepRest {
+		if action == keepRemaining {
 			p.end = true
 			break
 		}
-		if v == deleteRow {
-			p.condemned = append(p.condemned, row)
+		if action == deleteRow {
+			p.expired = append(p.expired, row)
 		}
 		p.last = row.Key
 	}
 	return p, nil
 }
 
-// delete deletes rows if none was written since it was read, and rests.
+// delete deletes rows if none was written since it was read, then waits for the
+// interval.
 func (s *Sweeper) delete(ctx context.Context, rows []store.Row) error {
 	if len(rows) == 0 {
 		return nil
@@ -204,11 +206,11 @@
 	if err := s.table.Commit(ctx, t); err != nil {
 		return err
 	}
-	sleep(ctx, s.pause)
+	sleep(ctx, s.interval)
 	return nil
 }
 
-// isPassing reports whether trying again may help after err.
-func isPassing(err error) bool {
+// isTransient reports whether a retry may succeed after err.
+func isTransient(err error) bool {
 	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrIndeterminate)
 }
--- a/dissemination/sweep_test.go
+++ b/dissemination/sweep_test.go
@@ -13,13 +13,13 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// agedTable holds days of 100 changes each. On every day a server is added, and
-// the one of the day before is deleted. The first change also writes a contract.
+// agedTable returns a table with 100 changes for each of days. Every day a server is
+// added and the one of the day before is deleted. A first change writes a contract.
 func agedTable(t *testing.T, days int, hook memory.Hook) store.Table {
 	t.Helper()
-	quiet := true
+	preparing := true
 	table := memory.New(memory.Options{Hook: func(op memory.Op) error {
-		if quiet || hook == nil {
+		if preparing || hook == nil {
 			return nil
 		}
 		return hook(op)
@@ -38,7 +38,7 @@
 		}
 		time.Sleep(24 * time.Hour)
 	}
-	quiet = false
+	preparing = false
 	return table
 }
 
@@ -61,11 +61,11 @@
 		table := agedTable(t, 5, nil)
 		head, version, err := ReadHead(t.Context(), table)
 		assert.NilError(t, err)
-		old, fresh := NewState(), NewState()
+		old, empty := NewState(), NewState()
 		reader := NewReader(table, old)
 		assert.NilError(t, reader.Poll(t.Context()))
 		assert.Equal(t, old.Head(), uint64(501))
-		before := live(old)
+		before := liveRevisions(old)
 
 		swept, err := NewSweeper(table, time.Second).Sweep(t.Context(), time.Now().Add(-60*time.Hour), time.Now())
 		assert.NilError(t, err)
@@ -75,17 +75,17 @@
 		assert.Equal(t, now, head)
 		assert.Equal(t, nowVersion, version)
 
-		assert.NilError(t, NewReader(table, fresh).Poll(t.Context()))
-		assert.DeepEqual(t, live(fresh), before)
-		assert.Equal(t, fresh.Since(300).Full, true)
-		assert.Equal(t, fresh.Since(301).Full, false)
-		// A process that knows a server whose tombstone is gone forgets it all the same.
-		late := NewState()
-		applyTo(t, late, 250, rec("backends/vm-1", 102))
-		assert.NilError(t, NewReader(table, late).Poll(t.Context()))
-		assert.DeepEqual(t, live(late), before)
+		assert.NilError(t, NewReader(table, empty).Poll(t.Context()))
+		assert.DeepEqual(t, liveRevisions(empty), before)
+		assert.Equal(t, empty.Since(300).Full, true)
+		assert.Equal(t, empty.Since(301).Full, false)
+		// A process drops a server that it knows even if the tombstone was deleted.
+		behind := NewState()
+		applyTo(t, behind, 250, rec("backends/vm-1", 102))
+		assert.NilError(t, NewReader(table, behind).Poll(t.Context()))
+		assert.DeepEqual(t, liveRevisions(behind), before)
 
-		// The newest rows of the log stay however old they are.
+		// The newest rows of the log are kept regardless of age.
 		_, err = NewSweeper(table, time.Second).Sweep(t.Context(), time.Now(), time.Now())
 		assert.NilError(t, err)
 		assert.Equal(t, rows(t, table, LogPrefix), MinLogRows)
@@ -110,8 +110,8 @@
 		hook memory.Hook
 	}{
 		{"unavailable", everyThird(memory.Before, store.ErrUnavailable)},
-		{"answer lost before the effect", everyThird(memory.Before, store.ErrIndeterminate)},
-		{"answer lost after the effect", everyThird(memory.After, store.ErrIndeterminate)},
+		{"response lost before the effect", everyThird(memory.Before, store.ErrIndeterminate)},
+		{"response lost after the effect", everyThird(memory.After, store.ErrIndeterminate)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -149,8 +149,8 @@
 	})
 }
 
-// A tombstone row written anew between its reading and its deletion stays.
-func TestSweepSparesARecordThatReturns(t *testing.T) {
+// A tombstone row that is rewritten between its read and its deletion is kept.
+func TestSweepKeepsRecreatedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var table store.Table
 		returned := false
@@ -168,13 +168,13 @@
 		assert.Equal(t, swept.Tombstones, 2)
 		s := NewState()
 		assert.NilError(t, NewReader(table, s).Poll(t.Context()))
-		assert.Equal(t, live(s)["backends/vm--1"], uint64(502))
+		assert.Equal(t, liveRevisions(s)["backends/vm--1"], uint64(502))
 	})
 }
 
-// A sweep in the middle of a reading of all rows does not make the reader believe
-// that it knows of deletions whose rows are gone.
-func TestSweepWhileAllRowsAreRead(t *testing.T) {
+// A sweep in the middle of a snapshot does not make the reader claim deletions whose
+// tombstones are already deleted.
+func TestSweepDuringSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var table store.Table
 		swept := false
--- a/dissemination/writer.go
+++ b/dissemination/writer.go
@@ -13,26 +13,26 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// Pauses between attempts to settle a write whose answer was lost.
+// Bounds of the backoff between attempts to resolve a write whose response was lost.
 const (
-	settlePauseFirst = 50 * time.Millisecond
-	settlePauseMost  = 2 * time.Second
+	minSettleBackoff = 50 * time.Millisecond
+	maxSettleBackoff = 2 * time.Second
 )
 
 // ErrNoChanges means that Commit was called without changes.
 var ErrNoChanges = merry.Sentinel("no changes to commit")
 
-// Change is the new state of one contract or backend row.
+// Change is the new value of a contract or backend row.
 type Change struct {
-	// Body is the record as YAML. A deleted record keeps its row, with an empty
-	// body, so that its revision is never lost.
+	// Body is the record as YAML. A deleted record keeps its row as a tombstone with
+	// an empty body, so that its revision is not lost.
 	Body    string
 	Deleted bool
 }
 
-// Writer commits changes of the configuration. Every change is one transaction
-// that holds only if the head is still the one that the operator saw. It is safe
-// for concurrent use.
+// Writer commits changes of the configuration with optimistic concurrency control:
+// every change is one transaction that fails if the head is no longer the one that
+// the operator saw. It is safe for concurrent use.
 type Writer struct {
 	table    store.Table
 	changeID func() string
@@ -40,15 +40,15 @@
 }
 
 // NewWriter returns a writer to table. changeID returns a new unique id for each
-// change; now gives the time written to the log.
+// change; now returns the time that is written to the log.
 func NewWriter(table store.Table, changeID func() string, now func() time.Time) *Writer {
 	return &Writer{table: table, changeID: changeID, now: now}
 }
 
 // Commit writes changes, by row key, as the revision after expectHead and returns
-// that revision. The error is a *ConflictError when another change was committed
-// first, an *UnknownOutcomeError when ctx ended before a lost answer was settled,
-// and otherwise means that nothing was written.
+// that revision. The error is a *ConflictError if another change was committed
+// first and an *UnknownOutcomeError if the response was lost and ctx ended before
+// the outcome was resolved. Any other error means that nothing was written.
 func (w *Writer) Commit(ctx context.Context, author string, expectHead uint64, changes map[string]Change) (uint64, error) {
 	if len(changes) == 0 {
 		return 0, ErrNoChanges
@@ -60,7 +60,7 @@
 	if head.Revision != expectHead {
 		return 0, w.Conflict(ctx, expectHead, changes)
 	}
-	entry := w.entry(author, expectHead+1, changes)
+	entry := w.newLogEntry(author, expectHead+1, changes)
 	txn, err := transaction(entry, version)
 	if err != nil {
 		return 0, err
@@ -74,19 +74,19 @@
 		return entry.Revision, nil
 	case isConflict(err):
 		return 0, w.Conflict(ctx, expectHead, changes)
-	case isWithoutEffect(err):
+	case hadNoEffect(err):
 		return 0, merry.Prepend(err, "commit")
 	default:
-		return w.settle(ctx, entry, txn, changes, err)
+		return w.resolveOutcome(ctx, entry, txn, changes, err)
 	}
 }
 
-// settle finds out what became of a transaction whose answer was lost. The log
-// row of a revision is written once, so that reading it decides. While there is
-// none, the transaction may still be on its way; sending the same one again is
-// safe, since at most one of the two passes the check of the head.
-func (w *Writer) settle(ctx context.Context, entry LogEntry, txn store.Txn, changes map[string]Change, cause error) (uint64, error) {
-	for pause := settlePauseFirst; ; pause = min(2*pause, settlePauseMost) {
+// resolveOutcome determines whether a transaction whose response was lost was
+// committed. The log row of a revision is written only once, so its change id is
+// decisive. While there is no such row, the transaction may still be in flight;
+// sending it again is safe, since at most one of the two passes the check of the head.
+func (w *Writer) resolveOutcome(ctx context.Context, entry LogEntry, txn store.Txn, changes map[string]Change, cause error) (uint64, error) {
+	for backoff := minSettleBackoff; ; backoff = min(2*backoff, maxSettleBackoff) {
 		found, err := ReadLog(ctx, w.table, entry.Revision)
 		switch {
 		case err == nil && found.ChangeID == entry.ChangeID:
@@ -98,13 +98,13 @@
 				return entry.Revision, nil
 			}
 		}
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, backoff) {
 			return 0, &UnknownOutcomeError{Revision: entry.Revision, ChangeID: entry.ChangeID, Cause: cause}
 		}
 	}
 }
 
-func (w *Writer) entry(author string, revision uint64, changes map[string]Change) LogEntry {
+func (w *Writer) newLogEntry(author string, revision uint64, changes map[string]Change) LogEntry {
 	e := LogEntry{
 		Revision: revision,
 		ChangeID: w.changeID(),
@@ -118,10 +118,10 @@
 	return e
 }
 
-// transaction builds the one transaction that commits e over a head row at version.
+// transaction builds the transaction that commits e if the head row is at version.
 func transaction(e LogEntry, version uint64) (store.Txn, error) {
 	logKey := LogKey(e.Revision)
-	// The check of the log row refuses to write over history if the head row was ever set back.
+	// The check of the log row prevents overwriting history if the head row was ever reset.
 	t := store.Txn{Checks: []store.Check{{Key: HeadKey, Version: version}, {Key: logKey, Version: 0}}}
 	if err := addWrite(&t, HeadKey, Head{Revision: e.Revision, ChangeID: e.ChangeID}); err != nil {
 		return t, err
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// ReadHead returns the head and the version of its row; both are zero before the first change.
+// ReadHead returns the head and the version of its row. Both are zero before the
+// first change.
 func ReadHead(ctx context.Context, table store.Table) (Head, uint64, error) {
 	row, err := table.Get(ctx, HeadKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -180,8 +181,8 @@
 	return errors.As(err, &c)
 }
 
-// isWithoutEffect reports whether a failed commit is known to have had no effect.
-func isWithoutEffect(err error) bool {
+// hadNoEffect reports whether a failed commit is known to have had no effect.
+func hadNoEffect(err error) bool {
 	if errors.Is(err, store.ErrIndeterminate) {
 		return false
 	}
--- a/dissemination/writer_test.go
+++ b/dissemination/writer_test.go
@@ -17,9 +17,9 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// tinyTable is a table with a hook before each commit. The hook returns the
-// error to give, and whether the commit takes effect all the same.
-type tinyTable struct {
+// fakeTable is a table with a hook before each commit. The hook returns the error of
+// the commit and whether it takes effect regardless.
+type fakeTable struct {
 	mu   sync.Mutex
 	rows map[string]store.Row
 	hook func(n int) (effect bool, err error)
@@ -27,7 +27,7 @@
 	n    int
 }
 
-func (t *tinyTable) Get(_ context.Context, key string) (store.Row, error) {
+func (t *fakeTable) Get(_ context.Context, key string) (store.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down != nil && t.down() {
@@ -40,7 +40,7 @@
 	return r, nil
 }
 
-func (t *tinyTable) List(_ context.Context, prefix, after string, limit int) ([]store.Row, error) {
+func (t *fakeTable) List(_ context.Context, prefix, after string, limit int) ([]store.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []store.Row
@@ -53,7 +53,7 @@
 	return out[:min(limit, len(out))], nil
 }
 
-func (t *tinyTable) Commit(_ context.Context, txn store.Txn) error {
+func (t *fakeTable) Commit(_ context.Context, txn store.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.n++
@@ -75,11 +75,11 @@
 	return err
 }
 
-func newTable() *tinyTable {
-	return &tinyTable{rows: make(map[string]store.Row)}
+func newTable() *fakeTable {
+	return &fakeTable{rows: make(map[string]store.Row)}
 }
 
-func newWriter(t *tinyTable) *Writer {
+func newWriter(t *fakeTable) *Writer {
 	n := 0
 	return NewWriter(t, func() string { n++; return fmt.Sprintf("change-%p-%d", &n, n) }, time.Now)
 }
@@ -109,7 +109,7 @@
 func TestTwoOperatorsRace(t *testing.T) {
 	table := newTable()
 	ctx := context.Background()
-	// The second operator commits between the first one's reading of the head and its commit.
+	// The second operator commits after the first has read the head and before its commit.
 	table.hook = func(n int) (bool, error) {
 		if n == 1 {
 			table.hook = nil
@@ -130,7 +130,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	lost := store.ErrIndeterminate
 	for _, tc := range []struct {
 		name    string
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestLostAnswerThenAnotherWins(t *testing.T) {
+func TestLostResponseThenConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newTable()
 		table.hook = func(n int) (bool, error) {
