--- a/store/client.go
+++ b/store/client.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// NewClient returns the HTTP client for the platform. With conf, which may be
-// nil, an https platform is verified by the authority and names of the settings and
-// is shown this process's certificate.
+// NewClient returns the HTTP client for the platform. With conf, which may be nil,
+// connections use mutual TLS: the platform is verified against the authority and
+// names in the settings, and this process presents its certificate.
 func NewClient(conf *tls.Config) *http.Client {
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: conf, ForceAttemptHTTP2: true}}
 }
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -14,8 +14,8 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-func TestPlatformClientIsMutual(t *testing.T) {
-	authority, stranger := pathtest.NewAuthority(t), pathtest.NewAuthority(t)
+func TestPlatformClientUsesMutualTLS(t *testing.T) {
+	authority, otherAuthority := pathtest.NewAuthority(t), pathtest.NewAuthority(t)
 	server, err := authority.Issue("platform", time.Hour, "entry").Config()
 	assert.NilError(t, err)
 	lis, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -32,7 +32,7 @@
 		{"entry", authority, "platform", true},
 		{"entry", authority, "other", false},
 		{"sidecar", authority, "platform", false},
-		{"entry", stranger, "platform", false},
+		{"entry", otherAuthority, "platform", false},
 	} {
 		conf, err := c.from.Issue(c.name, time.Hour, c.peer).Config()
 		assert.NilError(t, err)
--- a/store/http.go
+++ b/store/http.go
@@ -21,15 +21,15 @@
 // Option changes a setting of an HTTP client.
 type Option func(*httpClient)
 
-// Timeout bounds each call, from its start to the end of the answer. For the
-// stream of weights it bounds the wait for the first byte and for each next one.
+// Timeout bounds each call, from its start to the end of the response. For a stream
+// of weights it bounds the wait for the first byte and for each further read.
 func Timeout(d time.Duration) Option {
 	return func(c *httpClient) { c.timeout = d }
 }
 
-// httpClient is shared by the clients of the ports. A call that times out
-// closes the idle connections: one silent connection is a sign that the path
-// has lost track of the others as well, and new ones may work.
+// httpClient implements the calls of all ports. A call that times out closes the
+// idle connections: one unresponsive connection suggests that the network path has
+// lost the state of the others as well, and new connections may work.
 type httpClient struct {
 	base    string
 	hc      *http.Client
@@ -53,27 +53,27 @@
 	path   string
 	query  url.Values
 	body   []byte
-	// write says that a lost answer leaves the effect unknown.
+	// write means that the effect is unknown if the response is lost.
 	write bool
 }
 
-// do sends c and returns the body of a successful answer.
+// do sends c and returns the body of a successful response.
 func (h *httpClient) do(ctx context.Context, c call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	resp, sent, err := h.send(ctx, c)
 	if err != nil {
-		return nil, h.lost(ctx, c.write && sent, err)
+		return nil, h.transportError(ctx, c.write && sent, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, h.lost(ctx, c.write, err)
+		return nil, h.transportError(ctx, c.write, err)
 	}
 	return body, decodeStatus(resp.StatusCode, body, c.write)
 }
 
-// send reports with sent whether a connection was there to take the request.
+// send sends c; sent reports whether there was a connection for the request.
 // Without one the request can't have reached the platform.
 func (h *httpClient) send(ctx context.Context, c call) (resp *http.Response, sent bool, err error) {
 	var connected atomic.Bool
@@ -87,8 +87,8 @@
 	return resp, connected.Load(), err
 }
 
-// lost is the error of a call whose answer did not arrive whole.
-func (h *httpClient) lost(ctx context.Context, mayHaveEffect bool, cause error) error {
+// transportError returns the error of a call without a complete response.
+func (h *httpClient) transportError(ctx context.Context, mayHaveEffect bool, cause error) error {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		h.hc.CloseIdleConnections()
 	}
@@ -103,32 +103,32 @@
 	return merry.Wrap(kind, merry.WithCause(cause), merry.AppendMessage(cause.Error()), merry.NoCaptureStack())
 }
 
-// decodeStatus turns the status of an answer into an error of the port.
+// decodeStatus converts the status of a response to an error of the port.
 func decodeStatus(status int, body []byte, write bool) error {
 	if status/100 == 2 {
 		return nil
 	}
 	var a ErrorResponse
-	bad := json.Unmarshal(body, &a)
+	decodeErr := json.Unmarshal(body, &a)
 	switch {
-	case status == http.StatusConflict && bad == nil && a.Conflict != nil:
+	case status == http.StatusConflict && decodeErr == nil && a.Conflict != nil:
 		return &ConflictError{Key: a.Conflict.Key, Want: a.Conflict.Want, Have: a.Conflict.Have}
 	case status == http.StatusNotFound:
-		return answered(ErrNotFound, a)
+		return responseError(ErrNotFound, a)
 	case status == http.StatusBadRequest:
-		return answered(ErrInvalid, a)
+		return responseError(ErrInvalid, a)
 	case status == http.StatusServiceUnavailable || !write:
-		return answered(ErrUnavailable, a)
+		return responseError(ErrUnavailable, a)
 	default:
-		return answered(ErrIndeterminate, a)
+		return responseError(ErrIndeterminate, a)
 	}
 }
 
-func answered(kind error, a ErrorResponse) error {
+func responseError(kind error, a ErrorResponse) error {
 	return merry.Append(kind, a.Message, merry.NoCaptureStack())
 }
 
-// read sends a call without effect and decodes its answer into answer.
+// read sends a call without effect and decodes its response into out.
 func (h *httpClient) read(ctx context.Context, path string, q url.Values, answer any) error {
 	body, err := h.do(ctx, call{method: http.MethodGet, path: path, query: q})
 	if err != nil {
--- a/store/http_ports.go
+++ b/store/http_ports.go
@@ -12,7 +12,7 @@
 type httpTable struct{ h *httpClient }
 
 // NewHTTPTable returns a client of the table at baseURL (scheme, host and port).
-// A nil hc means a client of its own. The client is safe for concurrent use.
+// If hc is nil, the table uses its own HTTP client. It is safe for concurrent use.
 func NewHTTPTable(baseURL string, hc *http.Client, opts ...Option) Table {
 	return httpTable{newHTTPClient(baseURL, hc, opts)}
 }
@@ -60,22 +60,22 @@
 
 // Put implements Objects.
 func (o httpObjects) Put(ctx context.Context, key string, body []byte) error {
-	_, err := o.one(ctx, call{method: http.MethodPut, body: body, write: true}, key)
+	_, err := o.objectCall(ctx, call{method: http.MethodPut, body: body, write: true}, key)
 	return err
 }
 
 // Get implements Objects.
 func (o httpObjects) Get(ctx context.Context, key string) ([]byte, error) {
-	return o.one(ctx, call{method: http.MethodGet}, key)
+	return o.objectCall(ctx, call{method: http.MethodGet}, key)
 }
 
-// Delete implements Objects. Deleting what is not there succeeds.
+// Delete implements Objects. Deleting an absent object succeeds.
 func (o httpObjects) Delete(ctx context.Context, key string) error {
-	_, err := o.one(ctx, call{method: http.MethodDelete, write: true}, key)
+	_, err := o.objectCall(ctx, call{method: http.MethodDelete, write: true}, key)
 	return err
 }
 
-func (o httpObjects) one(ctx context.Context, c call, key string) ([]byte, error) {
+func (o httpObjects) objectCall(ctx context.Context, c call, key string) ([]byte, error) {
 	if err := ValidateKey(key); err != nil {
 		return nil, err
 	}
--- a/store/http_test.go
+++ b/store/http_test.go
@@ -12,17 +12,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// transport gives one canned answer and counts the closings of idle connections.
-type transport struct {
+// fakeTransport returns a canned response and counts the calls of
+// CloseIdleConnections.
+type fakeTransport struct {
 	connected bool
 	status    int
 	body      string
-	cut       bool // the body breaks off
+	truncated bool // the connection breaks within the body
 	err       error
 	closed    int
 }
 
-func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if trace := httptrace.ContextClientTrace(r.Context()); t.connected {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
@@ -30,41 +31,41 @@
 		return nil, t.err
 	}
 	body := io.Reader(strings.NewReader(t.body))
-	if t.cut {
-		body = io.MultiReader(body, failing{})
+	if t.truncated {
+		body = io.MultiReader(body, truncatedBody{})
 	}
 	return &http.Response{StatusCode: t.status, Body: io.NopCloser(body)}, nil
 }
 
-func (t *transport) CloseIdleConnections() { t.closed++ }
+func (t *fakeTransport) CloseIdleConnections() { t.closed++ }
 
-// failing is the rest of a body that breaks off.
-type failing struct{}
+// truncatedBody is a reader that fails where the connection breaks.
+type truncatedBody struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncatedBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestErrorMapping: no answer before a connection is no effect; afterwards the
-// effect of a write is unknown, unless the answer itself tells.
+// TestErrorMapping checks that a call without a connection has no effect, and that
+// the effect of a write on a connection is unknown unless the response states it.
 func TestErrorMapping(t *testing.T) {
 	broken := errors.New("broken")
 	conflict := `{"message":"m","conflict":{"key":"k","want":1,"have":2}}`
 	cases := []struct {
 		name        string
-		transport   transport
+		transport   fakeTransport
 		read, write error
 	}{
-		{"no connection", transport{err: broken}, ErrUnavailable, ErrUnavailable},
-		{"answer lost", transport{err: broken, connected: true}, ErrUnavailable, ErrIndeterminate},
-		{"body lost", transport{status: 200, body: `{`, cut: true}, ErrUnavailable, ErrIndeterminate},
-		{"conflict cut off", transport{status: 409, body: `{`, cut: true}, ErrUnavailable, ErrIndeterminate},
-		{"conflict without detail", transport{status: 409, body: "{}"}, ErrUnavailable, ErrIndeterminate},
-		{"refused", transport{status: 503, body: "{}"}, ErrUnavailable, ErrUnavailable},
-		{"not found", transport{status: 404, body: "no JSON"}, ErrNotFound, ErrNotFound},
-		{"invalid", transport{status: 400, body: "{}"}, ErrInvalid, ErrInvalid},
-		{"server error", transport{status: 500, body: "{}"}, ErrUnavailable, ErrIndeterminate},
-		{"gateway timeout", transport{status: 504, body: "<html>"}, ErrUnavailable, ErrIndeterminate},
-		{"redirect", transport{status: 304, body: ""}, ErrUnavailable, ErrIndeterminate},
-		{"too many calls", transport{status: 429, body: "{}"}, ErrUnavailable, ErrIndeterminate},
+		{"no connection", fakeTransport{err: broken}, ErrUnavailable, ErrUnavailable},
+		{"response lost", fakeTransport{err: broken, connected: true}, ErrUnavailable, ErrIndeterminate},
+		{"body lost", fakeTransport{status: 200, body: `{`, truncated: true}, ErrUnavailable, ErrIndeterminate},
+		{"conflict cut off", fakeTransport{status: 409, body: `{`, truncated: true}, ErrUnavailable, ErrIndeterminate},
+		{"conflict without detail", fakeTransport{status: 409, body: "{}"}, ErrUnavailable, ErrIndeterminate},
+		{"refused", fakeTransport{status: 503, body: "{}"}, ErrUnavailable, ErrUnavailable},
+		{"not found", fakeTransport{status: 404, body: "no JSON"}, ErrNotFound, ErrNotFound},
+		{"invalid", fakeTransport{status: 400, body: "{}"}, ErrInvalid, ErrInvalid},
+		{"server error", fakeTransport{status: 500, body: "{}"}, ErrUnavailable, ErrIndeterminate},
+		{"gateway timeout", fakeTransport{status: 504, body: "<html>"}, ErrUnavailable, ErrIndeterminate},
+		{"redirect", fakeTransport{status: 304, body: ""}, ErrUnavailable, ErrIndeterminate},
+		{"too many calls", fakeTransport{status: 429, body: "{}"}, ErrUnavailable, ErrIndeterminate},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,15 +77,16 @@
 			assert.Assert(t, c.transport.err == nil || errors.Is(err, c.transport.err))
 		})
 	}
-	tr := &transport{status: 409, body: conflict}
+	tr := &fakeTransport{status: 409, body: conflict}
 	err := NewHTTPTable("http://h", &http.Client{Transport: tr}).Commit(t.Context(), Txn{Checks: []Check{{Key: "k"}}})
 	assert.DeepEqual(t, err, &ConflictError{Key: "k", Want: 1, Have: 2})
 }
 
-// TestTimeoutDropsIdleConnections: one silent connection casts doubt on the rest.
+// TestTimeoutDropsIdleConnections checks that a timeout of one connection closes the
+// idle ones, which may be dead as well.
 func TestTimeoutDropsIdleConnections(t *testing.T) {
 	for err, want := range map[error]int{context.DeadlineExceeded: 1, io.EOF: 0} {
-		tr := &transport{connected: true, err: err}
+		tr := &fakeTransport{connected: true, err: err}
 		timeout := DefaultTimeout
 		if err == context.DeadlineExceeded {
 			timeout = 0
@@ -96,8 +98,8 @@
 	}
 }
 
-func TestWeightsEndEarly(t *testing.T) {
-	tr := &transport{status: 200, body: "half", cut: true}
+func TestTruncatedWeightStream(t *testing.T) {
+	tr := &fakeTransport{status: 200, body: "half", truncated: true}
 	r, err := NewHTTPWeights("http://h", &http.Client{Transport: tr}).Open(t.Context(), "m", "1")
 	assert.NilError(t, err)
 	got, err := io.ReadAll(r)
--- a/store/http_weights.go
+++ b/store/http_weights.go
@@ -15,7 +15,7 @@
 	return httpWeights{newHTTPClient(baseURL, hc, opts)}
 }
 
-// Open implements Weights. A stream that ends early or stays silent for the
+// Open implements Weights. A stream that ends early or delivers no data for the
 // client's timeout fails with ErrUnavailable. The caller closes the stream.
 func (w httpWeights) Open(ctx context.Context, model, version string) (io.ReadCloser, error) {
 	if model == "" || version == "" {
@@ -28,7 +28,7 @@
 	watchdog.Stop()
 	if err != nil {
 		cancel(nil)
-		return nil, w.h.lost(ctx, false, err)
+		return nil, w.h.transportError(ctx, false, err)
 	}
 	s := &weightStream{ctx: ctx, cancel: cancel, body: resp.Body, watchdog: watchdog, timeout: w.h.timeout}
 	if resp.StatusCode == http.StatusOK {
@@ -42,8 +42,8 @@
 	return nil, decodeStatus(resp.StatusCode, body, false)
 }
 
-// weightStream ends its request when no byte comes for timeout. The watchdog
-// runs only while a read waits, so a slow reader doesn't trip it.
+// weightStream cancels its request when no data arrives for timeout. The watchdog
+// runs only while a read is blocked, so a slow consumer doesn't trigger it.
 type weightStream struct {
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -1,6 +1,6 @@
-// Package memory is a platform held in the memory of one process, for unit
-// tests and as the store of the platform stand-in. Every port is safe for
-// concurrent use; a hook injects faults.
+// Package memory implements the platform in the memory of one process, for unit
+// tests and as the storage of the platform stand-in. Every port is safe for
+// concurrent use. A hook injects faults.
 package memory
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// Port names a port of the platform.
+// Port identifies a port of the platform.
 type Port string
 
 // The ports.
@@ -24,20 +24,20 @@
 	PortWeights Port = "weights"
 )
 
-// Phase tells whether a hook runs before or after the effect of a call.
+// Phase is whether a hook runs before or after the effect of a call.
 type Phase int
 
 // Phases of a call.
 const (
-	// Before: an error of the hook leaves the call without effect.
+	// Before: if the hook returns an error, the call has no effect.
 	Before Phase = iota
-	// After: the call took effect; an error of the hook replaces its answer.
+	// After: the call took effect; an error of the hook replaces its result.
 	After
 )
 
-// Op describes a call to a hook. Key is the first key that the call names.
+// Op describes a call for a hook. Key is the first key in its arguments.
 type Op struct {
-	// Context is that of the call, for hooks that hold it until its deadline.
+	// Context is the context of the call, for hooks that block until it ends.
 	Context context.Context
 	Port    Port
 	Name    string
@@ -46,8 +46,8 @@
 	Phase   Phase
 }
 
-// Hook is called twice for each call, without locks held, and may block. After
-// is left out when the call failed by itself.
+// Hook is called in both phases of each call, without locks held, and may block. The
+// After phase is skipped if the call itself failed.
 type Hook func(op Op) error
 
 // Options of a Platform; the zero value has no hook, no lag and the system's clock.
@@ -55,11 +55,11 @@
 	Hook Hook
 	// Now is the clock of the list of VMs.
 	Now func() time.Time
-	// VMLag is how long the list of VMs hides a change.
+	// VMLag is the delay until the list of VMs shows a change.
 	VMLag time.Duration
 }
 
-// Platform holds the four ports.
+// Platform is an in-memory platform with four ports.
 type Platform struct {
 	opts    Options
 	table   table
@@ -102,7 +102,7 @@
 	if err := ctx.Err(); err != nil {
 		return merry.Wrap(store.ErrUnavailable, merry.WithCause(err), merry.NoCaptureStack())
 	}
-	if err := locked(mu, effect); err != nil {
+	if err := withLock(mu, effect); err != nil {
 		return err
 	}
 	return p.hook(op, After)
@@ -116,7 +116,7 @@
 	return p.opts.Hook(op)
 }
 
-func locked(mu sync.Locker, f func() error) error {
+func withLock(mu sync.Locker, f func() error) error {
 	mu.Lock()
 	defer mu.Unlock()
 	return f()
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -13,16 +13,16 @@
 )
 
 func TestContract(t *testing.T) {
-	fresh := func() *memory.Platform { return memory.New(memory.Options{}) }
+	newPlatform := func() *memory.Platform { return memory.New(memory.Options{}) }
 	t.Run("table", func(t *testing.T) {
-		storetest.TestTable(t, func(*testing.T) store.Table { return fresh().Table() })
+		storetest.TestTable(t, func(*testing.T) store.Table { return newPlatform().Table() })
 	})
 	t.Run("objects", func(t *testing.T) {
-		storetest.TestObjects(t, func(*testing.T) store.Objects { return fresh().Objects() })
+		storetest.TestObjects(t, func(*testing.T) store.Objects { return newPlatform().Objects() })
 	})
 	t.Run("vms", func(t *testing.T) {
 		storetest.TestVMs(t, func(*testing.T) storetest.VMList {
-			p := fresh()
+			p := newPlatform()
 			return storetest.VMList{
 				VMs:    p.VMs(),
 				Set:    p.SetVM,
@@ -33,7 +33,7 @@
 	})
 	t.Run("weights", func(t *testing.T) {
 		storetest.TestWeights(t, func(*testing.T) storetest.WeightStore {
-			p := fresh()
+			p := newPlatform()
 			return storetest.WeightStore{Weights: p.Weights(), Put: func(model, version string, body []byte) error {
 				p.SetWeights(model, version, body)
 				return nil
@@ -43,12 +43,12 @@
 	t.Run("faults", func(t *testing.T) { storetest.TestFaults(t, faulty) })
 }
 
-// fault is a hook that makes the calls of one side of a port fail.
+// fault is a hook that makes the reads or the writes of a port fail.
 type fault struct {
-	port  memory.Port
-	write bool
-	kind  storetest.Fault
-	held  chan struct{}
+	port    memory.Port
+	write   bool
+	kind    storetest.Fault
+	blocked chan struct{}
 }
 
 func (f *fault) hook(op memory.Op) error {
@@ -60,7 +60,7 @@
 		return nil
 	}
 	if f.kind == storetest.Hang || f.kind == storetest.HangAfter {
-		close(f.held)
+		close(f.blocked)
 		<-op.Context.Done()
 	}
 	if op.Write && after {
@@ -70,10 +70,10 @@
 }
 
 func faulty(*testing.T) storetest.FaultyPlatform {
-	var now atomic.Pointer[fault]
-	held := make(chan struct{})
+	var injected atomic.Pointer[fault]
+	blocked := make(chan struct{})
 	p := memory.New(memory.Options{Hook: func(op memory.Op) error {
-		if f := now.Load(); f != nil {
+		if f := injected.Load(); f != nil {
 			return f.hook(op)
 		}
 		return nil
@@ -82,10 +82,10 @@
 	return storetest.FaultyPlatform{
 		Table: p.Table(), Objects: p.Objects(), VMs: p.VMs(), Weights: p.Weights(),
 		Inject: func(port memory.Port, write bool, kind storetest.Fault) {
-			now.Store(&fault{port: port, write: write, kind: kind, held: held})
+			injected.Store(&fault{port: port, write: write, kind: kind, blocked: blocked})
 		},
-		Clear:        func() { now.Store(nil) },
-		AwaitBlocked: func() { <-held },
+		Clear:        func() { injected.Store(nil) },
+		AwaitBlocked: func() { <-blocked },
 	}
 }
 
--- a/store/memory/objects.go
+++ b/store/memory/objects.go
@@ -50,7 +50,7 @@
 	return body, nil
 }
 
-// Delete implements store.Objects. Deleting what is not there succeeds.
+// Delete implements store.Objects. Deleting an absent object succeeds.
 func (o *objects) Delete(ctx context.Context, key string) error {
 	if err := store.ValidateKey(key); err != nil {
 		return err
@@ -62,7 +62,7 @@
 	})
 }
 
-// List implements store.Objects. Keys come sorted.
+// List implements store.Objects. The keys are sorted.
 func (o *objects) List(ctx context.Context, prefix string) ([]string, error) {
 	var keys []string
 	op := Op{Port: PortObjects, Name: "list", Key: prefix}
--- a/store/memory/table.go
+++ b/store/memory/table.go
@@ -10,19 +10,19 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// table keeps the last version of a deleted row, so that a row created again
-// goes on from there: a deletion counts as a write. A version seen once is
-// never given to another value of the same key. Deleted keys are kept for good.
+// table retains the version of a deleted row, which counts the deletion as a write,
+// so that a recreated row continues from there and no version of a key is ever
+// reused for another value. Deleted keys are retained forever.
 type table struct {
-	p    *Platform
-	mu   sync.RWMutex
-	rows map[string]store.Row
-	keys []string // of rows, sorted
-	gone map[string]uint64
+	p               *Platform
+	mu              sync.RWMutex
+	rows            map[string]store.Row
+	keys            []string // of rows, sorted
+	deletedVersions map[string]uint64
 }
 
 func newTable(p *Platform) table {
-	return table{p: p, rows: make(map[string]store.Row), gone: make(map[string]uint64)}
+	return table{p: p, rows: make(map[string]store.Row), deletedVersions: make(map[string]uint64)}
 }
 
 // Get implements store.Table.
@@ -65,7 +65,7 @@
 
 func (t *table) page(prefix, after string, limit int) []store.Row {
 	var rows []store.Row
-	for _, k := range t.keys[t.start(prefix, after):] {
+	for _, k := range t.keys[t.startIndex(prefix, after):] {
 		if len(rows) == limit || !strings.HasPrefix(k, prefix) {
 			break
 		}
@@ -74,9 +74,9 @@
 	return rows
 }
 
-// start is the position of the first key that is not below prefix and is
-// greater than after. An empty after bounds nothing.
-func (t *table) start(prefix, after string) int {
+// startIndex returns the index of the first key that is not below prefix and is
+// greater than after. An empty after is no bound.
+func (t *table) startIndex(prefix, after string) int {
 	i, _ := slices.BinarySearch(t.keys, prefix)
 	if after == "" {
 		return i
@@ -132,8 +132,8 @@
 func (t *table) put(key string, value []byte) {
 	row, ok := t.rows[key]
 	if !ok {
-		row.Version = t.gone[key]
-		delete(t.gone, key)
+		row.Version = t.deletedVersions[key]
+		delete(t.deletedVersions, key)
 		i, _ := slices.BinarySearch(t.keys, key)
 		t.keys = slices.Insert(t.keys, i, key)
 	}
@@ -145,7 +145,7 @@
 	if !ok {
 		return
 	}
-	t.gone[key] = row.Version + 1
+	t.deletedVersions[key] = row.Version + 1
 	delete(t.rows, key)
 	i, _ := slices.BinarySearch(t.keys, key)
 	t.keys = slices.Delete(t.keys, i, i+1)
--- a/store/memory/vms.go
+++ b/store/memory/vms.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// vmChange is a change of the list that shows once it is as old as the lag.
+// vmChange is a change of the list that becomes visible after the lag.
 type vmChange struct {
 	at     time.Time
 	vm     store.VM
@@ -21,7 +21,7 @@
 	p       *Platform
 	mu      sync.Mutex
 	lag     time.Duration
-	shown   []store.VM // sorted by ID
+	visible []store.VM // sorted by ID
 	pending []vmChange // oldest first
 }
 
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// RemoveVM takes a VM from the list after the lag.
+// RemoveVM removes a VM; the list shows it until the lag has passed.
 func (p *Platform) RemoveVM(id string) {
 	p.vms.add(vmChange{at: p.opts.Now(), vm: store.VM{ID: id}, remove: true})
 }
 
-// SetVMLag changes the lag of the list, also for changes not yet shown.
+// SetVMLag changes the lag of the list, also for changes that are not yet visible.
 func (p *Platform) SetVMLag(lag time.Duration) {
 	p.vms.mu.Lock()
 	defer p.vms.mu.Unlock()
@@ -55,13 +55,13 @@
 	v.pending = append(v.pending, c)
 }
 
-// List implements store.VMs. VMs come sorted by ID; the age is the lag.
+// List implements store.VMs. The VMs are sorted by ID; the age is the lag.
 func (v *vms) List(ctx context.Context) ([]store.VM, time.Duration, error) {
 	var list []store.VM
 	var age time.Duration
 	err := v.p.call(ctx, Op{Port: PortVMs, Name: "list"}, &v.mu, func() error {
-		v.show(v.p.opts.Now())
-		list = slices.Clone(v.shown)
+		v.applyDue(v.p.opts.Now())
+		list = slices.Clone(v.visible)
 		age = v.lag
 		return nil
 	})
@@ -71,7 +71,7 @@
 	return list, age, nil
 }
 
-func (v *vms) show(now time.Time) {
+func (v *vms) applyDue(now time.Time) {
 	for len(v.pending) > 0 && now.Sub(v.pending[0].at) >= v.lag {
 		v.apply(v.pending[0])
 		v.pending = v.pending[1:]
@@ -79,16 +79,16 @@
 }
 
 func (v *vms) apply(c vmChange) {
-	i, found := slices.BinarySearchFunc(v.shown, c.vm.ID, func(vm store.VM, id string) int {
+	i, found := slices.BinarySearchFunc(v.visible, c.vm.ID, func(vm store.VM, id string) int {
 		return strings.Compare(vm.ID, id)
 	})
 	switch {
 	case c.remove && found:
-		v.shown = slices.Delete(v.shown, i, i+1)
+		v.visible = slices.Delete(v.visible, i, i+1)
 	case c.remove:
 	case found:
-		v.shown[i] = c.vm
+		v.visible[i] = c.vm
 	default:
-		v.shown = slices.Insert(v.shown, i, c.vm)
+		v.visible = slices.Insert(v.visible, i, c.vm)
 	}
 }
--- a/store/memory/weights.go
+++ b/store/memory/weights.go
@@ -9,7 +9,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// blob is the content of a model version.
+// blob holds the weights of a model version.
 type blob struct {
 	content io.ReaderAt
 	size    int64
@@ -21,13 +21,14 @@
 	content map[string]blob
 }
 
-// SetWeights stores the weights of a model version. It keeps body, which the
+// SetWeights stores the weights of a model version. It retains body, which the
 // caller must not change afterwards.
 func (p *Platform) SetWeights(model, version string, body []byte) {
 	p.weights.set(model, version, blob{bytes.NewReader(body), int64(len(body))})
 }
 
-// SetPatternWeights stores size bytes of a fixed pattern that take no memory.
+// SetPatternWeights stores size bytes of a fixed pattern, generated on read without
+// taking memory.
 func (p *Platform) SetPatternWeights(model, version string, size int64) {
 	p.weights.set(model, version, blob{pattern{}, size})
 }
@@ -38,7 +39,7 @@
 	w.content[weightKey(model, version)] = b
 }
 
-// Open implements store.Weights. The stream is a Stream.
+// Open implements store.Weights. The returned stream is a Stream.
 func (w *weights) Open(ctx context.Context, model, version string) (io.ReadCloser, error) {
 	if model == "" || version == "" {
 		return nil, store.Invalid("empty model or version")
@@ -60,7 +61,7 @@
 	return Stream{io.NewSectionReader(b.content, 0, b.size)}, nil
 }
 
-// Stream is an open stream of weights; Size is its length in bytes.
+// Stream is an open stream of weights. Size returns its length in bytes.
 type Stream struct {
 	*io.SectionReader
 }
@@ -72,7 +73,7 @@
 	return model + "\x00" + version
 }
 
-// pattern is an endless content in which each byte is the low byte of its position.
+// pattern is unlimited data in which each byte is the low byte of its offset.
 type pattern struct{}
 
 // ReadAt implements io.ReaderAt.
--- a/store/protocol.go
+++ b/store/protocol.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Paths of the HTTP protocol. Keys travel as query parameters, so that any
-// text may be a key.
+// Paths of the HTTP protocol. Keys are query parameters, so that any text may be a
+// key.
 const (
 	PathRow     = "/table/row"     // GET ?key=
 	PathRows    = "/table/rows"    // GET ?prefix=&after=&limit=
@@ -28,37 +28,37 @@
 	ParamVersion = "version"
 )
 
-// RowsResponse is the body of an answer to PathRows.
+// RowsResponse is the body of a response of PathRows.
 type RowsResponse struct {
 	Rows []Row `json:"rows"`
 }
 
-// ObjectsResponse is the body of an answer to PathObjects.
+// ObjectsResponse is the body of a response of PathObjects.
 type ObjectsResponse struct {
 	Keys []string `json:"keys"`
 }
 
-// VMsResponse is the body of an answer to PathVMs. Age is in nanoseconds.
+// VMsResponse is the body of a response of PathVMs. Age is in nanoseconds.
 type VMsResponse struct {
 	VMs []VM          `json:"vms"`
 	Age time.Duration `json:"age"`
 }
 
-// ErrorResponse is the body of an answer that reports an error.
+// ErrorResponse is the body of an error response.
 type ErrorResponse struct {
 	Message  string    `json:"message"`
 	Conflict *Conflict `json:"conflict,omitempty"`
 }
 
-// Conflict is a ConflictError on the wire.
+// Conflict is the wire form of a ConflictError.
 type Conflict struct {
 	Key  string `json:"key"`
 	Want uint64 `json:"want"`
 	Have uint64 `json:"have"`
 }
 
-// EncodeError returns the status and body that carry err, an error of a port.
-// The client turns them back into an error of the same kind.
+// EncodeError returns the status and body of the response for err, an error of a
+// port. The client converts them back to an error of the same kind.
 func EncodeError(err error) (int, ErrorResponse) {
 	a := ErrorResponse{Message: err.Error()}
 	var conflict *ConflictError
--- a/store/store.go
+++ b/store/store.go
@@ -1,8 +1,8 @@
-// Package store is the port to the platform that the operators run: a
-// transactional table, an object store, a lagging list of VMs and a weight
-// store. Implementations are safe for concurrent use and return promptly when
-// their context ends. Every call may fail with ErrUnavailable; a write may fail
-// with ErrIndeterminate, after which only a read tells whether it took effect.
+// Package store defines the ports to the platform that the operators run: a
+// transactional table, an object store, a lagging list of VMs and a weight store.
+// Implementations are safe for concurrent use and return promptly when their context
+// ends. Every call may fail with ErrUnavailable; a write may fail with
+// ErrIndeterminate, after which only a read shows whether it took effect.
 package store
 
 import (
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// Errors of the ports. Clients wrap them with the cause.
+// Errors of the ports. Clients add the cause to them.
 var (
 	// ErrUnavailable means that the call had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrIndeterminate means that the call may or may not have taken effect.
 	ErrIndeterminate = errors.New("platform gave no answer; the write may have taken effect")
-	// ErrNotFound means that there is no such row or object.
+	// ErrNotFound means that the row, object or model version does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrMalformed means that what was read can't be understood.
+	// ErrMalformed means that stored data could not be decoded.
 	ErrMalformed = errors.New("malformed content")
-	// ErrInvalid means that the platform refused the call as malformed.
+	// ErrInvalid means that the arguments of the call are invalid.
 	ErrInvalid = errors.New("invalid platform call")
 )
 
-// ConflictError means that a check of a transaction failed; nothing was written.
+// ConflictError means that a check of a transaction failed. Nothing was written.
 type ConflictError struct {
 	Key string
 	// Want and Have are the expected and the actual version of the row.
@@ -39,15 +39,15 @@
 	return fmt.Sprintf("conflict on %q: expected version %d, found %d", e.Key, e.Want, e.Have)
 }
 
-// Row is one row of the table. Versions start at 1 and grow by one with each
-// write of the row; a row that does not exist has version 0.
+// Row is a row of the table. Versions start at 1 and increase by one with each write
+// of the row; a row that does not exist has version 0.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
 }
 
-// Check demands that a row have a version at commit.
+// Check is a precondition of a transaction: the version of a row at commit.
 type Check struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -60,7 +60,7 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is applied whole or not at all.
+// Txn is an atomic transaction: all writes are applied if all checks hold.
 type Txn struct {
 	Checks []Check `json:"checks"`
 	Writes []Write `json:"writes"`
@@ -85,7 +85,7 @@
 	List(ctx context.Context, prefix string) ([]string, error)
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM as listed by the platform.
 type VMState string
 
 // States of a VM.
@@ -94,14 +94,14 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one line of the list of VMs.
+// VM is an entry of the list of VMs.
 type VM struct {
 	ID    string  `json:"id"`
 	Zone  string  `json:"zone"`
 	State VMState `json:"state"`
 }
 
-// VMs is the list of live and leaving VMs, which lags.
+// VMs is the list of live and leaving VMs. It lags behind the actual state.
 type VMs interface {
 	// List returns the VMs and the age of the list.
 	List(ctx context.Context) (vms []VM, age time.Duration, err error)
--- a/store/storetest/faults.go
+++ b/store/storetest/faults.go
@@ -12,73 +12,74 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// Fault is a failure that every implementation has to report alike.
+// Fault is a failure that every implementation must report in the same way.
 type Fault string
 
 // Faults of TestFaults.
 const (
-	// Refuse ends the call before its effect.
+	// Refuse fails the call before its effect.
 	Refuse Fault = "refuse"
-	// LoseAnswer loses the answer after the effect.
+	// LoseAnswer drops the response after the effect.
 	LoseAnswer Fault = "lose answer"
-	// Hang holds the call before its effect until its context ends.
+	// Hang blocks the call before its effect until its context ends.
 	Hang Fault = "hang"
-	// HangAfter holds the call after its effect until its context ends.
+	// HangAfter blocks the call after its effect until its context ends.
 	HangAfter Fault = "hang after"
 )
 
-// FaultyPlatform is a platform with the means to make it fail.
+// FaultyPlatform is a platform with functions that inject faults.
 type FaultyPlatform struct {
 	Table   store.Table
 	Objects store.Objects
 	VMs     store.VMs
 	Weights store.Weights
-	// Inject puts f in force for the reads or the writes of a port until Clear.
+	// Inject applies f to the reads or the writes of a port until Clear.
 	Inject func(p memory.Port, write bool, f Fault)
 	Clear  func()
-	// AwaitBlocked returns once a call is held by Hang or HangAfter.
+	// AwaitBlocked returns once a call is blocked by Hang or HangAfter.
 	AwaitBlocked func()
 }
 
-// faultedCall is a call under test. done tells whether a write took effect.
+// faultedCall is a call under test. tookEffect reports whether a write took effect;
+// it is nil for a read.
 type faultedCall struct {
-	name string
-	port memory.Port
-	call func(context.Context, FaultyPlatform) error
-	done func(context.Context, FaultyPlatform) (bool, error)
+	name       string
+	port       memory.Port
+	call       func(context.Context, FaultyPlatform) error
+	tookEffect func(context.Context, FaultyPlatform) (bool, error)
 }
 
-// seedKey is a row and an object that TestFaults finds in place.
+// seedKey is the key of a row and an object that TestFaults writes before each fault.
 const seedKey = "seed"
 
-// SeedWeights are the model and version that fresh of TestFaults has to store,
-// larger than SeedWeightBytes.
+// The model version that fresh of TestFaults has to store, and the size of its
+// weights.
 const (
 	SeedModel       = "seed"
 	SeedVersion     = "1"
 	SeedWeightBytes = 200_000
 )
 
-// TestFaults runs each call of each port under each fault. fresh returns a
-// platform that holds nothing but the weights named above.
+// TestFaults runs each call of each port under each fault. fresh returns a platform
+// that holds only the weights of SeedModel and SeedVersion.
 func TestFaults(t *testing.T, fresh func(t *testing.T) FaultyPlatform) {
 	cases := []struct {
 		fault Fault
-		// effect tells whether a write takes effect.
+		// effect is whether a write takes effect.
 		effect bool
 		read   []error
 		write  []error
 	}{
-		{Refuse, false, errs(store.ErrUnavailable), errs(store.ErrUnavailable)},
-		{LoseAnswer, true, errs(store.ErrUnavailable), errs(store.ErrIndeterminate)},
-		{Hang, false, errs(store.ErrUnavailable), errs(store.ErrUnavailable, store.ErrIndeterminate)},
-		{HangAfter, true, errs(store.ErrUnavailable), errs(store.ErrIndeterminate)},
+		{Refuse, false, errorList(store.ErrUnavailable), errorList(store.ErrUnavailable)},
+		{LoseAnswer, true, errorList(store.ErrUnavailable), errorList(store.ErrIndeterminate)},
+		{Hang, false, errorList(store.ErrUnavailable), errorList(store.ErrUnavailable, store.ErrIndeterminate)},
+		{HangAfter, true, errorList(store.ErrUnavailable), errorList(store.ErrIndeterminate)},
 	}
 	for _, c := range cases {
 		for _, call := range faultedCalls() {
 			t.Run(string(c.fault)+"/"+call.name, func(t *testing.T) {
 				want := c.read
-				if call.done != nil {
+				if call.tookEffect != nil {
 					want = c.write
 				}
 				runFaulted(t, fresh(t), call, c.fault, want, c.effect)
@@ -87,12 +88,12 @@
 	}
 }
 
-func errs(list ...error) []error { return list }
+func errorList(list ...error) []error { return list }
 
 func runFaulted(t *testing.T, f FaultyPlatform, call faultedCall, fault Fault, want []error, effect bool) {
 	commit(t, f.Table, put(seedKey, "1"))
 	assert.NilError(t, f.Objects.Put(t.Context(), seedKey, []byte("1")))
-	write := call.done != nil
+	write := call.tookEffect != nil
 	f.Inject(call.port, write, fault)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -106,7 +107,7 @@
 	assert.Assert(t, isOneOf(err, want), "got %v, want one of %v", err, want)
 	f.Clear()
 	if write {
-		done, err := call.done(t.Context(), f)
+		done, err := call.tookEffect(t.Context(), f)
 		assert.NilError(t, err)
 		assert.Equal(t, done, effect)
 	}
@@ -115,7 +116,7 @@
 
 func isOneOf(err error, want []error) bool {
 	kinds := 0
-	for _, kind := range errs(store.ErrUnavailable, store.ErrIndeterminate, store.ErrInvalid, store.ErrNotFound) {
+	for _, kind := range errorList(store.ErrUnavailable, store.ErrIndeterminate, store.ErrInvalid, store.ErrNotFound) {
 		if errors.Is(err, kind) {
 			kinds++
 		}
--- a/store/storetest/stores.go
+++ b/store/storetest/stores.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// TestObjects runs the contract of the object store. fresh returns an empty one.
+// TestObjects runs the contract tests of the object store. fresh returns an empty one.
 func TestObjects(t *testing.T, fresh func(t *testing.T) store.Objects) {
 	t.Run("body", func(t *testing.T) { objectBody(t, fresh(t)) })
 	t.Run("list", func(t *testing.T) { objectList(t, fresh(t)) })
@@ -54,7 +54,7 @@
 	}
 }
 
-// VMList is a list of VMs with the means to change it.
+// VMList is a list of VMs with functions that change it.
 type VMList struct {
 	VMs    store.VMs
 	Set    func(store.VM) error
@@ -62,7 +62,8 @@
 	SetLag func(time.Duration) error
 }
 
-// TestVMs runs the contract of the list of VMs. fresh returns an empty list without lag.
+// TestVMs runs the contract tests of the list of VMs. fresh returns an empty list
+// without lag.
 func TestVMs(t *testing.T, fresh func(t *testing.T) VMList) {
 	a := store.VM{ID: "a", Zone: "z1", State: store.VMLive}
 	b := store.VM{ID: "b", Zone: "z2", State: store.VMLive}
@@ -91,13 +92,13 @@
 	assert.ErrorIs(t, l.Set(store.VM{ID: "x", State: "odd"}), store.ErrInvalid)
 }
 
-// WeightStore is a weight store with the means to fill it.
+// WeightStore is a weight store with a function that fills it.
 type WeightStore struct {
 	Weights store.Weights
 	Put     func(model, version string, body []byte) error
 }
 
-// TestWeights runs the contract of the weight store. fresh returns an empty one.
+// TestWeights runs the contract tests of the weight store. fresh returns an empty one.
 func TestWeights(t *testing.T, fresh func(t *testing.T) WeightStore) {
 	w := fresh(t)
 	bodies := map[string][]byte{"v1": []byte("small"), "v2": bytes.Repeat([]byte("large"), 60_000), "v3": {}}
--- a/store/storetest/table.go
+++ b/store/storetest/table.go
@@ -1,5 +1,5 @@
-// Package storetest holds the contract tests of the ports of package
-// platform. Each implementation runs them from its own test files.
+// Package storetest holds the contract tests of the ports of package store. Each
+// implementation runs them from its own test files.
 package storetest
 
 import (
@@ -15,11 +15,12 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// SharedVersions is implemented by tables whose versions count the transactions of the
-// whole store, so that a row's version grows by more than one.
+// SharedVersions is implemented by tables whose versions count the transactions of
+// the whole store, so that the version of a row may increase by more than one.
 type SharedVersions interface{ SharedVersions() }
 
-// TestTable runs the contract of the table. Each call of fresh returns an empty table.
+// TestTable runs the contract tests of the table. Each call of fresh returns an empty
+// table.
 func TestTable(t *testing.T, fresh func(t *testing.T) store.Table) {
 	cases := []struct {
 		name string
@@ -27,13 +28,13 @@
 	}{
 		{"row", tableRow},
 		{"versions", tableVersions},
-		{"commit is whole or nothing", tableWhole},
+		{"commit is atomic", tableAtomicCommit},
 		{"conflict names the row", tableConflict},
 		{"list", tableList},
 		{"pages", tablePages},
 		{"invalid calls", tableInvalid},
 		{"concurrent commits", tableConcurrent},
-		{"ended context", tableContext},
+		{"canceled context", tableCanceledContext},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { c.run(t, fresh(t)) })
@@ -59,9 +60,9 @@
 	return row.Version
 }
 
-// sameVersion holds a version to what a table that counts the writes of each row would
-// give. With shared versions only its absence can be told.
-func sameVersion(t *testing.T, tb store.Table, got, want uint64, what ...any) {
+// assertVersion compares a version with that of a table that counts the writes of each
+// row. With shared versions it checks only a lower bound, and the absence of a row.
+func assertVersion(t *testing.T, tb store.Table, got, want uint64, what ...any) {
 	t.Helper()
 	if _, shared := tb.(SharedVersions); shared && want > 0 {
 		assert.Assert(t, got >= want, what...)
@@ -77,14 +78,14 @@
 		commit(t, tb, put(key, "\x00\xff"))
 		row, err := tb.Get(t.Context(), key)
 		assert.NilError(t, err)
-		sameVersion(t, tb, row.Version, 1)
+		assertVersion(t, tb, row.Version, 1)
 		row.Version = 1
 		assert.DeepEqual(t, row, store.Row{Key: key, Value: []byte("\x00\xff"), Version: 1})
 	}
 }
 
-// tableVersions holds that a version, once given, never comes back for the same
-// key, and that a missing row has version 0 for checks.
+// tableVersions checks that a version of a key is never reused and that a missing row
+// has version 0 for checks.
 func tableVersions(t *testing.T, tb store.Table) {
 	steps := []struct {
 		write store.Write
@@ -105,13 +106,13 @@
 		txn := store.Txn{Checks: []store.Check{check}, Writes: []store.Write{s.write}}
 		assert.NilError(t, tb.Commit(t.Context(), txn), "step %d", i)
 		got := version(t, tb, "k")
-		sameVersion(t, tb, got, s.want, "step %d", i)
+		assertVersion(t, tb, got, s.want, "step %d", i)
 		assert.Assert(t, got == 0 || got > last, "step %d: %d after %d", i, got, last)
 		last = max(last, got)
 	}
 }
 
-func tableWhole(t *testing.T, tb store.Table) {
+func tableAtomicCommit(t *testing.T, tb store.Table) {
 	commit(t, tb, put("a", "1"), put("b", "1"))
 	before := version(t, tb, "a")
 	txn := store.Txn{
@@ -122,13 +123,13 @@
 	assert.Assert(t, errors.As(tb.Commit(t.Context(), txn), &conflict))
 	assert.Equal(t, version(t, tb, "a"), before)
 	for key, want := range map[string]uint64{"a": 1, "b": 1, "c": 0, "d": 0} {
-		sameVersion(t, tb, version(t, tb, key), want, key)
+		assertVersion(t, tb, version(t, tb, key), want, key)
 	}
 	txn.Checks[1].Version = 0
 	assert.NilError(t, tb.Commit(t.Context(), txn))
 	assert.Assert(t, version(t, tb, "a") > before)
 	for key, want := range map[string]uint64{"a": 2, "b": 0, "c": 0, "d": 1} {
-		sameVersion(t, tb, version(t, tb, key), want, key)
+		assertVersion(t, tb, version(t, tb, key), want, key)
 	}
 }
 
@@ -141,8 +142,8 @@
 		assert.Assert(t, errors.As(tb.Commit(t.Context(), txn), &conflict))
 		assert.DeepEqual(t, *conflict, store.ConflictError{Key: "k", Want: want, Have: 2})
 	}
-	same := store.Txn{Checks: []store.Check{{Key: "k", Version: 2}}}
-	assert.NilError(t, tb.Commit(t.Context(), same))
+	matching := store.Txn{Checks: []store.Check{{Key: "k", Version: 2}}}
+	assert.NilError(t, tb.Commit(t.Context(), matching))
 	assert.Equal(t, version(t, tb, "k"), uint64(2))
 }
 
@@ -179,7 +180,7 @@
 	return k
 }
 
-// tablePages walks the whole table while rows around the position change.
+// tablePages iterates over the table by pages while rows around the position change.
 func tablePages(t *testing.T, tb store.Table) {
 	for i := range 25 {
 		commit(t, tb, put(fmt.Sprintf("r/%02d", i), strconv.Itoa(i)))
@@ -218,8 +219,9 @@
 	assert.Equal(t, len(rows), 0)
 }
 
-// tableConcurrent moves units between two rows from many goroutines, each
-// transaction checking both. Every unit survives and every success is a version.
+// tableConcurrent moves units between two rows from many goroutines, in transactions
+// that check both rows. No unit is lost, and every committed transaction adds one to
+// the versions.
 func tableConcurrent(t *testing.T, tb store.Table) {
 	const workers, moves = 8, 10
 	commit(t, tb, put("from", strconv.Itoa(workers*moves)), put("to", "0"))
@@ -245,7 +247,7 @@
 	}
 }
 
-// moveUnit repeats a read and a checked commit until no other came between.
+// moveUnit repeats a read and a checked commit until there is no conflict.
 func moveUnit(ctx context.Context, tb store.Table) error {
 	for {
 		err := tryMove(ctx, tb)
@@ -273,12 +275,12 @@
 	return tb.Commit(ctx, txn)
 }
 
-func tableContext(t *testing.T, tb store.Table) {
-	ended, cancel := context.WithCancel(t.Context())
+func tableCanceledContext(t *testing.T, tb store.Table) {
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := tb.Get(ended, "k")
+	_, err := tb.Get(canceled, "k")
 	assert.ErrorIs(t, err, store.ErrUnavailable)
-	err = tb.Commit(ended, store.Txn{Writes: []store.Write{put("k", "1")}})
+	err = tb.Commit(canceled, store.Txn{Writes: []store.Write{put("k", "1")}})
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	assert.Equal(t, version(t, tb, "k"), uint64(0))
 }
--- a/store/validate.go
+++ b/store/validate.go
@@ -6,11 +6,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// MaxList is the largest limit that a List of the table takes.
+// MaxList is the largest limit of a List of the table.
 const MaxList = 1000
 
-// Validate returns an error that wraps ErrInvalid when t names a key that
-// ValidateKey refuses, writes a row twice, or neither checks nor writes anything.
+// Validate returns an error that wraps ErrInvalid if t has an invalid key, writes a
+// row twice, or has neither checks nor writes.
 func (t Txn) Validate() error {
 	if len(t.Checks) == 0 && len(t.Writes) == 0 {
 		return Invalid("empty transaction")
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// ValidateKey refuses a key that is empty or not UTF-8.
+// ValidateKey returns an error that wraps ErrInvalid if key is empty or not UTF-8.
 func ValidateKey(key string) error {
 	if key == "" {
 		return Invalid("empty key")
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// ValidateLimit refuses a limit outside 1 to MaxList.
+// ValidateLimit returns an error that wraps ErrInvalid if limit is not from 1 to
+// MaxList.
 func ValidateLimit(limit int) error {
 	if limit < 1 || limit > MaxList {
 		return Invalid("limit out of range")
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// Invalid returns an error that wraps ErrInvalid and says why.
-func Invalid(why string) error {
-	return merry.Prepend(ErrInvalid, why, merry.NoCaptureStack())
+// Invalid returns an error that wraps ErrInvalid, with the reason.
+func Invalid(reason string) error {
+	return merry.Prepend(ErrInvalid, reason, merry.NoCaptureStack())
 }
