--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads YAML settings strictly: unknown keys, wrong types and
-// values out of range are refused by file, line and field before anything starts.
+// Package config reads YAML settings strictly: unknown keys, wrong types and values
+// out of range are rejected before startup, with file, line and field.
 package config
 
 import (
@@ -14,10 +14,11 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// wholeDocument is the field of faults that concern no single field.
+// wholeDocument is the Field of errors that concern no single field.
 const wholeDocument = "document"
 
-// FieldError is one fault of a file. Field is a path such as "limits.burst" or "classes[1].ttft".
+// FieldError is an error in a file. Field is a path such as "limits.burst" or
+// "classes[1].ttft".
 type FieldError struct {
 	File    string
 	Line    int
@@ -30,10 +31,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Message)
 }
 
-// Errors is every fault found in one file.
+// Errors are all errors found in one file.
 type Errors []*FieldError
 
-// Error implements error, one fault a line.
+// Error implements error, with one FieldError per line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, f := range e {
@@ -42,13 +43,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// Validator is implemented by settings. Check calls fail once per fault, naming
-// the field by its YAML path relative to the document.
+// Validator is implemented by settings. Check calls fail once per invalid value, with
+// the YAML path of the field in the document.
 type Validator interface {
 	Check(fail func(field, format string, args ...any))
 }
 
-// Load reads one document from path into out, which holds the defaults.
+// Load reads a document from path into out, which holds the defaults.
 func Load(path string, out Validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -57,48 +58,48 @@
 	return Parse(path, data, out)
 }
 
-// Parse decodes data, naming it file in errors, and checks the result. Every
-// fault of the structure is reported together; the values are checked once the
-// structure is sound. The error is of type Errors.
+// Parse decodes data and validates the result; file is the file name in errors. All
+// structural errors are reported together; values are validated only if there are
+// none. The error is of type Errors.
 func Parse(file string, data []byte, out Validator) error {
-	doc, fault := parseDocument(file, data)
-	if fault != nil {
-		return Errors{fault}
+	doc, fieldErr := parseDocument(file, data)
+	if fieldErr != nil {
+		return Errors{fieldErr}
 	}
-	s := newScan(file)
-	s.node(doc, reflect.TypeOf(out), "")
-	if len(s.faults) > 0 {
-		return s.sorted()
+	s := newScanner(file)
+	s.checkNode(doc, reflect.TypeOf(out), "")
+	if len(s.errs) > 0 {
+		return s.sortedErrors()
 	}
 	if err := yaml.UnmarshalWithOptions(data, out, yaml.Strict()); err != nil {
-		return Errors{s.decodeFault(err)}
+		return Errors{s.decodeError(err)}
 	}
 	out.Check(func(field, format string, args ...any) {
 		s.fail(s.lineOf(field), field, format, args...)
 	})
-	if len(s.faults) > 0 {
-		return s.sorted()
+	if len(s.errs) > 0 {
+		return s.sortedErrors()
 	}
 	return nil
 }
 
-// LineOf returns the line of a field in a document that Parse accepts into out,
-// for faults that show only when several files are compared.
+// LineOf returns the line of a field in a document that Parse accepts into out, for
+// errors that are found only by comparing several files.
 func LineOf(data []byte, out Validator, field string) int {
-	doc, fault := parseDocument("", data)
-	if fault != nil {
-		return fault.Line
+	doc, fieldErr := parseDocument("", data)
+	if fieldErr != nil {
+		return fieldErr.Line
 	}
-	s := newScan("")
-	s.node(doc, reflect.TypeOf(out), "")
+	s := newScanner("")
+	s.checkNode(doc, reflect.TypeOf(out), "")
 	return s.lineOf(field)
 }
 
-// parseDocument returns the root of the one document in data.
+// parseDocument returns the root of the document in data, which must be the only one.
 func parseDocument(file string, data []byte) (ast.Node, *FieldError) {
 	parsed, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		return nil, syntaxFault(file, err)
+		return nil, syntaxError(file, err)
 	}
 	var roots []ast.Node
 	for _, d := range parsed.Docs {
@@ -113,20 +114,20 @@
 		return nil, &FieldError{File: file, Line: 1, Field: wholeDocument, Message: "is empty"}
 	default:
 		line := roots[1].GetToken().Position.Line
-		return nil, &FieldError{File: file, Line: line, Field: wholeDocument, Message: "a second document begins here; one a file is allowed"}
+		return nil, &FieldError{File: file, Line: line, Field: wholeDocument, Message: "a second document begins here; a file may contain only one"}
 	}
 }
 
-// syntaxFault turns an error of the YAML parser into a fault.
-func syntaxFault(file string, err error) *FieldError {
-	fault := &FieldError{File: file, Line: 1, Field: wholeDocument, Message: "is not YAML: " + err.Error()}
+// syntaxError converts an error of the YAML parser to a FieldError.
+func syntaxError(file string, err error) *FieldError {
+	fieldErr := &FieldError{File: file, Line: 1, Field: wholeDocument, Message: "is not YAML: " + err.Error()}
 	var ye yaml.Error
 	if !errors.As(err, &ye) {
-		return fault
+		return fieldErr
 	}
-	fault.Message = "is not YAML: " + ye.GetMessage()
+	fieldErr.Message = "is not YAML: " + ye.GetMessage()
 	if t := ye.GetToken(); t != nil {
-		fault.Line = t.Position.Line
+		fieldErr.Line = t.Position.Line
 	}
-	return fault
+	return fieldErr
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestFaultsNameFileLineAndField(t *testing.T) {
+func TestErrorsNameFileLineAndField(t *testing.T) {
 	for _, tc := range []struct{ name, doc, want string }{
 		{"unknown key", "name: a\nprot: 1\n", "f:2: prot: unknown key"},
 		{"unknown nested key", "name: a\nmain:\n  name: b\n  weit: 1s\n", "f:4: main.weit: unknown key"},
--- a/config/ranges.go
+++ b/config/ranges.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// Fail reports one fault, naming the field by its YAML path.
+// Fail reports an invalid value. field is its YAML path.
 type Fail func(field, format string, args ...any)
 
-// CheckRange reports a value below low or above high.
+// CheckRange reports a value that is below low or above high.
 func CheckRange[T cmp.Ordered](fail Fail, field string, value, low, high T) {
 	if value < low || value > high {
 		fail(field, "must be from %v to %v, got %v", low, high, value)
--- a/config/scan.go
+++ b/config/scan.go
@@ -19,36 +19,36 @@
 	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// place is a position within a file.
-type place struct{ line, column int }
+// position is the start of a token in a file.
+type position struct{ line, column int }
 
-// scan compares a document with the type that it is to be decoded into, and
-// remembers where each field stands.
-type scan struct {
-	file   string
-	faults Errors
-	lines  map[string]int
-	paths  map[place]string
+// scanner checks the structure of a document against the type that it is decoded into
+// and records the position of each field.
+type scanner struct {
+	file  string
+	errs  Errors
+	lines map[string]int
+	paths map[position]string
 }
 
-func newScan(file string) *scan {
-	return &scan{file: file, lines: make(map[string]int), paths: make(map[place]string)}
+func newScanner(file string) *scanner {
+	return &scanner{file: file, lines: make(map[string]int), paths: make(map[position]string)}
 }
 
-func (s *scan) fail(line int, field, format string, args ...any) {
+func (s *scanner) fail(line int, field, format string, args ...any) {
 	if field == "" {
 		field = wholeDocument
 	}
-	s.faults = append(s.faults, &FieldError{File: s.file, Line: line, Field: field, Message: fmt.Sprintf(format, args...)})
+	s.errs = append(s.errs, &FieldError{File: s.file, Line: line, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-func (s *scan) sorted() Errors {
-	sort.SliceStable(s.faults, func(i, j int) bool { return s.faults[i].Line < s.faults[j].Line })
-	return s.faults
+func (s *scanner) sortedErrors() Errors {
+	sort.SliceStable(s.errs, func(i, j int) bool { return s.errs[i].Line < s.errs[j].Line })
+	return s.errs
 }
 
-// lineOf returns the line of the field, or of its nearest parent that is present.
-func (s *scan) lineOf(field string) int {
+// lineOf returns the line of the field, or of its nearest parent in the document.
+func (s *scanner) lineOf(field string) int {
 	for field != "" {
 		if line, ok := s.lines[field]; ok {
 			return line
@@ -58,52 +58,52 @@
 	return 1
 }
 
-// decodeFault names the field of an error of the decoder.
-func (s *scan) decodeFault(err error) *FieldError {
-	fault := &FieldError{File: s.file, Line: 1, Field: wholeDocument, Message: err.Error()}
+// decodeError converts an error of the decoder to a FieldError, by its position.
+func (s *scanner) decodeError(err error) *FieldError {
+	fieldErr := &FieldError{File: s.file, Line: 1, Field: wholeDocument, Message: err.Error()}
 	var ye yaml.Error
 	if !errors.As(err, &ye) {
-		return fault
+		return fieldErr
 	}
-	fault.Message = ye.GetMessage()
+	fieldErr.Message = ye.GetMessage()
 	if t := ye.GetToken(); t != nil {
-		fault.Line = t.Position.Line
-		if path, ok := s.paths[placeOf(t)]; ok {
-			fault.Field = path
+		fieldErr.Line = t.Position.Line
+		if path, ok := s.paths[positionOf(t)]; ok {
+			fieldErr.Field = path
 		}
 	}
-	return fault
+	return fieldErr
 }
 
-func (s *scan) remember(path string, t *token.Token) {
+func (s *scanner) recordPosition(path string, t *token.Token) {
 	if _, known := s.lines[path]; !known {
 		s.lines[path] = t.Position.Line
 	}
-	s.paths[placeOf(t)] = path
+	s.paths[positionOf(t)] = path
 }
 
-// node checks n, at path, against t.
-func (s *scan) node(n ast.Node, t reflect.Type, path string) {
+// checkNode checks the node n at path against the type t.
+func (s *scanner) checkNode(n ast.Node, t reflect.Type, path string) {
 	n = unwrap(n)
 	if n == nil || n.Type() == ast.AliasType || n.Type() == ast.NullType {
-		return // the decoder judges aliases; null leaves the default
+		return // the decoder checks aliases; null keeps the default
 	}
-	s.remember(path, n.GetToken())
+	s.recordPosition(path, n.GetToken())
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	switch {
 	case t == durationType:
-		s.duration(n, path)
+		s.checkDuration(n, path)
 	case t.Kind() == reflect.Struct && n.Type() == ast.MappingType:
-		s.mapping(n.(*ast.MappingNode), t, path)
+		s.checkMapping(n.(*ast.MappingNode), t, path)
 	case reflect.PointerTo(t).Implements(textUnmarshalerType):
-		s.text(n, t, path)
+		s.checkText(n, t, path)
 	case t.Kind() == reflect.Map && n.Type() == ast.MappingType:
-		s.mapping(n.(*ast.MappingNode), t, path)
+		s.checkMapping(n.(*ast.MappingNode), t, path)
 	case (t.Kind() == reflect.Slice || t.Kind() == reflect.Array) && n.Type() == ast.SequenceType:
 		for i, e := range n.(*ast.SequenceNode).Values {
-			s.node(e, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
+			s.checkNode(e, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
 		}
 	default:
 		if want := mismatch(t, n); want != "" {
@@ -112,18 +112,18 @@
 	}
 }
 
-func (s *scan) mapping(m *ast.MappingNode, t reflect.Type, path string) {
+func (s *scanner) checkMapping(m *ast.MappingNode, t reflect.Type, path string) {
 	seen := make(map[string]int)
 	for _, v := range m.Values {
 		if v.Key.Type() == ast.MergeKeyType {
-			s.node(v.Value, t, path)
+			s.checkNode(v.Value, t, path)
 			continue
 		}
-		s.entry(v, t, path, seen)
+		s.checkEntry(v, t, path, seen)
 	}
 }
 
-func (s *scan) entry(v *ast.MappingValueNode, t reflect.Type, path string, seen map[string]int) {
+func (s *scanner) checkEntry(v *ast.MappingValueNode, t reflect.Type, path string, seen map[string]int) {
 	at := v.Key.GetToken()
 	name := at.Value
 	field := strings.TrimPrefix(path+"."+name, ".")
@@ -132,9 +132,9 @@
 		return
 	}
 	seen[name] = at.Position.Line
-	s.remember(field, at)
+	s.recordPosition(field, at)
 	if t.Kind() == reflect.Map {
-		s.node(v.Value, t.Elem(), field)
+		s.checkNode(v.Value, t.Elem(), field)
 		return
 	}
 	ft, known := fieldsOf(t)[name]
@@ -142,10 +142,10 @@
 		s.fail(at.Position.Line, field, "unknown key")
 		return
 	}
-	s.node(v.Value, ft, field)
+	s.checkNode(v.Value, ft, field)
 }
 
-func (s *scan) duration(n ast.Node, path string) {
+func (s *scanner) checkDuration(n ast.Node, path string) {
 	text, ok := scalarText(n)
 	if ok && n.Type() == ast.StringType {
 		if _, err := time.ParseDuration(text); err == nil {
@@ -155,7 +155,7 @@
 	s.fail(n.GetToken().Position.Line, path, "must be a duration with a unit such as 800ms, 2s or 10m, is %q", n.String())
 }
 
-func (s *scan) text(n ast.Node, t reflect.Type, path string) {
+func (s *scanner) checkText(n ast.Node, t reflect.Type, path string) {
 	text, ok := scalarText(n)
 	if !ok {
 		s.fail(n.GetToken().Position.Line, path, "must be text, is %s", kindOf(n))
@@ -193,7 +193,8 @@
 	return fields
 }
 
-// mismatch returns what n should have been when it cannot be decoded into t.
+// mismatch returns the description of the expected type if n cannot be decoded into
+// t, or "".
 func mismatch(t reflect.Type, n ast.Node) string {
 	kind := n.Type()
 	switch t.Kind() {
@@ -202,20 +203,20 @@
 	case reflect.Slice, reflect.Array:
 		return "a list"
 	case reflect.String:
-		return unless(kind == ast.StringType || kind == ast.LiteralType, "text (put it in quotes)")
+		return expectedUnless(kind == ast.StringType || kind == ast.LiteralType, "text (put it in quotes)")
 	case reflect.Bool:
-		return unless(kind == ast.BoolType, "true or false")
+		return expectedUnless(kind == ast.BoolType, "true or false")
 	case reflect.Float32, reflect.Float64:
-		return unless(isNumber(kind), "a number")
+		return expectedUnless(isNumber(kind), "a number")
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64,
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		return unless(kind == ast.IntegerType, "a whole number")
+		return expectedUnless(kind == ast.IntegerType, "a whole number")
 	default:
 		return ""
 	}
 }
 
-func unless(ok bool, want string) string {
+func expectedUnless(ok bool, want string) string {
 	if ok {
 		return ""
 	}
@@ -267,6 +268,6 @@
 	}
 }
 
-func placeOf(t *token.Token) place {
-	return place{t.Position.Line, t.Position.Column}
+func positionOf(t *token.Token) position {
+	return position{t.Position.Line, t.Position.Column}
 }
--- a/contract/check.go
+++ b/contract/check.go
@@ -35,10 +35,10 @@
 )
 
 var (
-	customerForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
-	nameForm     = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$`)
-	hashForm     = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	methodForm   = regexp.MustCompile(`^([A-Z]{1,16}|\*)$`)
+	customerPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	namePattern     = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$`)
+	hashPattern     = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	methodPattern   = regexp.MustCompile(`^([A-Z]{1,16}|\*)$`)
 )
 
 const (
@@ -46,13 +46,13 @@
 	nameRule     = "must be 1 to 128 letters, digits and any of . _ : / -, starting with a letter or digit"
 )
 
-// failFunc reports one fault of a field.
+// failFunc reports one invalid value of a field.
 type failFunc func(field, format string, args ...any)
 
 // Check implements config.Validator. It fills in defaults first.
 func (c *Contract) Check(fail func(field, format string, args ...any)) {
 	c.setDefaults()
-	checkForm(fail, "customer", c.Customer, customerForm, customerRule)
+	checkPattern(fail, "customer", c.Customer, customerPattern, customerRule)
 	checkBrand(fail, c.Brand)
 	if !(c.Share > 0 && c.Share <= 1) {
 		fail("share", "must be above 0 and at most 1, is %v", c.Share)
@@ -68,12 +68,12 @@
 
 // Check implements config.Validator.
 func (b *Backend) Check(fail func(field, format string, args ...any)) {
-	checkForm(fail, "id", b.ID, nameForm, nameRule)
+	checkPattern(fail, "id", b.ID, namePattern, nameRule)
 	addr, err := netip.ParseAddrPort(b.Address)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
 		fail("address", "must be an IP number and a port such as 10.0.0.7:7400, is %q", b.Address)
 	}
-	checkForm(fail, "zone", b.Zone, nameForm, nameRule)
+	checkPattern(fail, "zone", b.Zone, namePattern, nameRule)
 	switch b.Role {
 	case "prefill", "decode", "mixed", "service":
 	default:
@@ -98,7 +98,7 @@
 	seen := make(map[string]bool)
 	for i, class := range c.Classes {
 		at := fmt.Sprintf("classes[%d]", i)
-		checkForm(fail, at+".name", class.Name, nameForm, nameRule)
+		checkPattern(fail, at+".name", class.Name, namePattern, nameRule)
 		checkUnique(fail, at+".name", class.Name, seen)
 		class.check(fail, at)
 	}
@@ -121,7 +121,7 @@
 	seen := make(map[string]bool)
 	for i, s := range c.Services {
 		at := fmt.Sprintf("services[%d]", i)
-		checkForm(fail, at+".name", s.Name, nameForm, nameRule)
+		checkPattern(fail, at+".name", s.Name, namePattern, nameRule)
 		checkUnique(fail, at+".name", s.Name, seen)
 		checkDuration(fail, at+".timeout", s.Timeout, minTimeout, maxTimeout)
 		checkCount(fail, at+".unrepeatable", len(s.Unrepeatable), maxCalls)
@@ -136,7 +136,7 @@
 
 func checkCall(fail failFunc, field, call string) {
 	method, prefix, ok := splitCall(call)
-	if !ok || !methodForm.MatchString(method) {
+	if !ok || !methodPattern.MatchString(method) {
 		fail(field, "must be a method in capitals or *, a space and a path such as \"POST /receipts\", is %q", call)
 		return
 	}
@@ -153,9 +153,9 @@
 	names, hashes := make(map[string]bool), make(map[string]bool)
 	for i, k := range keys {
 		at := fmt.Sprintf("keys[%d]", i)
-		checkForm(fail, at+".name", k.Name, nameForm, nameRule)
+		checkPattern(fail, at+".name", k.Name, namePattern, nameRule)
 		checkUnique(fail, at+".name", k.Name, names)
-		checkForm(fail, at+".sha256", k.SHA256, hashForm, "must be 64 lower-case hexadecimal digits")
+		checkPattern(fail, at+".sha256", k.SHA256, hashPattern, "must be 64 lower-case hexadecimal digits")
 		checkUnique(fail, at+".sha256", k.SHA256, hashes)
 	}
 }
@@ -179,15 +179,15 @@
 	seen := make(map[string]bool)
 	for i, name := range names {
 		at := fmt.Sprintf("%s[%d]", field, i)
-		checkForm(fail, at, name, nameForm, nameRule)
+		checkPattern(fail, at, name, namePattern, nameRule)
 		checkUnique(fail, at, name, seen)
 	}
 }
 
-func checkForm(fail failFunc, field, value string, form *regexp.Regexp, rule string) {
+func checkPattern(fail failFunc, field, value string, pattern *regexp.Regexp, rule string) {
 	if value == "" {
 		fail(field, "is missing")
-	} else if !form.MatchString(value) {
+	} else if !pattern.MatchString(value) {
 		fail(field, "%s, is %q", rule, value)
 	}
 }
@@ -199,21 +199,21 @@
 	seen[value] = true
 }
 
-func checkCount(fail failFunc, field string, n, most int) {
-	if n > most {
-		fail(field, "has %d entries; at most %d are allowed", n, most)
+func checkCount(fail failFunc, field string, n, limit int) {
+	if n > limit {
+		fail(field, "has %d entries; at most %d are allowed", n, limit)
 	}
 }
 
-func checkInt(fail failFunc, field string, value, most int) {
-	if value < 1 || value > most {
-		fail(field, "must be between 1 and %d, is %d", most, value)
+func checkInt(fail failFunc, field string, value, upper int) {
+	if value < 1 || value > upper {
+		fail(field, "must be between 1 and %d, is %d", upper, value)
 	}
 }
 
-func checkDuration(fail failFunc, field string, value, least, most time.Duration) {
-	if value < least || value > most {
-		fail(field, "must be between %v and %v, is %v", least, most, value)
+func checkDuration(fail failFunc, field string, value, lower, upper time.Duration) {
+	if value < lower || value > upper {
+		fail(field, "must be between %v and %v, is %v", lower, upper, value)
 	}
 }
 
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -51,7 +51,7 @@
 	assert.DeepEqual(t, c, again)
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidFields(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"customer form", "customer: shop", "customer: Shop", "x.yaml:1: customer: must be"},
 		{"unknown urgency", "urgency: deferred", "urgency: late", "x.yaml:21: classes[1].urgency: \"late\" is not an urgency"},
--- a/contract/docs_test.go
+++ b/contract/docs_test.go
@@ -12,8 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// ranges are the ranges and defaults of the page that follow from constants.
-var ranges = map[string]string{
+// documentedRanges holds the defaults and ranges on the page that follow from
+// constants.
+var documentedRanges = map[string]string{
 	"brand":                      fmt.Sprintf("required | 1 to %d bytes, printable", maxBrandBytes),
 	"keys":                       fmt.Sprintf("required | 1 to %d entries", maxKeys),
 	"limits.requests_per_second": fmt.Sprintf("required | above 0, at most %d", maxRequests),
@@ -57,19 +58,19 @@
 	var listed []string
 	for _, row := range rows {
 		listed = append(listed, row[1])
-		assert.Assert(t, strings.HasPrefix(row[2], ranges[row[1]]), "%s: page says %q, code says %q", row[1], row[2], ranges[row[1]])
+		assert.Assert(t, strings.HasPrefix(row[2], documentedRanges[row[1]]), "%s: page says %q, code says %q", row[1], row[2], documentedRanges[row[1]])
 	}
 	want := fieldPaths(reflect.TypeFor[Contract](), "")
 	want = append(want, fieldPaths(reflect.TypeFor[Backend](), "")...)
 	assert.DeepEqual(t, listed, want)
 }
 
-// TestRangesAreEnforced holds the bounds that the page gives to what Parse does.
+// TestRangesAreEnforced checks that Parse enforces the bounds given on the page.
 func TestRangesAreEnforced(t *testing.T) {
 	for _, tc := range []struct {
-		field string
-		set   func(c *Contract, over int)
-		most  int
+		field    string
+		set      func(c *Contract, value int)
+		maxValue int
 	}{
 		{"limits.burst", func(c *Contract, n int) { c.Limits.Burst = n }, maxBurst},
 		{"limits.concurrent", func(c *Contract, n int) { c.Limits.Concurrent = n }, maxConcurrent},
@@ -81,8 +82,8 @@
 		{"classes[0].deadline", func(c *Contract, n int) { c.Classes[0].Deadline = time.Duration(n) }, int(maxDeadline)},
 		{"services[0].timeout", func(c *Contract, n int) { c.Services[0].Timeout = time.Duration(n) }, int(maxTimeout)},
 	} {
-		for over, want := range []string{"", tc.field, tc.field} {
-			value := []int{tc.most, tc.most + 1, -1}[over]
+		for step, want := range []string{"", tc.field, tc.field} {
+			value := []int{tc.maxValue, tc.maxValue + 1, -1}[step]
 			c, err := Parse("shop.yaml", []byte(sample))
 			assert.NilError(t, err)
 			tc.set(c, value)
--- a/contract/example_test.go
+++ b/contract/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/hibiscusspur/hibiscusspur/contract"
 )
 
-// Every fault of a file is named by line and field.
+// Every error in a file is reported with its line and field.
 func ExampleParse() {
 	_, err := contract.Parse("shop.yaml", []byte(`customer: shop
 brand: Shop & Sons
--- a/contract/fuzz_test.go
+++ b/contract/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// FuzzParse holds that parsing never panics and that the canonical form of an
-// accepted contract is accepted and means the same.
+// FuzzParse checks that Parse never panics and that the canonical form of a valid
+// contract is valid and parses to the same contract.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		sample,
@@ -33,7 +33,7 @@
 		}
 		again, err := Parse("canonical.yaml", out)
 		if err != nil {
-			t.Fatalf("canonical form refused: %v\n%s", err, out)
+			t.Fatalf("canonical form rejected: %v\n%s", err, out)
 		}
 		if diff := cmp.Diff(c, again, cmpopts.EquateEmpty()); diff != "" {
 			t.Fatalf("canonical form differs: %s\n%s", diff, out)
--- a/contract/lookup.go
+++ b/contract/lookup.go
@@ -9,13 +9,13 @@
 	"github.com/hibiscusspur/hibiscusspur/apikey"
 )
 
-// HashKey returns the form in which a contract keeps an API key: its SHA-256 in
+// HashKey returns the form in which a contract stores an API key: its SHA-256 hash in
 // lower-case hexadecimal.
 func HashKey(key string) string { return apikey.Of(key).String() }
 
-// ClassFor returns the class of a request for model. With an empty name it is the
-// first class that lists the model; otherwise the class of that name, provided
-// that it lists the model. The class belongs to c and must not be changed.
+// ClassFor returns the class of a request for model: the class called name, or the
+// first class if name is empty, that lists the model. The class belongs to c and must
+// not be changed.
 func (c *Contract) ClassFor(model, name string) (*Class, bool) {
 	for i := range c.Classes {
 		class := &c.Classes[i]
@@ -29,7 +29,8 @@
 	return nil, false
 }
 
-// ServiceFor returns the plain service of that name. It belongs to c and must not be changed.
+// ServiceFor returns the plain service called name. It belongs to c and must not be
+// changed.
 func (c *Contract) ServiceFor(name string) (*Service, bool) {
 	for i := range c.Services {
 		if c.Services[i].Name == name {
@@ -39,9 +40,9 @@
 	return nil, false
 }
 
-// IsUnrepeatable reports whether a call may run at most once. Prefixes match
-// whole path segments. A path is also matched in its cleaned and unescaped
-// forms, since the service may treat them as the same.
+// IsUnrepeatable reports whether a call may run at most once. Prefixes match whole
+// path segments. The path is also matched in its cleaned and unescaped forms, since
+// the service may treat them as equivalent.
 func (s *Service) IsUnrepeatable(method, requestPath string) bool {
 	forms := pathForms(requestPath)
 	for _, call := range s.Unrepeatable {
--- a/contract/yaml.go
+++ b/contract/yaml.go
@@ -10,13 +10,13 @@
 	"github.com/hibiscusspur/hibiscusspur/config"
 )
 
-// Defaults of fields that a file may leave out.
+// Defaults of optional fields.
 const (
 	DefaultMaxBodyBytes   = 4 << 20
 	DefaultServiceTimeout = 30 * time.Second
 )
 
-// urgencyUnset marks a class of a file that does not state its urgency.
+// urgencyUnset is the urgency of a parsed class without one.
 const urgencyUnset Urgency = -1
 
 var urgencyNames = map[Urgency]string{
@@ -25,7 +25,7 @@
 	Deferred:    "deferred",
 }
 
-// String returns the name of u as written in YAML.
+// String returns the name of u in YAML.
 func (u Urgency) String() string {
 	if name, ok := urgencyNames[u]; ok {
 		return name
@@ -53,7 +53,8 @@
 	return fmt.Errorf("%q is not an urgency; use interactive, prompt or deferred", text)
 }
 
-// UnmarshalYAML decodes a class such that a missing urgency is told from interactive.
+// UnmarshalYAML decodes a class. It distinguishes a missing urgency from interactive,
+// the zero value.
 func (c *Class) UnmarshalYAML(unmarshal func(any) error) error {
 	type plain Class
 	p := plain{Urgency: urgencyUnset}
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// Parse decodes and checks one contract. Faults name file, line and field and
-// are returned as config.Errors.
+// Parse decodes and validates a contract. Invalid input is reported as config.Errors,
+// which name file, line and field.
 func Parse(file string, data []byte) (*Contract, error) {
 	c := new(Contract)
 	if err := config.Parse(file, data, c); err != nil {
@@ -74,13 +75,13 @@
 	return c, nil
 }
 
-// Marshal returns the canonical YAML of c, with all defaults written out.
+// Marshal returns the canonical YAML of c. Parse has filled in the defaults.
 func (c *Contract) Marshal() ([]byte, error) {
 	return yaml.Marshal(c)
 }
 
-// ParseBackend decodes and checks the record of one backend server. Faults name
-// file, line and field and are returned as config.Errors.
+// ParseBackend decodes and validates the record of a backend server. Invalid input is
+// reported as config.Errors, which name file, line and field.
 func ParseBackend(file string, data []byte) (*Backend, error) {
 	b := new(Backend)
 	if err := config.Parse(file, data, b); err != nil {
@@ -94,7 +95,7 @@
 	return yaml.Marshal(b)
 }
 
-// setDefaults fills in the fields that were left out.
+// setDefaults sets the default of each missing optional field.
 func (c *Contract) setDefaults() {
 	if c.Limits.Burst == 0 && c.Limits.RequestsPerSecond > 0 {
 		c.Limits.Burst = int(math.Ceil(min(c.Limits.RequestsPerSecond, maxBurst)))
