--- a/contract/check.go
+++ b/contract/check.go
@@ -71,7 +71,7 @@
 	checkPattern(fail, "id", b.ID, namePattern, nameRule)
 	addr, err := netip.ParseAddrPort(b.Address)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
-		fail("address", "must be an IP number and a port such as 10.0.0.7:7400, is %q", b.Address)
+		fail("address", "must be an IP address and a port such as 10.0.0.7:7400, is %q", b.Address)
 	}
 	checkPattern(fail, "zone", b.Zone, namePattern, nameRule)
 	switch b.Role {
@@ -141,7 +141,7 @@
 		return
 	}
 	if strings.ContainsAny(prefix, " ?#%") || strings.Contains(prefix, "//") || !isPrintable(prefix) {
-		fail(field, "path must be plain, without spaces, escapes, query or doubled slashes, is %q", prefix)
+		fail(field, "path must be plain, without spaces, escapes, a query or double slashes, is %q", prefix)
 	}
 }
 
--- a/contract/lookup.go
+++ b/contract/lookup.go
@@ -13,9 +13,9 @@
 // lower-case hexadecimal.
 func HashKey(key string) string { return apikey.Of(key).String() }
 
-// ClassFor returns the class of a request for model: the class called name, or the
-// first class if name is empty, that lists the model. The class belongs to c and must
-// not be changed.
+// ClassFor returns the class of a request for model. If name is empty, it is the first
+// class that lists the model; otherwise it is the class called name, if that lists the
+// model. The class belongs to c and must not be changed.
 func (c *Contract) ClassFor(model, name string) (*Class, bool) {
 	for i := range c.Classes {
 		class := &c.Classes[i]
--- a/contract/yaml.go
+++ b/contract/yaml.go
@@ -75,7 +75,7 @@
 	return c, nil
 }
 
-// Marshal returns the canonical YAML of c. Parse has filled in the defaults.
+// Marshal returns the canonical YAML of c, with all defaults written out.
 func (c *Contract) Marshal() ([]byte, error) {
 	return yaml.Marshal(c)
 }
--- a/dissemination/conflict.go
+++ b/dissemination/conflict.go
@@ -97,9 +97,9 @@
 	}
 }
 
-func valueOr(name, fallback string) string {
-	if name == "" {
+func valueOr(value, fallback string) string {
+	if value == "" {
 		return fallback
 	}
-	return name
+	return value
 }
--- a/dissemination/state.go
+++ b/dissemination/state.go
@@ -12,10 +12,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// tombstoneRevisions is how many revisions below the head a State retains
+// defaultTombstoneRevisions is how many revisions below the head a State retains
 // tombstones: more than a day of changes at the design size. A peer that is further
 // behind gets a full delta.
-const tombstoneRevisions = 4096
+const defaultTombstoneRevisions = 4096
 
 // Record is a row of the configuration at the revision that last changed it.
 type Record struct {
@@ -58,7 +58,7 @@
 
 // NewState returns an empty state at revision 0.
 func NewState() *State {
-	return newState(tombstoneRevisions)
+	return newState(defaultTombstoneRevisions)
 }
 
 func newState(tombstoneRevisions uint64) *State {
--- a/dissemination/sweep.go
+++ b/dissemination/sweep.go
@@ -89,7 +89,7 @@
 type rowRule func(store.Row) (rowAction, error)
 
 // oldLogRows deletes from the beginning of the log up to the first row that is
-// newer, is among the MinLogRows newest or has an unreadable time.
+// not older than before, is among the MinLogRows newest or has an unreadable time.
 func oldLogRows(before time.Time, head uint64) rowRule {
 	return func(row store.Row) (rowAction, error) {
 		var e LogEntry
@@ -144,7 +144,7 @@
 			failures = 0
 			*n += len(p.expired)
 			after = p.last
-			if p.end {
+			if p.isLast {
 				return nil
 			}
 		case isConflict(err): // another process changed a row; read the page again
@@ -166,12 +166,12 @@
 type page struct {
 	expired []store.Row
 	last    string
-	end     bool
+	isLast  bool
 }
 
 func (s *Sweeper) readPage(ctx context.Context, prefix, after string, rule rowRule) (page, error) {
 	rows, err := s.table.List(ctx, prefix, after, SweepBatchRows)
-	p := page{end: len(rows) < SweepBatchRows}
+	p := page{isLast: len(rows) < SweepBatchRows}
 	if err != nil {
 		return p, err
 	}
@@ -181,7 +181,7 @@
 			return p, err
 		}
 		if action == keepRemaining {
-			p.end = true
+			p.isLast = true
 			break
 		}
 		if action == deleteRow {
--- a/dissemination/sweep_test.go
+++ b/dissemination/sweep_test.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// agedTable returns a table with 100 changes for each of days. Every day a server is
+// agedTable returns a table with 100 changes for each day. Every day a server is
 // added and the one of the day before is deleted. A first change writes a contract.
 func agedTable(t *testing.T, days int, hook memory.Hook) store.Table {
 	t.Helper()
@@ -30,11 +30,11 @@
 		_, err := w.Commit(t.Context(), "ann", uint64(n), changes)
 		assert.NilError(t, err)
 	}
-	commit(one("contracts/a", "kept"))
+	commit(singleChange("contracts/a", "kept"))
 	for day := range days {
 		commit(map[string]Change{fmt.Sprint("backends/vm-", day): {Body: "x"}, fmt.Sprint("backends/vm-", day-1): {Deleted: true}})
 		for range 99 {
-			commit(one("contracts/b", "y"))
+			commit(singleChange("contracts/b", "y"))
 		}
 		time.Sleep(24 * time.Hour)
 	}
@@ -42,7 +42,7 @@
 	return table
 }
 
-func rows(t *testing.T, table store.Table, prefix string) int {
+func countRows(t *testing.T, table store.Table, prefix string) int {
 	t.Helper()
 	n := 0
 	for after := ""; ; {
@@ -81,14 +81,14 @@
 		assert.Equal(t, empty.Since(301).Full, false)
 		// A process drops a server that it knows even if the tombstone was deleted.
 		behind := NewState()
-		applyTo(t, behind, 250, rec("backends/vm-1", 102))
+		applyTo(t, behind, 250, putRecord("backends/vm-1", 102))
 		assert.NilError(t, NewReader(table, behind).Poll(t.Context()))
 		assert.DeepEqual(t, liveRevisions(behind), before)
 
 		// The newest rows of the log are kept regardless of age.
 		_, err = NewSweeper(table, time.Second).Sweep(t.Context(), time.Now(), time.Now())
 		assert.NilError(t, err)
-		assert.Equal(t, rows(t, table, LogPrefix), MinLogRows)
+		assert.Equal(t, countRows(t, table, LogPrefix), MinLogRows)
 	})
 }
 
@@ -136,7 +136,7 @@
 func TestTwoSweepersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := agedTable(t, 5, nil)
-		before := rows(t, table, BackendPrefix)
+		before := countRows(t, table, BackendPrefix)
 		for i := range 2 {
 			go func() {
 				_, err := NewSweeper(table, time.Duration(i+1)*300*time.Millisecond).Sweep(t.Context(), time.Now().Add(-60*time.Hour), time.Now())
@@ -144,8 +144,8 @@
 			}()
 		}
 		time.Sleep(time.Hour)
-		assert.Equal(t, rows(t, table, LogPrefix), 200)
-		assert.Equal(t, before-rows(t, table, BackendPrefix), 3)
+		assert.Equal(t, countRows(t, table, LogPrefix), 200)
+		assert.Equal(t, before-countRows(t, table, BackendPrefix), 3)
 	})
 }
 
@@ -153,12 +153,12 @@
 func TestSweepKeepsRecreatedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var table store.Table
-		returned := false
+		recreated := false
 		table = agedTable(t, 5, func(op memory.Op) error {
-			if op.Write && op.Phase == memory.Before && op.Key == "backends/vm--1" && !returned {
-				returned = true
+			if op.Write && op.Phase == memory.Before && op.Key == "backends/vm--1" && !recreated {
+				recreated = true
 				w := NewWriter(table, func() string { return "back" }, time.Now)
-				_, err := w.Commit(t.Context(), "ben", 501, one("backends/vm--1", "back"))
+				_, err := w.Commit(t.Context(), "ben", 501, singleChange("backends/vm--1", "back"))
 				assert.NilError(t, err)
 			}
 			return nil
--- a/dissemination/writer_test.go
+++ b/dissemination/writer_test.go
@@ -20,17 +20,17 @@
 // fakeTable is a table with a hook before each commit. The hook returns the error of
 // the commit and whether it takes effect regardless.
 type fakeTable struct {
-	mu   sync.Mutex
-	rows map[string]store.Row
-	hook func(n int) (effect bool, err error)
-	down func() bool
-	n    int
+	mu      sync.Mutex
+	rows    map[string]store.Row
+	hook    func(n int) (effect bool, err error)
+	isDown  func() bool
+	commits int
 }
 
 func (t *fakeTable) Get(_ context.Context, key string) (store.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.down != nil && t.down() {
+	if t.isDown != nil && t.isDown() {
 		return store.Row{}, store.ErrUnavailable
 	}
 	r, ok := t.rows[key]
@@ -56,10 +56,10 @@
 func (t *fakeTable) Commit(_ context.Context, txn store.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.n++
+	t.commits++
 	effect, err := true, error(nil)
 	if t.hook != nil {
-		effect, err = t.hook(t.n)
+		effect, err = t.hook(t.commits)
 	}
 	if !effect {
 		return err
@@ -84,7 +84,7 @@
 	return NewWriter(t, func() string { n++; return fmt.Sprintf("change-%p-%d", &n, n) }, time.Now)
 }
 
-func one(key, body string) map[string]Change {
+func singleChange(key, body string) map[string]Change {
 	return map[string]Change{key: {Body: body}}
 }
 
@@ -92,7 +92,7 @@
 	table := newTable()
 	w := newWriter(table)
 	ctx := context.Background()
-	rev, err := w.Commit(ctx, "ann", 0, one("contracts/a", "x"))
+	rev, err := w.Commit(ctx, "ann", 0, singleChange("contracts/a", "x"))
 	assert.NilError(t, err)
 	assert.Equal(t, rev, uint64(1))
 	rev, err = w.Commit(ctx, "ann", 1, map[string]Change{"contracts/a": {Deleted: true}})
@@ -114,7 +114,7 @@
 		if n == 1 {
 			table.hook = nil
 			table.mu.Unlock()
-			_, err := newWriter(table).Commit(ctx, "ben", 0, one("contracts/a", "theirs"))
+			_, err := newWriter(table).Commit(ctx, "ben", 0, singleChange("contracts/a", "theirs"))
 			table.mu.Lock()
 			assert.NilError(t, err)
 		}
@@ -150,11 +150,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				table := newTable()
 				table.hook = tc.hook
-				rev, err := newWriter(table).Commit(t.Context(), "ann", 0, one("contracts/a", "x"))
+				rev, err := newWriter(table).Commit(t.Context(), "ann", 0, singleChange("contracts/a", "x"))
 				assert.NilError(t, err)
 				assert.Equal(t, rev, uint64(1))
 				assert.Equal(t, table.rows["contracts/a"].Version, uint64(1))
-				assert.Equal(t, table.n, tc.commits)
+				assert.Equal(t, table.commits, tc.commits)
 			})
 		})
 	}
@@ -168,12 +168,12 @@
 				return true, nil
 			}
 			table.mu.Unlock()
-			_, err := newWriter(table).Commit(t.Context(), "ben", 0, one("contracts/b", "theirs"))
+			_, err := newWriter(table).Commit(t.Context(), "ben", 0, singleChange("contracts/b", "theirs"))
 			table.mu.Lock()
 			assert.NilError(t, err)
 			return false, store.ErrIndeterminate
 		}
-		_, err := newWriter(table).Commit(t.Context(), "ann", 0, one("contracts/a", "x"))
+		_, err := newWriter(table).Commit(t.Context(), "ann", 0, singleChange("contracts/a", "x"))
 		var c *ConflictError
 		assert.Assert(t, errors.As(err, &c), "%v", err)
 	})
@@ -183,10 +183,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := newTable()
 		table.hook = func(int) (bool, error) { return true, store.ErrIndeterminate }
-		table.down = func() bool { return table.n > 0 }
+		table.isDown = func() bool { return table.commits > 0 }
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		_, err := newWriter(table).Commit(ctx, "ann", 0, one("contracts/a", "x"))
+		_, err := newWriter(table).Commit(ctx, "ann", 0, singleChange("contracts/a", "x"))
 		var u *UnknownOutcomeError
 		assert.Assert(t, errors.As(err, &u), "%v", err)
 		assert.Equal(t, u.Revision, uint64(1))
@@ -197,7 +197,7 @@
 func TestUnavailableWritesNothing(t *testing.T) {
 	table := newTable()
 	table.hook = func(int) (bool, error) { return false, store.ErrUnavailable }
-	_, err := newWriter(table).Commit(context.Background(), "ann", 0, one("contracts/a", "x"))
+	_, err := newWriter(table).Commit(context.Background(), "ann", 0, singleChange("contracts/a", "x"))
 	assert.ErrorIs(t, err, store.ErrUnavailable)
-	assert.Equal(t, table.n, 1)
+	assert.Equal(t, table.commits, 1)
 }
--- a/store/http.go
+++ b/store/http.go
@@ -129,12 +129,12 @@
 }
 
 // read sends a call without effect and decodes its response into out.
-func (h *httpClient) read(ctx context.Context, path string, q url.Values, answer any) error {
+func (h *httpClient) read(ctx context.Context, path string, q url.Values, out any) error {
 	body, err := h.do(ctx, call{method: http.MethodGet, path: path, query: q})
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(body, answer); err != nil {
+	if err := json.Unmarshal(body, out); err != nil {
 		return withCause(ErrUnavailable, err)
 	}
 	return nil
--- a/store/store.go
+++ b/store/store.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Errors of the ports. Clients add the cause to them.
+// Errors of the ports. Clients wrap them with the cause.
 var (
 	// ErrUnavailable means that the call had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
