--- a/dissemination/compaction_test.go
+++ b/dissemination/compaction_test.go
@@ -136,8 +136,8 @@
 	notified map[string]uint64
 }
 
-func newReplica(keep uint64) *replica {
-	r := &replica{newState(keep), make(map[string]uint64)}
+func newReplica(tombstoneRevisions uint64) *replica {
+	r := &replica{newState(tombstoneRevisions), make(map[string]uint64)}
 	r.Watch(func(d Delta) {
 		for _, c := range d.Records {
 			r.notified[c.Key] = c.Revision
--- a/dissemination/pull.go
+++ b/dissemination/pull.go
@@ -31,13 +31,13 @@
 	}
 	p.want = max(p.want, head)
 	p.peer = peer
-	return p.due(own, now)
+	return p.startIfDue(own, now)
 }
 
 // Retry returns the peer to ask if the request in progress has timed out.
 func (p *Pull[P]) Retry(own uint64, now time.Time) (P, bool) {
 	var none P
-	if p.want <= own || p.peer == none || !p.due(own, now) {
+	if p.want <= own || p.peer == none || !p.startIfDue(own, now) {
 		return none, false
 	}
 	return p.peer, true
@@ -51,7 +51,7 @@
 	}
 }
 
-func (p *Pull[P]) due(own uint64, now time.Time) bool {
+func (p *Pull[P]) startIfDue(own uint64, now time.Time) bool {
 	if own != p.known {
 		p.known, p.attempts = own, 0
 	}
--- a/dissemination/state.go
+++ b/dissemination/state.go
@@ -50,10 +50,10 @@
 	mu       sync.RWMutex
 	head     uint64
 	// floor is the revision up to which tombstones may have been dropped.
-	floor    uint64
-	records  map[string]Record
-	order    revisionLog
-	watchers []func(Delta)
+	floor      uint64
+	records    map[string]Record
+	byRevision revisionLog
+	watchers   []func(Delta)
 }
 
 // NewState returns an empty state at revision 0.
@@ -115,11 +115,11 @@
 	for _, r := range d.Records {
 		if s.isNewer(r, d.Full) {
 			s.records[r.Key] = r
-			s.order.add(r)
+			s.byRevision.add(r)
 			changes.Records = append(changes.Records, r)
 		}
 	}
-	s.order.sort()
+	s.byRevision.sort()
 	s.head = d.Head
 	s.dropOldTombstones()
 	return changes, nil
@@ -166,12 +166,12 @@
 	if s.head > s.tombstoneRevisions {
 		s.floor = max(s.floor, s.head-s.tombstoneRevisions)
 	}
-	for _, c := range s.order.popTombstones(s.floor) {
+	for _, c := range s.byRevision.popTombstones(s.floor) {
 		if r, ok := s.records[c.key]; ok && r.Revision == c.revision {
 			delete(s.records, c.key)
 		}
 	}
-	s.order.compact(s.records)
+	s.byRevision.compact(s.records)
 }
 
 // Since returns the delta for a peer at revision from: a full one if tombstones that
@@ -184,7 +184,7 @@
 		d.From, d.Full = s.floor, true
 		from = 0
 	}
-	for _, c := range s.order.after(from) {
+	for _, c := range s.byRevision.after(from) {
 		if r, ok := s.records[c.key]; ok && r.Revision == c.revision {
 			d.Records = append(d.Records, r)
 		}
--- a/dissemination/writer_test.go
+++ b/dissemination/writer_test.go
@@ -20,11 +20,11 @@
 // fakeTable is a table with a hook before each commit. The hook returns the error of
 // the commit and whether it takes effect regardless.
 type fakeTable struct {
-	mu      sync.Mutex
-	rows    map[string]store.Row
-	hook    func(n int) (effect bool, err error)
-	isDown  func() bool
-	commits int
+	mu          sync.Mutex
+	rows        map[string]store.Row
+	hook        func(n int) (effect bool, err error)
+	isDown      func() bool
+	commitCalls int
 }
 
 func (t *fakeTable) Get(_ context.Context, key string) (store.Row, error) {
@@ -56,10 +56,10 @@
 func (t *fakeTable) Commit(_ context.Context, txn store.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.commits++
+	t.commitCalls++
 	effect, err := true, error(nil)
 	if t.hook != nil {
-		effect, err = t.hook(t.commits)
+		effect, err = t.hook(t.commitCalls)
 	}
 	if !effect {
 		return err
@@ -154,7 +154,7 @@
 				assert.NilError(t, err)
 				assert.Equal(t, rev, uint64(1))
 				assert.Equal(t, table.rows["contracts/a"].Version, uint64(1))
-				assert.Equal(t, table.commits, tc.commits)
+				assert.Equal(t, table.commitCalls, tc.commits)
 			})
 		})
 	}
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := newTable()
 		table.hook = func(int) (bool, error) { return true, store.ErrIndeterminate }
-		table.isDown = func() bool { return table.commits > 0 }
+		table.isDown = func() bool { return table.commitCalls > 0 }
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		_, err := newWriter(table).Commit(ctx, "ann", 0, singleChange("contracts/a", "x"))
@@ -199,5 +199,5 @@
 	table.hook = func(int) (bool, error) { return false, store.ErrUnavailable }
 	_, err := newWriter(table).Commit(context.Background(), "ann", 0, singleChange("contracts/a", "x"))
 	assert.ErrorIs(t, err, store.ErrUnavailable)
-	assert.Equal(t, table.commits, 1)
+	assert.Equal(t, table.commitCalls, 1)
 }
