--- a/dissemination/index_test.go
+++ b/dissemination/index_test.go
@@ -65,7 +65,7 @@
 	assert.Assert(t, ok)
 }
 
-func TestKeyOfTwoContractsIsRejected(t *testing.T) {
+func TestSharedKeyIsRejectedUntilOneContractDropsIt(t *testing.T) {
 	s := NewState()
 	reports := 0
 	x := NewIndex(s, func(string, uint64, error) { reports++ })
