--- a/cmd/hibiscusspur/backend.go
+++ b/cmd/hibiscusspur/backend.go
@@ -37,11 +37,11 @@
 	cmd.MarkFlagsOneRequired("file", "id")
 }
 
-func (b *backendFlags) wanted() (operator.Wanted, error) {
+func (b *backendFlags) wanted() (operator.Desired, error) {
 	if b.file != "" {
 		return operator.LoadBackends(b.file)
 	}
-	return operator.BackendWanted(&b.record)
+	return operator.DesiredBackend(&b.record)
 }
 
 func backendAddCmd(d *desk) *cobra.Command {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -211,10 +211,10 @@
 		if ctx.Err() != nil {
 			return a.giveUp(context.Cause(ctx)), false
 		}
-		return a.refine(outcome.Unsure(outcome.LinkDown, "")), false
+		return a.refine(outcome.Indeterminate(outcome.LinkDown, "")), false
 	}
 	if a.servers.decode.incarnation() != a.incarnation {
-		return a.refine(outcome.Unsure(outcome.SidecarRestarted, "")), false
+		return a.refine(outcome.Indeterminate(outcome.SidecarRestarted, "")), false
 	}
 	a.attach()
 	return outcome.Outcome{}, true
@@ -233,7 +233,7 @@
 func (a *attempt) giveUp(err error) outcome.Outcome {
 	reason := causeReason(err)
 	if a.r.received > 0 || reason == outcome.CallerGone {
-		return a.refine(outcome.Unsure(reason, ""))
+		return a.refine(outcome.Indeterminate(reason, ""))
 	}
 	return a.fence(reason)
 }
@@ -247,7 +247,7 @@
 	for {
 		f, err := a.decode.recv(ctx)
 		if err != nil {
-			return outcome.Unsure(reason, "fence not confirmed")
+			return outcome.Indeterminate(reason, "fence not confirmed")
 		}
 		if fenced := f.GetFenced(); fenced != nil {
 			return fencedOutcome(reason, fenced.GetRan())
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -188,7 +188,7 @@
 				return nil, out
 			}
 		case err != nil:
-			return nil, outcome.Unsure(causeReason(err), "")
+			return nil, outcome.Indeterminate(causeReason(err), "")
 		case f.GetReply() != nil:
 			return f.GetReply(), outcome.Outcome{Kind: outcome.Completed}
 		case f.GetRefused() != nil:
@@ -201,10 +201,10 @@
 	wait, cancel := context.WithTimeoutCause(ctx, s.settings.Timing.Reattach, errNoAnswer)
 	defer cancel()
 	if err := fl.peer.waitUp(wait); err != nil {
-		return outcome.Unsure(outcome.LinkDown, ""), false
+		return outcome.Indeterminate(outcome.LinkDown, ""), false
 	}
 	if fl.peer.incarnation() != incarnation {
-		return outcome.Unsure(outcome.SidecarRestarted, ""), false
+		return outcome.Indeterminate(outcome.SidecarRestarted, ""), false
 	}
 	_ = fl.send(&wire.EntryFrame{Body: &wire.EntryFrame_Attach{Attach: &wire.Attach{Ref: fl.key.Ref()}}})
 	return outcome.Outcome{}, true
--- a/entry/frames.go
+++ b/entry/frames.go
@@ -92,7 +92,7 @@
 		event.RecordInvalid.Log(p.pool.log).Str("backend", p.backend.ID).Err(err).Msg("")
 	}
 	if applied {
-		event.RevisionHealed.Log(p.pool.log).Str("backend", p.backend.ID).Uint64("revision", m.GetHead()).Msg("")
+		event.RevisionRestored.Log(p.pool.log).Str("backend", p.backend.ID).Uint64("revision", m.GetHead()).Msg("")
 	}
 }
 
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -82,7 +82,7 @@
 	case claim.Granted:
 		return keyClaim{release: func() { g.table.Release(c) }}, outcome.Outcome{}, true
 	case claim.InUse:
-		return keyClaim{}, outcome.Unsure(outcome.KeyInUse, ""), false
+		return keyClaim{}, outcome.Indeterminate(outcome.KeyInUse, ""), false
 	default:
 		return keyClaim{}, outcome.Refuse(outcome.StoreUnavailable, storeRetryAfter), false
 	}
@@ -95,11 +95,11 @@
 	}
 	t, err := g.sealer.Open(text, customer, time.Now())
 	if err != nil {
-		return keyClaim{}, outcome.Unsure(outcome.TicketLost, "ticket not valid"), false
+		return keyClaim{}, outcome.Indeterminate(outcome.TicketLost, "ticket not valid"), false
 	}
 	p := g.pool.peer(t.Backend)
 	if p == nil {
-		return keyClaim{}, outcome.Unsure(outcome.TicketLost, "backend server gone"), false
+		return keyClaim{}, outcome.Indeterminate(outcome.TicketLost, "backend server gone"), false
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, g.settings.Timing.Claim, errNoAnswer)
 	defer cancel()
@@ -141,16 +141,16 @@
 func claimResult(p *peer, m *wire.Claim, answer *wire.Claimed) (keyClaim, outcome.Outcome, bool) {
 	switch {
 	case answer.GetIncarnationGone():
-		return keyClaim{}, outcome.Unsure(outcome.TicketLost, "sidecar restarted"), false
+		return keyClaim{}, outcome.Indeterminate(outcome.TicketLost, "sidecar restarted"), false
 	case answer.GetGranted():
 		return keyClaim{release: func() {
 			m.Release = true
 			_ = p.send(&wire.EntryFrame{Body: &wire.EntryFrame_Claim{Claim: m}})
 		}}, outcome.Outcome{}, true
 	case answer.GetHolderRequestId() == "":
-		return keyClaim{}, outcome.Refuse(outcome.NoPlace, storeRetryAfter), false
+		return keyClaim{}, outcome.Refuse(outcome.NoDecodeSlot, storeRetryAfter), false
 	default:
-		return keyClaim{}, outcome.Unsure(outcome.KeyInUse, ""), false
+		return keyClaim{}, outcome.Indeterminate(outcome.KeyInUse, ""), false
 	}
 }
 
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -83,7 +83,7 @@
 	case errors.Is(err, errProtocol):
 		return event.LinkRefused
 	case errors.Is(err, link.ErrSilent):
-		return event.LinkSilent
+		return event.LinkUnresponsive
 	default:
 		return event.LinkDown
 	}
--- a/entry/policy_test.go
+++ b/entry/policy_test.go
@@ -116,7 +116,7 @@
 		{"failed, unrepeatable", context.Background(), true, []outcome.Outcome{outcome.Fail(outcome.EngineLost, "")}, false, outcome.Failed},
 		{"caller gone", cancelled, false, []outcome.Outcome{outcome.Fail(outcome.EngineLost, "")}, false, outcome.Failed},
 		{"refused after a failure", context.Background(), false, []outcome.Outcome{
-			outcome.Fail(outcome.EngineLost, ""), outcome.Refuse(outcome.NoPlace, 0),
+			outcome.Fail(outcome.EngineLost, ""), outcome.Refuse(outcome.NoDecodeSlot, 0),
 		}, false, outcome.Failed},
 	} {
 		tr := newRetrier(2, metrics.NewSet()).tracker("x", tc.unrepeatable, time.Time{})
@@ -129,7 +129,7 @@
 		assert.Equal(t, final.Kind, tc.kind, tc.name)
 	}
 	tr := newRetrier(3, metrics.NewSet()).tracker("x", false, time.Time{})
-	_, again := tr.attemptEnded(context.Background(), retryAttemptAt(outcome.Unsure(outcome.LinkDown, ""), at, true), 0, 0)
+	_, again := tr.attemptEnded(context.Background(), retryAttemptAt(outcome.Indeterminate(outcome.LinkDown, ""), at, true), 0, 0)
 	assert.Assert(t, again)
 	assert.Equal(t, tr.conclude(outcome.Refuse(outcome.NoBackend, time.Second)).Kind, outcome.Unknown, "an attempt may have run")
 }
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -15,64 +15,64 @@
 	RequestRetried = Event{202, log.InfoLevel, "request retried"}
 	RequestRefused = Event{203, log.InfoLevel, "request refused"}
 
-	RunStarted     = Event{301, log.DebugLevel, "run started"}
-	RunCancelled   = Event{302, log.InfoLevel, "run cancelled"}
-	LeaseLapsed    = Event{303, log.WarnLevel, "lease of an entry lapsed"}
-	OrphanSwept    = Event{304, log.WarnLevel, "orphaned run cancelled in the engine"}
-	EngineFailed   = Event{305, log.WarnLevel, "engine call failed"}
-	ServerLeaving  = Event{306, log.InfoLevel, "backend server leaving"}
-	SweepFailed    = Event{307, log.WarnLevel, "orphan sweep failed"}
-	ReservationEnd = Event{308, log.InfoLevel, "reservation lapsed unused"}
+	RunStarted         = Event{301, log.DebugLevel, "run started"}
+	RunCancelled       = Event{302, log.InfoLevel, "run cancelled"}
+	LeaseLapsed        = Event{303, log.WarnLevel, "lease of an entry lapsed"}
+	OrphanSwept        = Event{304, log.WarnLevel, "orphaned run cancelled in the engine"}
+	EngineFailed       = Event{305, log.WarnLevel, "engine call failed"}
+	ServerLeaving      = Event{306, log.InfoLevel, "backend server leaving"}
+	SweepFailed        = Event{307, log.WarnLevel, "orphan sweep failed"}
+	ReservationExpired = Event{308, log.InfoLevel, "reservation lapsed unused"}
 
 	OrderGiven  = Event{309, log.InfoLevel, "order given to the engine"}
 	OrderFailed = Event{310, log.WarnLevel, "order to the engine failed"}
 
-	LinkUp      = Event{401, log.InfoLevel, "link up"}
-	LinkDown    = Event{402, log.WarnLevel, "link down"}
-	LinkSilent  = Event{403, log.WarnLevel, "link silent"}
-	LinkRefused = Event{404, log.WarnLevel, "link refused"}
+	LinkUp           = Event{401, log.InfoLevel, "link up"}
+	LinkDown         = Event{402, log.WarnLevel, "link down"}
+	LinkUnresponsive = Event{403, log.WarnLevel, "link silent"}
+	LinkRefused      = Event{404, log.WarnLevel, "link refused"}
 	// FrameDropped means that text from outside reached a frame unchecked.
 	FrameDropped = Event{405, log.ErrorLevel, "frame not encodable; dropped"}
 
-	RevisionApplied = Event{501, log.InfoLevel, "configuration revision applied"}
-	StoreFailed     = Event{502, log.WarnLevel, "platform table call failed"}
-	RecordInvalid   = Event{503, log.ErrorLevel, "configuration record not understood; kept out"}
-	RevisionHealed  = Event{504, log.InfoLevel, "configuration revision handed back by a peer"}
+	RevisionApplied  = Event{501, log.InfoLevel, "configuration revision applied"}
+	StoreFailed      = Event{502, log.WarnLevel, "platform table call failed"}
+	RecordInvalid    = Event{503, log.ErrorLevel, "configuration record not understood; kept out"}
+	RevisionRestored = Event{504, log.InfoLevel, "configuration revision handed back by a peer"}
 
-	RequestAnswered   = Event{701, log.InfoLevel, "request answered"}
-	RequestTurnedAway = Event{702, log.InfoLevel, "request turned away before it ran"}
-	AttemptFailed     = Event{703, log.InfoLevel, "attempt at a server failed"}
+	RequestAnswered = Event{701, log.InfoLevel, "request answered"}
+	RequestRejected = Event{702, log.InfoLevel, "request turned away before it ran"}
+	AttemptFailed   = Event{703, log.InfoLevel, "attempt at a server failed"}
 
-	TableApplied    = Event{711, log.InfoLevel, "route table in force"}
-	TableRefused    = Event{712, log.ErrorLevel, "route table not understood; the last one stays in force"}
-	ServersChanged  = Event{713, log.InfoLevel, "list of servers changed"}
-	ServerInvalid   = Event{714, log.WarnLevel, "entry of a server not understood; left out"}
-	ReadyChanged    = Event{715, log.InfoLevel, "readiness changed"}
-	StoreLost       = Event{716, log.WarnLevel, "platform's store lost"}
-	StoreRegained   = Event{717, log.InfoLevel, "platform's store regained"}
-	SettingsRead    = Event{718, log.InfoLevel, "settings read"}
-	SettingsRefused = Event{719, log.ErrorLevel, "settings not understood; the last ones stay in force"}
-	LinesDropped    = Event{720, log.WarnLevel, "log lines dropped"}
-	PeerLost        = Event{721, log.WarnLevel, "gateway lost"}
-	PeerRegained    = Event{722, log.InfoLevel, "gateway regained"}
-	StageOrdered    = Event{723, log.InfoLevel, "engine ordered to another stage"}
-	StageFailed     = Event{724, log.WarnLevel, "order to change a stage failed"}
-	PeerTraffic     = Event{725, log.InfoLevel, "exchanges with gateways failed or state was fetched here"}
-	StateFetched    = Event{726, log.InfoLevel, "state fetched from a gateway"}
-	FetchFailed     = Event{727, log.WarnLevel, "fetch from a gateway failed"}
-	ServerRestarted = Event{728, log.InfoLevel, "server started again under its name"}
-	ServerEnded     = Event{729, log.WarnLevel, "server ended with requests in progress"}
-	RequestHeld     = Event{730, log.ErrorLevel, "request held back: servers end under it"}
-	RequestReleased = Event{731, log.InfoLevel, "request no longer held back"}
-	HoldInvalid     = Event{732, log.WarnLevel, "kept hold not understood; left out"}
-	KeysRefused     = Event{733, log.ErrorLevel, "requests with keys refused: configuration not proved to be recent"}
-	KeysServed      = Event{734, log.InfoLevel, "requests with keys served again"}
-	QuotaUsed       = Event{735, log.InfoLevel, "quota of a customer used up"}
-	QuotaShared     = Event{736, log.WarnLevel, "quotas shared with gateways that are not heard"}
-	ServerLimited   = Event{737, log.InfoLevel, "server names how much it takes, or no limit any more"}
-	ServerRests     = Event{739, log.InfoLevel, "server has turned a request away and asks for rest"}
-	ServerLeaves    = Event{740, log.InfoLevel, "server says in an answer that it leaves"}
-	SignalInvalid   = Event{738, log.WarnLevel, "field of a server's answer not understood; what it said before holds"}
+	TableApplied         = Event{711, log.InfoLevel, "route table in force"}
+	TableRefused         = Event{712, log.ErrorLevel, "route table not understood; the last one stays in force"}
+	ServersChanged       = Event{713, log.InfoLevel, "list of servers changed"}
+	ServerInvalid        = Event{714, log.WarnLevel, "entry of a server not understood; left out"}
+	ReadyChanged         = Event{715, log.InfoLevel, "readiness changed"}
+	StoreLost            = Event{716, log.WarnLevel, "platform's store lost"}
+	StoreRegained        = Event{717, log.InfoLevel, "platform's store regained"}
+	SettingsRead         = Event{718, log.InfoLevel, "settings read"}
+	SettingsRefused      = Event{719, log.ErrorLevel, "settings not understood; the last ones stay in force"}
+	LinesDropped         = Event{720, log.WarnLevel, "log lines dropped"}
+	PeerLost             = Event{721, log.WarnLevel, "gateway lost"}
+	PeerRegained         = Event{722, log.InfoLevel, "gateway regained"}
+	StageOrdered         = Event{723, log.InfoLevel, "engine ordered to another stage"}
+	StageFailed          = Event{724, log.WarnLevel, "order to change a stage failed"}
+	PeerTraffic          = Event{725, log.InfoLevel, "exchanges with gateways failed or state was fetched here"}
+	StateFetched         = Event{726, log.InfoLevel, "state fetched from a gateway"}
+	FetchFailed          = Event{727, log.WarnLevel, "fetch from a gateway failed"}
+	ServerRestarted      = Event{728, log.InfoLevel, "server started again under its name"}
+	ServerTerminated     = Event{729, log.WarnLevel, "server ended with requests in progress"}
+	RequestQuarantined   = Event{730, log.ErrorLevel, "request held back: servers end under it"}
+	RequestReleased      = Event{731, log.InfoLevel, "request no longer held back"}
+	HoldInvalid          = Event{732, log.WarnLevel, "kept hold not understood; left out"}
+	KeysRefused          = Event{733, log.ErrorLevel, "requests with keys refused: configuration not proved to be recent"}
+	KeysServed           = Event{734, log.InfoLevel, "requests with keys served again"}
+	QuotaUsed            = Event{735, log.InfoLevel, "quota of a customer used up"}
+	QuotaReserved        = Event{736, log.WarnLevel, "quotas shared with gateways that are not heard"}
+	ServerLimited        = Event{737, log.InfoLevel, "server names how much it takes, or no limit any more"}
+	ServerCooldown       = Event{739, log.InfoLevel, "server has turned a request away and asks for rest"}
+	ServerLeaveAnnounced = Event{740, log.InfoLevel, "server says in an answer that it leaves"}
+	SignalInvalid        = Event{738, log.WarnLevel, "field of a server's answer not understood; what it said before holds"}
 
 	FaultSet = Event{601, log.InfoLevel, "fault switched"}
 )
@@ -82,15 +82,15 @@
 	return []Event{
 		Started, Draining, Stopped, DrainIncomplete, Library,
 		RequestEnded, RequestRetried, RequestRefused,
-		RunStarted, RunCancelled, LeaseLapsed, OrphanSwept, EngineFailed, ServerLeaving, SweepFailed, ReservationEnd, OrderGiven, OrderFailed,
-		LinkUp, LinkDown, LinkSilent, LinkRefused, FrameDropped,
-		RevisionApplied, StoreFailed, RecordInvalid, RevisionHealed,
+		RunStarted, RunCancelled, LeaseLapsed, OrphanSwept, EngineFailed, ServerLeaving, SweepFailed, ReservationExpired, OrderGiven, OrderFailed,
+		LinkUp, LinkDown, LinkUnresponsive, LinkRefused, FrameDropped,
+		RevisionApplied, StoreFailed, RecordInvalid, RevisionRestored,
 		FaultSet,
-		RequestAnswered, RequestTurnedAway, AttemptFailed,
+		RequestAnswered, RequestRejected, AttemptFailed,
 		TableApplied, TableRefused, ServersChanged, ServerInvalid, ReadyChanged, StoreLost, StoreRegained,
 		SettingsRead, SettingsRefused, LinesDropped, PeerLost, PeerRegained, StageOrdered, StageFailed,
-		PeerTraffic, StateFetched, FetchFailed, ServerRestarted, ServerEnded,
-		RequestHeld, RequestReleased, HoldInvalid, KeysRefused, KeysServed, QuotaUsed, QuotaShared,
-		ServerLimited, SignalInvalid, ServerRests, ServerLeaves,
+		PeerTraffic, StateFetched, FetchFailed, ServerRestarted, ServerTerminated,
+		RequestQuarantined, RequestReleased, HoldInvalid, KeysRefused, KeysServed, QuotaUsed, QuotaReserved,
+		ServerLimited, SignalInvalid, ServerCooldown, ServerLeaveAnnounced,
 	}
 }
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -79,10 +79,10 @@
 		j.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
 	if j.retried {
-		f.Metrics.Counter(metrics.ReturnersRefused).Inc(1)
+		f.Metrics.Counter(metrics.ClientRetriesRejected).Inc(1)
 	}
 	f.finish(j, refusalStatus(reason), outcome.NotRun, reason)
-	e := event.RequestTurnedAway.Log(f.Log).Str("request", j.meta.ID).Str("route", j.routeName()).
+	e := event.RequestRejected.Log(f.Log).Str("request", j.meta.ID).Str("route", j.routeName()).
 		Str("reason", string(reason)).Str("customer", j.customer()).Dur("waited", j.waited).Dur("retry_after", after).Int64("version", j.version())
 	if reason == outcome.Quarantined {
 		e = e.Str("content", j.digest().String())
--- a/forward/call.go
+++ b/forward/call.go
@@ -101,11 +101,11 @@
 	case errors.Is(err, errLimited):
 		return outcome.ServerLimited
 	case errors.Is(err, errCooldown):
-		return outcome.ServerResting
+		return outcome.ServerCooldown
 	case errors.Is(err, errLeaving):
 		return outcome.Leaving
 	case errors.Is(err, errNotRun):
-		return outcome.NoPlace
+		return outcome.NoDecodeSlot
 	case errors.Is(err, errNoStamp):
 		return outcome.AnswerIncomplete
 	default:
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -274,7 +274,7 @@
 	s.budget.AddRequest(f.Retry, j.arrived)
 	j.retried = s.isRetry(j)
 	if j.retried {
-		f.Metrics.Counter(metrics.Returners).Inc(1)
+		f.Metrics.Counter(metrics.ClientRetries).Inc(1)
 	}
 	if j.isStream() {
 		s.promptRate.Add(float64(j.meta.PromptTokens), j.arrived)
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -43,7 +43,7 @@
 			return nil, r.noServerLeft(outcome.PromptTooLong), false
 		}
 		if e.rejectsEarly(r.waiter, f.holdTime(j), start) {
-			return nil, r.noServerLeft(outcome.NoPlace), false
+			return nil, r.noServerLeft(outcome.NoDecodeSlot), false
 		}
 	}
 	r.waiter.Exclude = r.tried
@@ -59,7 +59,7 @@
 			return nil, j.unanswered(outcome.Quarantined), false
 		}
 		if !ok {
-			return nil, r.noServerLeft(outcome.NoPlace), false
+			return nil, r.noServerLeft(outcome.NoDecodeSlot), false
 		}
 		if s, ok := findServer(f.View.Servers(j.service), id); ok {
 			j.freeMemory = r.run.FreeAtPeak
@@ -125,7 +125,7 @@
 		a.lease = nil
 		f.Metrics.Counter(metrics.ReservationsYielded).Inc(1)
 		f.releaseLease(j, l)
-		return j.unanswered(outcome.NoPlace), false
+		return j.unanswered(outcome.NoDecodeSlot), false
 	}
 	a.r.tried = append(a.r.tried, l.server.ID)
 	return outcome.Outcome{}, true
@@ -163,14 +163,14 @@
 	case errors.Is(err, ErrFull):
 		f.Metrics.Counter(metrics.ReservationsRefused).Inc(1)
 		e.refused(l.server.ID, l.run)
-		return j.unanswered(outcome.NoPlace)
+		return j.unanswered(outcome.NoDecodeSlot)
 	case errors.Is(err, ErrStopping):
 		// Recorded as a refusal it would be forgotten whenever a run completes at the engine, and every gateway would
 		// ask the engine again.
 		f.Metrics.Counter(metrics.ReservationsRefused).Inc(1)
 		f.suspect(l.server)
 		e.failed(l.server.ID, l.run)
-		return j.unanswered(outcome.NoPlace)
+		return j.unanswered(outcome.NoDecodeSlot)
 	case ctx.Err() != nil:
 		e.release(l.server.ID, l.run)
 		return j.unanswered(reasonOf(ctx))
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -87,12 +87,12 @@
 	}
 	if sig.Cooldown > 0 {
 		f.cooldowns.requested(s.ID, sig.Cooldown)
-		f.Metrics.Counter(metrics.RestsAsked).Inc(1)
-		event.ServerRests.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Dur("rest", sig.Cooldown).Msg("")
+		f.Metrics.Counter(metrics.CooldownsRequested).Inc(1)
+		event.ServerCooldown.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Dur("rest", sig.Cooldown).Msg("")
 	}
 	if sig.Leaving && f.View.MarkLeaving(s) {
 		f.notifyPlacementChanged()
-		event.ServerLeaves.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Msg("")
+		event.ServerLeaveAnnounced.Log(f.Log).Str("server", s.ID).Str("service", s.Service).Msg("")
 	}
 }
 
@@ -109,7 +109,7 @@
 func (f *Forwarder) unavailableFor(id string) (time.Duration, outcome.Reason) {
 	limited, cooldown := f.limits.wait(id), f.cooldowns.remaining(id)
 	if cooldown >= limited {
-		return cooldown, outcome.ServerResting
+		return cooldown, outcome.ServerCooldown
 	}
 	return limited, outcome.ServerLimited
 }
@@ -157,7 +157,7 @@
 
 // withheld is the error of a request that is not sent because of its server's signals.
 func (f *Forwarder) withheld(why error) error {
-	f.Metrics.Counter(metrics.SendsHeldBack).Inc(1)
+	f.Metrics.Counter(metrics.SendsWithheld).Inc(1)
 	return errors.Join(upstream.ErrNotSent, why)
 }
 
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -142,7 +142,7 @@
 	lifetime := j.table.Services[j.service].Engine.MaxReservationTTL
 	reservation, err := f.Engines.Reserve(ctx, a.lease.server, j.reservedTokens(), lifetime)
 	if err != nil {
-		f.attemptFailed(j, a.lease.server, outcome.NoPlace, err)
+		f.attemptFailed(j, a.lease.server, outcome.NoDecodeSlot, err)
 	}
 	return reservation
 }
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -111,8 +111,8 @@
 	assert.Equal(t, w.post(t, "/draft/1").status, 200)
 	assert.Equal(t, w.post(t, "/draft/2", site.Deadline, "9000").status, 200, "the client has already waited for seconds elsewhere")
 	assert.Equal(t, w.post(t, "/draft/3", site.Deadline, "9000", site.Tokens, "20000,200").status, 503, "larger than any engine")
-	assert.Equal(t, w.met.Counter(metrics.Returners).Count(), int64(2))
-	assert.Equal(t, w.met.Counter(metrics.ReturnersRefused).Count(), int64(1))
+	assert.Equal(t, w.met.Counter(metrics.ClientRetries).Count(), int64(2))
+	assert.Equal(t, w.met.Counter(metrics.ClientRetriesRejected).Count(), int64(1))
 }
 
 // TestFailedPrefillTakesRetryBudget: a failed prefill is charged to the retry budget, whatever follows it. With the
@@ -146,7 +146,7 @@
 	got := w.post(t, "/resume/1")
 	assert.Equal(t, got.status, 502)
 	assert.Equal(t, w.met.Counter(metrics.RetriedPrefix+string(outcome.EngineLost)).Count(), int64(1))
-	assert.Equal(t, w.met.Counter(metrics.RetriedPrefix+string(outcome.NoPlace)).Count(), int64(0))
+	assert.Equal(t, w.met.Counter(metrics.RetriedPrefix+string(outcome.NoDecodeSlot)).Count(), int64(0))
 }
 
 // TestResumedOnceMemoryIsFree: a stream that breaks off when no other engine has free memory waits for it briefly,
--- a/forward/terminations.go
+++ b/forward/terminations.go
@@ -102,7 +102,7 @@
 // serverTerminated records that a server has terminated.
 func (f *Forwarder) serverTerminated(id string, how terminationSign) {
 	if broken := f.interrupted.serverTerminated(id); len(broken) > 0 {
-		f.Metrics.Counter(metrics.ServersEnded).Inc(1)
+		f.Metrics.Counter(metrics.ServersTerminated).Inc(1)
 		f.reportTermination(id, how, broken)
 	}
 }
@@ -110,9 +110,9 @@
 // reportTermination reports the requests that were in progress at a terminated server; how is empty if the termination
 // was recorded before.
 func (f *Forwarder) reportTermination(id string, how terminationSign, broken []quarantine.BrokenAttempt) {
-	f.Metrics.Counter(metrics.RequestsBroken).Inc(int64(len(broken)))
+	f.Metrics.Counter(metrics.RequestsInterrupted).Inc(int64(len(broken)))
 	f.Guard.ServerTerminated(id, broken)
-	event.ServerEnded.Log(f.Log).Str("server", id).Str("how", string(how)).Int("requests", len(broken)).
+	event.ServerTerminated.Log(f.Log).Str("server", id).Str("how", string(how)).Int("requests", len(broken)).
 		Strs("contents", digestsOf(broken)).Msg("")
 }
 
--- a/forward/terminations_test.go
+++ b/forward/terminations_test.go
@@ -48,8 +48,8 @@
 	w.log.Wait(t, false, func(c site.Call) bool { return c.ID == "id-2" })
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
 	assert.Equal(t, (<-slow).status, http.StatusBadGateway)
-	w.awaitCounter(t, metrics.ServersEnded, 1)
-	w.awaitCounter(t, metrics.RequestsBroken, 2)
+	w.awaitCounter(t, metrics.ServersTerminated, 1)
+	w.awaitCounter(t, metrics.RequestsInterrupted, 2)
 }
 
 // TestResetByALiveServer: connections that a server resets without terminating raise no suspicion against a request,
@@ -59,7 +59,7 @@
 	w.servers["p1"].Behave(site.Reset)
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
 	w.fwd.Forget(w.view.Listed)
-	assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), int64(0))
+	assert.Equal(t, w.met.Counter(metrics.ServersTerminated).Count(), int64(0))
 
 	w = newPlainEnv(t)
 	w.servers["p1"].EndUnder("question", nil)
@@ -70,7 +70,7 @@
 		w.view.leaving = c.Server
 	})
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
-	assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), int64(0))
+	assert.Equal(t, w.met.Counter(metrics.ServersTerminated).Count(), int64(0))
 }
 
 // TestQuarantineAfterThreeTerminations: a retryable call crashes the server that it was sent to, and the next one.
@@ -83,9 +83,9 @@
 		s.EndUnder("question", nil)
 	}
 	assert.Equal(t, w.post(t, "/safe/1").status, http.StatusBadGateway)
-	w.awaitCounter(t, metrics.ServersEnded, 2)
+	w.awaitCounter(t, metrics.ServersTerminated, 2)
 	assert.Equal(t, w.post(t, "/safe/1").status, http.StatusBadGateway)
-	w.awaitCounter(t, metrics.ServersEnded, 4)
+	w.awaitCounter(t, metrics.ServersTerminated, 4)
 	for w.met.Counter(metrics.Holds).Count() == 0 {
 		assert.NilError(t, t.Context().Err())
 	}
@@ -137,7 +137,7 @@
 		w.log.Wait(t, false, func(c site.Call) bool { return c.Server == s.ID })
 		s.Crash()
 		assert.Equal(t, (<-done).status, http.StatusBadGateway)
-		w.awaitCounter(t, metrics.ServersEnded, int64(i+1))
+		w.awaitCounter(t, metrics.ServersTerminated, int64(i+1))
 		w.view.mu.Lock()
 		w.view.servers = nil
 		w.view.mu.Unlock()
@@ -155,7 +155,7 @@
 	w := newPlainEnv(t)
 	w.servers["p1"].EndUnder("question", nil)
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
-	w.awaitCounter(t, metrics.ServersEnded, 1)
+	w.awaitCounter(t, metrics.ServersTerminated, 1)
 	for _, id := range []string{"p2", "p3"} {
 		w.servers[id].Behave(site.Fail)
 	}
@@ -192,7 +192,7 @@
 			w.view.mu.Unlock()
 			assert.Equal(t, (<-done).status, http.StatusGatewayTimeout)
 			w.fwd.Forget(w.view.Listed)
-			assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), c.terminations)
+			assert.Equal(t, w.met.Counter(metrics.ServersTerminated).Count(), c.terminations)
 		})
 	}
 }
--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -226,7 +226,7 @@
 		f.strike(gateways, n)
 	}
 	for _, p := range gateways {
-		until(f.t, "it is held", func() bool { return p.gauge(f.t, metrics.RequestsHeld) == 1 })
+		until(f.t, "it is held", func() bool { return p.gauge(f.t, metrics.RequestsQuarantined) == 1 })
 	}
 	return n
 }
@@ -257,7 +257,7 @@
 		p.ended = nil
 	}
 	for i, p := range startGateways(t, f.store) {
-		until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
+		until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 1 })
 		f.refused(p, fmt.Sprint("again-", i))
 	}
 }
@@ -270,7 +270,7 @@
 	f.store.Set(site.Busy)
 	p := start(t, f.store, "g4", gateways[0].set.Control)
 	p.ready(t, http.StatusOK)
-	until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
+	until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 1 })
 	f.refused(p, "again")
 }
 
@@ -288,7 +288,7 @@
 	f.well()
 	f.store.Put(holdback.TableName, key, nil)
 	for i, p := range gateways {
-		until(t, "it is let through", func() bool { return p.gauge(t, metrics.RequestsHeld) == 0 })
+		until(t, "it is let through", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 0 })
 		until(t, "it is answered", func() bool {
 			res := p.stream(t, fmt.Sprint("again-", i), deadly)
 			_, _ = io.Copy(io.Discard, res.Body)
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -33,7 +33,7 @@
 	for _, e := range ended {
 		requests := s.fwd.EndIncarnation(e.ID)
 		s.pool.CloseIdle(e.Addr)
-		s.met.Counter(metrics.StartsEnded).Inc(1)
+		s.met.Counter(metrics.ServerRestarts).Inc(1)
 		event.ServerRestarted.Log(s.log).Str("server", e.Instance()).Int64("born", e.Born).Int("requests", requests).Msg("")
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -170,7 +170,7 @@
 	s.met.GaugeFunc(metrics.LinkBytesSent, s.peers.Sent)
 	s.met.GaugeFunc(metrics.LinkBytesReceived, s.peers.Received)
 	s.met.GaugeFunc(metrics.ConfigProofAge, s.proofAge)
-	s.met.GaugeFunc(metrics.QuotaSilent, s.quotas.silentNow)
+	s.met.GaugeFunc(metrics.QuotaReservedPeers, s.quotas.silentNow)
 	s.placed = newPlaced(s.view.idOf)
 	s.view.onEnded = s.startsEnded
 	s.guard, s.holds = holdback.New(d.Log, d.Metrics, set.Off.Has(mechanism.Quarantine)), d.Holds
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -131,7 +131,7 @@
 	q.tellIfDue()
 	if silent := q.shared.UnresponsiveMembers(); silent != q.silent {
 		q.silent = silent
-		event.QuotaShared.Log(q.log).Int("silent", silent).Msg("")
+		event.QuotaReserved.Log(q.log).Int("silent", silent).Msg("")
 	}
 }
 
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -62,7 +62,7 @@
 	a.Restart(secondStart, true)
 	store.Put("servers", "a", a.Entry("one", "ready").Encode())
 	assert.Equal(t, <-answered, "answer of a to /a/1")
-	assert.Equal(t, p.count(t, metrics.StartsEnded), 1.0)
+	assert.Equal(t, p.count(t, metrics.ServerRestarts), 1.0)
 
 	earlier.Service = "two"
 	store.Put("servers", "a", earlier.Encode())
--- a/holdback/holdback.go
+++ b/holdback/holdback.go
@@ -60,7 +60,7 @@
 		releases: map[fingerprint.Digest]time.Time{}, localHolds: map[fingerprint.Digest]time.Time{},
 		stored: map[fingerprint.Digest]storeState{}, removals: map[fingerprint.Digest]time.Time{},
 	}
-	m.GaugeFunc(metrics.RequestsHeld, g.numHolds)
+	m.GaugeFunc(metrics.RequestsQuarantined, g.numHolds)
 	return g
 }
 
@@ -159,7 +159,7 @@
 
 // logHold logs a new hold and signals that it may have to be persisted. The caller holds mu.
 func (g *Guard) logHold(h quarantine.Hold, from string) {
-	event.RequestHeld.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.TerminatedServers(h.Content)).
+	event.RequestQuarantined.Log(g.log).Str("content", h.Content.String()).Strs("servers", g.ledger.TerminatedServers(h.Content)).
 		Dur("left", time.Until(h.Until)).Dur("for", h.Duration).Str("from", from).Msg("")
 	notify(g.persistDue)
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -66,8 +66,8 @@
 
 func TestRun(t *testing.T) {
 	whole := outcome.Outcome{Kind: outcome.Completed}
-	full := outcome.Refuse(outcome.NoPlace, time.Second)
-	lost := outcome.Unsure(outcome.LinkDown, "")
+	full := outcome.Refuse(outcome.NoDecodeSlot, time.Second)
+	lost := outcome.Indeterminate(outcome.LinkDown, "")
 	for _, c := range []struct {
 		name        string
 		scripts     []script
--- a/operator/compact_test.go
+++ b/operator/compact_test.go
@@ -15,12 +15,12 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-func backends(t *testing.T, from, to int) Wanted {
+func backends(t *testing.T, from, to int) Desired {
 	t.Helper()
-	all := Wanted{}
+	all := Desired{}
 	for i := from; i < to; i++ {
 		b := contract.Backend{ID: fmt.Sprintf("vm-%03d", i), Address: "10.0.0.1:7400", Zone: "a", Role: "mixed", Models: []string{"portal"}}
-		one, err := BackendWanted(&b)
+		one, err := DesiredBackend(&b)
 		assert.NilError(t, err)
 		for key, c := range one {
 			all[key] = c
--- a/operator/files.go
+++ b/operator/files.go
@@ -12,9 +12,9 @@
 	"github.com/hibiscusspur/hibiscusspur/dissemination"
 )
 
-// Wanted is the state that an operator asks for: by row key, the canonical record
+// Desired is the state that an operator asks for: by row key, the canonical record
 // or a deletion.
-type Wanted map[string]dissemination.Change
+type Desired map[string]dissemination.Change
 
 // record is what Contract and Backend have in common.
 type record interface {
@@ -56,30 +56,30 @@
 // LoadContracts reads the contract file at path, or all *.yaml and *.yml files
 // under the directory at path. Faults of all files are returned together, as
 // config.Errors, and so are a customer or an API key that stands twice.
-func LoadContracts(path string) (Wanted, error) {
+func LoadContracts(path string) (Desired, error) {
 	return load(path, contractKind)
 }
 
 // LoadBackends reads backend records as LoadContracts reads contracts.
-func LoadBackends(path string) (Wanted, error) {
+func LoadBackends(path string) (Desired, error) {
 	return load(path, backendKind)
 }
 
 // loader collects the records and the faults of several files.
 type loader struct {
 	kind   kind
-	wanted Wanted
+	wanted Desired
 	files  map[string]string // file by row key
 	keys   map[string]string // file by hash of an API key
 	faults config.Errors
 }
 
-func load(path string, k kind) (Wanted, error) {
+func load(path string, k kind) (Desired, error) {
 	files, err := listFiles(path)
 	if err != nil {
 		return nil, badInput("%v", err)
 	}
-	l := &loader{kind: k, wanted: Wanted{}, files: map[string]string{}, keys: map[string]string{}}
+	l := &loader{kind: k, wanted: Desired{}, files: map[string]string{}, keys: map[string]string{}}
 	for _, file := range files {
 		if err := l.add(file); err != nil {
 			return nil, err
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -38,7 +38,7 @@
 
 // Plan compares what is wanted with what is stored. If expectHead is not nil and
 // not the head, the error is a *dissemination.ConflictError.
-func (o *Operator) Plan(ctx context.Context, wanted Wanted, expectHead *uint64, opts Options) (*Plan, error) {
+func (o *Operator) Plan(ctx context.Context, wanted Desired, expectHead *uint64, opts Options) (*Plan, error) {
 	s, err := ReadSnapshot(ctx, o.table)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	if _, ok := s.live(key); !ok {
 		return nil, noSuchRecord("contract", customer)
 	}
-	return NewPlan(s, Wanted{key: {Deleted: true}}, Options{})
+	return NewPlan(s, Desired{key: {Deleted: true}}, Options{})
 }
 
 // PlanRetire plans that backend servers get no new work. Those already retired are left as they are.
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wanted := Wanted{}
+	wanted := Desired{}
 	for _, id := range ids {
 		key := dissemination.BackendPrefix + id
 		b, ok := s.backend(key)
@@ -85,8 +85,8 @@
 	return NewPlan(s, wanted, Options{})
 }
 
-// BackendWanted turns the record of one backend server into what is wanted.
-func BackendWanted(b *contract.Backend) (Wanted, error) {
+// DesiredBackend turns the record of one backend server into what is wanted.
+func DesiredBackend(b *contract.Backend) (Desired, error) {
 	body, err := b.Marshal()
 	if err != nil {
 		return nil, badInput("%v", err)
@@ -94,7 +94,7 @@
 	if _, err := contract.ParseBackend("flags", body); err != nil {
 		return nil, err
 	}
-	return Wanted{dissemination.BackendPrefix + b.ID: {Body: string(body)}}, nil
+	return Desired{dissemination.BackendPrefix + b.ID: {Body: string(body)}}, nil
 }
 
 // Commit carries out p if the head is still the one that p was made for, and
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -44,14 +44,14 @@
 	return dir
 }
 
-func mustLoad(t *testing.T, files ...string) Wanted {
+func mustLoad(t *testing.T, files ...string) Desired {
 	t.Helper()
 	w, err := LoadContracts(writeFiles(t, files...))
 	assert.NilError(t, err)
 	return w
 }
 
-func apply(t *testing.T, o *Operator, w Wanted, opts Options) uint64 {
+func apply(t *testing.T, o *Operator, w Desired, opts Options) uint64 {
 	t.Helper()
 	p, err := o.Plan(t.Context(), w, nil, opts)
 	assert.NilError(t, err)
@@ -137,7 +137,7 @@
 	assert.Equal(t, r.Since[0].Author, "ben")
 	assert.DeepEqual(t, r.Overlap, []string{"contracts/a"})
 	head := uint64(0)
-	_, err = ann.Plan(t.Context(), Wanted{}, &head, Options{})
+	_, err = ann.Plan(t.Context(), Desired{}, &head, Options{})
 	assert.Equal(t, CodeOf(err), CodeConflict)
 }
 
@@ -207,7 +207,7 @@
 
 func TestBackendRetireAndRevive(t *testing.T) {
 	o, _ := newOperator(nil)
-	wanted, err := BackendWanted(&contract.Backend{ID: "vm-1", Address: "10.0.0.1:7400", Zone: "a", Role: "mixed", Models: []string{"portal"}})
+	wanted, err := DesiredBackend(&contract.Backend{ID: "vm-1", Address: "10.0.0.1:7400", Zone: "a", Role: "mixed", Models: []string{"portal"}})
 	assert.NilError(t, err)
 	apply(t, o, wanted, Options{})
 	p, err := o.PlanRetire(t.Context(), []string{"vm-1"})
@@ -218,7 +218,7 @@
 	_, err = o.Plan(t.Context(), wanted, nil, Options{})
 	assert.ErrorContains(t, err, "--revive")
 	assert.Equal(t, apply(t, o, wanted, Options{Revive: true}), uint64(3))
-	_, err = BackendWanted(&contract.Backend{ID: "vm-2", Role: "both"})
+	_, err = DesiredBackend(&contract.Backend{ID: "vm-2", Role: "both"})
 	assert.ErrorContains(t, err, "address")
 }
 
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -51,7 +51,7 @@
 
 // NewPlan compares what is wanted with s. It refuses an API key that would belong
 // to two customers, and a retired backend server that would return without Revive.
-func NewPlan(s *Snapshot, wanted Wanted, o Options) (*Plan, error) {
+func NewPlan(s *Snapshot, wanted Desired, o Options) (*Plan, error) {
 	if o.Prune {
 		wanted = withPruned(s, wanted)
 	}
@@ -84,7 +84,7 @@
 	p.changes[key] = c
 }
 
-func withPruned(s *Snapshot, wanted Wanted) Wanted {
+func withPruned(s *Snapshot, wanted Desired) Desired {
 	all := maps.Clone(wanted)
 	for _, key := range s.liveKeys(dissemination.ContractPrefix) {
 		if _, ok := all[key]; !ok {
@@ -95,7 +95,7 @@
 }
 
 // checkOwners refuses an API key of a wanted contract that a contract which stays already has.
-func checkOwners(s *Snapshot, wanted Wanted) error {
+func checkOwners(s *Snapshot, wanted Desired) error {
 	owners := make(map[string]string)
 	for _, key := range s.liveKeys(dissemination.ContractPrefix) {
 		c, ok := s.contract(key)
--- a/operator/push_test.go
+++ b/operator/push_test.go
@@ -29,7 +29,7 @@
 	}}).Table()
 	o := operator.New(table, "test", time.Now)
 	add := func(id, addr string) operator.PushResult {
-		wanted, err := operator.BackendWanted(&contract.Backend{ID: id, Address: addr, Zone: "z", Role: "decode", Models: []string{"m"}})
+		wanted, err := operator.DesiredBackend(&contract.Backend{ID: id, Address: addr, Zone: "z", Role: "decode", Models: []string{"m"}})
 		assert.NilError(t, err)
 		p, err := o.Plan(ctx, wanted, nil, operator.Options{})
 		assert.NilError(t, err)
--- a/operator/render.go
+++ b/operator/render.go
@@ -76,7 +76,7 @@
 func (s *Status) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "head revision %d (change %s)\n", s.Head, s.ChangeID)
 	fmt.Fprintf(w, "confirmed by %d processes, %d behind, %d silent for more than %v\n",
-		s.Confirmed, len(s.Behind), len(s.Silent), ConfirmFresh)
+		s.Confirmed, len(s.Behind), len(s.Silent), ConfirmMaxAge)
 	writeProcesses(w, "BEHIND", s.Behind)
 	writeProcesses(w, "SILENT", s.Silent)
 }
@@ -87,13 +87,13 @@
 	case len(r.Missing) > 0:
 		fmt.Fprintf(w, "confirmed by %d processes after %.1f s; missing:\n", r.Confirmed, r.Seconds)
 	case r.Confirmed == 0:
-		fmt.Fprintf(w, "no process was heard of within %v; nobody to wait for\n", ConfirmFresh)
+		fmt.Fprintf(w, "no process was heard of within %v; nobody to wait for\n", ConfirmMaxAge)
 	default:
 		fmt.Fprintf(w, "in force at all %d processes, as seen after %.1f s\n", r.Confirmed, r.Seconds)
 	}
 	writeProcesses(w, "MISSING", r.Missing)
 	if n := len(r.Silent); n > 0 {
-		fmt.Fprintf(w, "not waited for: %d processes silent for more than %v\n", n, ConfirmFresh)
+		fmt.Fprintf(w, "not waited for: %d processes silent for more than %v\n", n, ConfirmMaxAge)
 	}
 }
 
--- a/operator/status.go
+++ b/operator/status.go
@@ -13,9 +13,9 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// ConfirmFresh is how old the row of an entry that runs may be: three refreshes.
+// ConfirmMaxAge is how old the row of an entry that runs may be: three refreshes.
 // Whoever is in an older row only counts as gone, or as cut off from the platform.
-const ConfirmFresh = 3 * dissemination.ConfirmRefresh
+const ConfirmMaxAge = 3 * dissemination.ConfirmRefresh
 
 // Status says how far the newest revision has come.
 type Status struct {
@@ -25,7 +25,7 @@
 	Confirmed int `json:"confirmed"`
 	// Behind are those that have not.
 	Behind []Process `json:"behind"`
-	// Silent are the processes not heard of for ConfirmFresh.
+	// Silent are the processes not heard of for ConfirmMaxAge.
 	Silent []Process `json:"silent"`
 }
 
@@ -40,7 +40,7 @@
 }
 
 func (p Process) silent() bool {
-	return p.AgeSeconds > ConfirmFresh.Seconds()
+	return p.AgeSeconds > ConfirmMaxAge.Seconds()
 }
 
 // Status reads the head and the confirmations.
--- a/operator/wait.go
+++ b/operator/wait.go
@@ -15,7 +15,7 @@
 	Confirmed int    `json:"confirmed"`
 	// Missing are the processes heard of lately that have not confirmed.
 	Missing []Process `json:"missing"`
-	// Silent are processes that were not waited for, see ConfirmFresh.
+	// Silent are processes that were not waited for, see ConfirmMaxAge.
 	Silent []Process `json:"silent"`
 	// Seconds is the time from the commit to the reading that showed the last confirmation.
 	Seconds float64 `json:"seconds"`
@@ -45,7 +45,7 @@
 	return e.Cause
 }
 
-// Wait waits until every process heard of within ConfirmFresh has confirmed
+// Wait waits until every process heard of within ConfirmMaxAge has confirmed
 // revision. When ctx ends before, the error is an *UnconfirmedError. Processes that
 // fall silent meanwhile are no longer waited for.
 func (o *Operator) Wait(ctx context.Context, revision uint64) (*WaitResult, error) {
--- a/operator/wait_test.go
+++ b/operator/wait_test.go
@@ -62,7 +62,7 @@
 		{"an entry and its sidecar have been silent for long",
 			func(t *testing.T, table store.Table) {
 				confirmed(t, table, "e0", 6, 6, "vm-0")
-				time.Sleep(ConfirmFresh + time.Second)
+				time.Sleep(ConfirmMaxAge + time.Second)
 				confirmed(t, table, "e1", 7, 7, "vm-1")
 			}, nil, nil, 2, 2, 0},
 		{"an entry has died just now",
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -58,8 +58,8 @@
 	return Outcome{Kind: Failed, Reason: reason, Detail: detail}
 }
 
-// Unsure returns an Unknown outcome.
-func Unsure(reason Reason, detail string) Outcome {
+// Indeterminate returns an Unknown outcome.
+func Indeterminate(reason Reason, detail string) Outcome {
 	return Outcome{Kind: Unknown, Reason: reason, Detail: detail}
 }
 
--- a/outcome/reason.go
+++ b/outcome/reason.go
@@ -22,7 +22,7 @@
 	TicketLost         Reason = "ticket_lost"
 	StoreUnavailable   Reason = "store_unavailable"
 	NoBackend          Reason = "no_backend"
-	NoPlace            Reason = "no_decode_place"
+	NoDecodeSlot       Reason = "no_decode_place"
 	Overloaded         Reason = "backend_overloaded"
 	LinkBusy           Reason = "link_busy"
 	PrefillBacklog     Reason = "prefill_backlog"
@@ -33,7 +33,7 @@
 	Draining           Reason = "draining"
 	ReservationLapsed  Reason = "reservation_lapsed"
 	LeaseLapsed        Reason = "lease_lapsed"
-	FencedOff          Reason = "fenced"
+	Fenced             Reason = "fenced"
 	KVLost             Reason = "kv_lost"
 	EngineError        Reason = "engine_error"
 	EngineLost         Reason = "engine_lost"
@@ -48,7 +48,7 @@
 	Quarantined        Reason = "quarantined"
 	ConfigUnproved     Reason = "config_unproved"
 	ServerLimited      Reason = "server_limited"
-	ServerResting      Reason = "server_resting"
+	ServerCooldown     Reason = "server_resting"
 )
 
 // All lists every reason, for metrics registration and for the tests that hold
@@ -56,11 +56,11 @@
 func All() []Reason {
 	return []Reason{
 		BadRequest, MethodNotAllowed, HeadersTooLarge, BodyTooLarge, PromptTooLong, Unauthenticated, ModelNotInContract, NotFound,
-		RateLimited, ConcurrencyLimited, KeyInUse, TicketLost, StoreUnavailable, NoBackend, NoPlace, Overloaded,
+		RateLimited, ConcurrencyLimited, KeyInUse, TicketLost, StoreUnavailable, NoBackend, NoDecodeSlot, Overloaded,
 		LinkBusy, PrefillBacklog, TargetUnreachable, ShareExceeded, StaleRevision, Leaving, Draining,
-		ReservationLapsed, LeaseLapsed, FencedOff, KVLost, EngineError, EngineLost, LinkDown,
+		ReservationLapsed, LeaseLapsed, Fenced, KVLost, EngineError, EngineLost, LinkDown,
 		SidecarRestarted, CallerGone, CallerStalled, DeadlineExceeded, RetryBudgetSpent,
-		AnswerIncomplete, Duplicate, Quarantined, ConfigUnproved, ServerLimited, ServerResting,
+		AnswerIncomplete, Duplicate, Quarantined, ConfigUnproved, ServerLimited, ServerCooldown,
 	}
 }
 
@@ -97,7 +97,7 @@
 // reason ended an attempt, provided that the attempt did not run or may be repeated.
 func (r Reason) Retryable() bool {
 	switch r {
-	case NoBackend, NoPlace, Overloaded, ServerLimited, ServerResting, LinkBusy, PrefillBacklog, Leaving, Draining, ReservationLapsed, LeaseLapsed,
+	case NoBackend, NoDecodeSlot, Overloaded, ServerLimited, ServerCooldown, LinkBusy, PrefillBacklog, Leaving, Draining, ReservationLapsed, LeaseLapsed,
 		KVLost, EngineError, EngineLost, LinkDown, SidecarRestarted, StaleRevision, ShareExceeded:
 		return true
 	default:
--- a/policy/admission/advance.go
+++ b/policy/admission/advance.go
@@ -56,7 +56,7 @@
 	for _, it := range d.queue.Expire(now) {
 		r := d.queued[it.Key]
 		delete(d.queued, it.Key)
-		out = append(out, d.reject(now, r, outcome.NoPlace, 0))
+		out = append(out, d.reject(now, r, outcome.NoDecodeSlot, 0))
 	}
 	return out
 }
--- a/policy/admission/decode_test.go
+++ b/policy/admission/decode_test.go
@@ -62,14 +62,14 @@
 		reason  outcome.Reason
 	}{
 		{"free", 0, 0, func(*DecodeRequest) {}, Granted, ""},
-		{"full", 20, 0, func(*DecodeRequest) {}, Rejected, outcome.NoPlace},
-		{"full, above its share, but no other customer is queued", 20, 0, func(r *DecodeRequest) { r.Customer = "a" }, Rejected, outcome.NoPlace},
+		{"full", 20, 0, func(*DecodeRequest) {}, Rejected, outcome.NoDecodeSlot},
+		{"full, above its share, but no other customer is queued", 20, 0, func(r *DecodeRequest) { r.Customer = "a" }, Rejected, outcome.NoDecodeSlot},
 		{"full, but its target allows a wait", 20, 0, func(r *DecodeRequest) { r.TTFT = 5 * time.Second }, Queued, ""},
 		{"full only until its prefill is done", 20, 0, func(r *DecodeRequest) { r.PrefillTime, r.TTFT = 2100*ms, 2200*ms }, Granted, ""},
 		{"full, but all runs have reached their maximum length", 20, 2 * time.Second, func(*DecodeRequest) {}, Granted, ""},
 		{"prefill too long", 0, 0, func(r *DecodeRequest) { r.PrefillTime = 2 * time.Second }, Rejected, outcome.TargetUnreachable},
 		{"step too slow", 0, 0, func(r *DecodeRequest) { r.TBT = 10 * ms }, Rejected, outcome.TargetUnreachable},
-		{"batch too large for its token gap", 12, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Rejected, outcome.NoPlace},
+		{"batch too large for its token gap", 12, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Rejected, outcome.NoDecodeSlot},
 		{"batch small enough for its token gap", 7, 0, func(r *DecodeRequest) { r.TBT = 16 * ms }, Granted, ""},
 		{"link busy", 0, 0, func(r *DecodeRequest) { r.TTFT, r.KVBytes = 2*time.Second, 1e9 }, Rejected, outcome.LinkBusy},
 		{"transfer too long", 0, 0, func(r *DecodeRequest) { r.KVBytes = 1e10 }, Rejected, outcome.TargetUnreachable},
@@ -190,7 +190,7 @@
 	}
 	b := request(100, "b")
 	rejection := d.Reserve(epoch, b)
-	assert.Equal(t, rejection.Reason, outcome.NoPlace)
+	assert.Equal(t, rejection.Reason, outcome.NoDecodeSlot)
 	assert.Equal(t, d.Reserve(epoch, request(102, "a")).Reason, outcome.ShareExceeded)
 	overShare := request(101, "a")
 	overShare.TTFT = time.Minute
--- a/policy/admission/reject.go
+++ b/policy/admission/reject.go
@@ -54,7 +54,7 @@
 	case e.overShare:
 		return outcome.ShareExceeded
 	default:
-		return outcome.NoPlace
+		return outcome.NoDecodeSlot
 	}
 }
 
@@ -62,7 +62,7 @@
 func (d *Decode) reject(now time.Time, r DecodeRequest, reason outcome.Reason, minWait time.Duration) Decision {
 	interval := d.meanSlotTime / time.Duration(d.cfg.Slots)
 	after := d.retries.retryAfter(now, r.Key, minWait, interval)
-	if reason == outcome.NoPlace && !d.overShare(r) {
+	if reason == outcome.NoDecodeSlot && !d.overShare(r) {
 		d.debts.add(r.Customer, now.Add(after+debtGrace))
 	}
 	return Decision{Key: r.Key, Verdict: Rejected, Reason: reason, RetryAfter: after}
--- a/policy/retry/example_test.go
+++ b/policy/retry/example_test.go
@@ -13,8 +13,8 @@
 	policy := retry.New(retry.DefaultConfig())
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, end := range []outcome.Outcome{
-		outcome.Refuse(outcome.NoPlace, 250*time.Millisecond),
-		outcome.Unsure(outcome.LinkDown, ""),
+		outcome.Refuse(outcome.NoDecodeSlot, 250*time.Millisecond),
+		outcome.Indeterminate(outcome.LinkDown, ""),
 	} {
 		d := policy.Decide(retry.Request{
 			Customer:     "permisele",
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -17,9 +17,9 @@
 }
 
 func TestDecide(t *testing.T) {
-	refused := attemptOn("a", outcome.Refuse(outcome.NoPlace, 3*time.Second))
+	refused := attemptOn("a", outcome.Refuse(outcome.NoDecodeSlot, 3*time.Second))
 	lost := attemptOn("b", outcome.Fail(outcome.EngineLost, ""))
-	unsure := attemptOn("c", outcome.Unsure(outcome.LinkDown, ""))
+	unsure := attemptOn("c", outcome.Indeterminate(outcome.LinkDown, ""))
 	stale := attemptOn("d", outcome.Refuse(outcome.StaleRevision, 0))
 	for _, tc := range []struct {
 		name       string
@@ -102,7 +102,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	p := New(DefaultConfig())
-	req := Request{Customer: "x", Attempts: []Attempt{attemptOn("a", outcome.Refuse(outcome.NoPlace, 0))}}
+	req := Request{Customer: "x", Attempts: []Attempt{attemptOn("a", outcome.Refuse(outcome.NoDecodeSlot, 0))}}
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Succeeded("x", start)
--- a/sidecar/admission.go
+++ b/sidecar/admission.go
@@ -225,7 +225,7 @@
 		stage = wire.Stage_STAGE_START
 	}
 	if d.Reason == outcome.ReservationLapsed {
-		event.ReservationEnd.Log(s.log).Str("request", r.key.RequestID).Msg("")
+		event.ReservationExpired.Log(s.log).Str("request", r.key.RequestID).Msg("")
 	}
 	s.met.Refused(d.Reason)
 	s.finish(r, refusal(r.key, stage, outcome.Refuse(d.Reason, d.RetryAfter), s.state.Head()))
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -82,5 +82,5 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return outcome.Refuse(outcome.EngineLost, refusalRetryAfter)
 	}
-	return outcome.Unsure(outcome.EngineLost, "")
+	return outcome.Indeterminate(outcome.EngineLost, "")
 }
--- a/sidecar/decode.go
+++ b/sidecar/decode.go
@@ -35,7 +35,7 @@
 	case errors.Is(err, engine.ErrIndeterminate):
 		stream, err = w.resume(int(m.GetPosition()))
 		if err != nil {
-			w.fail(wire.Stage_STAGE_START, outcome.Unsure(outcome.EngineLost, ""), err)
+			w.fail(wire.Stage_STAGE_START, outcome.Indeterminate(outcome.EngineLost, ""), err)
 			return
 		}
 	default:
@@ -92,9 +92,9 @@
 	case errors.Is(err, engine.ErrNotFound):
 		return outcome.Refuse(outcome.KVLost, refusalRetryAfter)
 	case errors.Is(err, engine.ErrFull):
-		return outcome.Refuse(outcome.NoPlace, refusalRetryAfter)
+		return outcome.Refuse(outcome.NoDecodeSlot, refusalRetryAfter)
 	case errors.Is(err, engine.ErrExists):
-		return outcome.Unsure(outcome.Duplicate, "")
+		return outcome.Indeterminate(outcome.Duplicate, "")
 	default:
 		return outcome.Refuse(outcome.EngineError, refusalRetryAfter)
 	}
--- a/sidecar/decode_test.go
+++ b/sidecar/decode_test.go
@@ -102,7 +102,7 @@
 		{"not found after the cut", []*scriptedStream{{events: tokenEvents(0, 2), err: cut}}, "ab", string(outcome.EngineLost), wire.Kind_KIND_FAILED, 1},
 		{"start unanswered, run found", []*scriptedStream{{open: engine.ErrIndeterminate}, {events: completeAnswer(0, 4)}}, "abcd", "", 0, 1},
 		{"start unanswered, run not found", []*scriptedStream{{open: engine.ErrIndeterminate}}, "", string(outcome.EngineLost), wire.Kind_KIND_UNKNOWN, 1},
-		{"start refused", []*scriptedStream{{open: engine.ErrFull}}, "", string(outcome.NoPlace), wire.Kind_KIND_NOT_RUN, 0},
+		{"start refused", []*scriptedStream{{open: engine.ErrFull}}, "", string(outcome.NoDecodeSlot), wire.Kind_KIND_NOT_RUN, 0},
 		{"KV lost in the transfer", []*scriptedStream{{err: engine.ErrNotFound}}, "", string(outcome.KVLost), wire.Kind_KIND_NOT_RUN, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/sidecar/handle.go
+++ b/sidecar/handle.go
@@ -81,9 +81,9 @@
 	}
 	if old, ok := s.runs[key]; ok {
 		if old.phase == phaseFenced {
-			return refuse(outcome.FencedOff, refusalRetryAfter)
+			return refuse(outcome.Fenced, refusalRetryAfter)
 		}
-		s.refuse(sess, key, stage, outcome.Unsure(outcome.Duplicate, "attempt known already"))
+		s.refuse(sess, key, stage, outcome.Indeterminate(outcome.Duplicate, "attempt known already"))
 		return nil
 	}
 	if s.leaving.Leaving() {
@@ -94,7 +94,7 @@
 		return refuse(outcome.StaleRevision, 0)
 	}
 	if len(s.runs) >= s.set.Bounds.Runs {
-		return refuse(outcome.NoPlace, refusalRetryAfter)
+		return refuse(outcome.NoDecodeSlot, refusalRetryAfter)
 	}
 	r := &run{
 		key:      key,
@@ -173,7 +173,7 @@
 	case !ok:
 		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.ReservationLapsed, refusalRetryAfter))
 	case r.phase == phaseFenced:
-		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.FencedOff, refusalRetryAfter))
+		s.refuse(sess, key, wire.Stage_STAGE_START, outcome.Refuse(outcome.Fenced, refusalRetryAfter))
 	case r.phase == phaseReserved && r.start == nil:
 		r.sess = sess
 		r.start = m
@@ -278,7 +278,7 @@
 		s.fenceUnstarted(r)
 		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Refuse(outcome.LinkDown, 0))
 	case r.phase == phaseFenced:
-		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Refuse(outcome.FencedOff, 0))
+		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Refuse(outcome.Fenced, 0))
 	case r.closed:
 		s.refuse(sess, key, wire.Stage_STAGE_ATTACH, outcome.Fail(outcome.CallerGone, ""))
 	case r.abandoned:
@@ -292,7 +292,7 @@
 
 func (s *Server) unknownAttempt(sess *session) outcome.Outcome {
 	if s.lapsedOwners[sess.entry.GetIncarnation()] {
-		return outcome.Unsure(outcome.LeaseLapsed, "attempt not known any more")
+		return outcome.Indeterminate(outcome.LeaseLapsed, "attempt not known any more")
 	}
 	return outcome.Refuse(outcome.LinkDown, 0)
 }
--- a/sidecar/lease.go
+++ b/sidecar/lease.go
@@ -91,7 +91,7 @@
 	}
 	switch r.phase {
 	case phaseReserved:
-		event.ReservationEnd.Log(s.log).Str("request", key.RequestID).Msg("")
+		event.ReservationExpired.Log(s.log).Str("request", key.RequestID).Msg("")
 		s.abandon(r, outcome.Refuse(outcome.ReservationLapsed, refusalRetryAfter))
 	case phaseExported:
 		s.abandon(r, outcome.Refuse(outcome.KVLost, refusalRetryAfter))
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	s.server = NewServer(s.set, eng, info, rand.Text(), s.log, s.met)
-	s.met.GaugeFunc(metrics.PlacesUsed, s.server.slotsUsed)
+	s.met.GaugeFunc(metrics.DecodeSlotsUsed, s.server.slotsUsed)
 	s.met.GaugeFunc(metrics.LinkBytesSent, s.meter.Sent)
 	s.met.GaugeFunc(metrics.LinkBytesReceived, s.meter.Received)
 	s.met.GaugeFunc(metrics.ConfigRevision, func() int64 { return int64(s.server.Head()) })
--- a/sidecar/session.go
+++ b/sidecar/session.go
@@ -72,7 +72,7 @@
 // linkEndEvent returns the log event for the error that ended a link.
 func linkEndEvent(err error) event.Event {
 	if errors.Is(err, link.ErrSilent) {
-		return event.LinkSilent
+		return event.LinkUnresponsive
 	}
 	return event.LinkDown
 }
