--- a/entry/peer.go
+++ b/entry/peer.go
@@ -82,7 +82,7 @@
 	switch {
 	case errors.Is(err, errProtocol):
 		return event.LinkRefused
-	case errors.Is(err, link.ErrSilent):
+	case errors.Is(err, link.ErrUnresponsive):
 		return event.LinkUnresponsive
 	default:
 		return event.LinkDown
@@ -134,14 +134,14 @@
 // newLink returns a link on which the hello has been sent.
 func (p *peer) newLink(stream wire.DRPCSidecar_SessionClient, transport io.Closer) *entryLink {
 	l := link.New(stream, link.Options[wire.EntryFrame]{
-		Beat:       p.pool.settings.Timing.Heartbeat,
-		IdleBeat:   p.pool.settings.Timing.IdleHeartbeat,
-		Silence:    p.pool.settings.Timing.Silence,
-		QueueLimit: p.pool.settings.Bounds.LinkQueue,
-		Active:     func() bool { return p.outstanding() > 0 },
-		MakeBeat:   p.makeHeartbeat,
-		Transport:  transport,
-		Dropped: func(err error) {
+		HeartbeatInterval:     p.pool.settings.Timing.Heartbeat,
+		IdleHeartbeatInterval: p.pool.settings.Timing.IdleHeartbeat,
+		SilenceLimit:          p.pool.settings.Timing.Silence,
+		QueueLimit:            p.pool.settings.Bounds.LinkQueue,
+		Active:                func() bool { return p.outstanding() > 0 },
+		MakeHeartbeat:         p.makeHeartbeat,
+		Transport:             transport,
+		OnDropped: func(err error) {
 			event.FrameDropped.Log(p.pool.log).Str("backend", p.backend.ID).Err(err).Msg("")
 		},
 	})
