--- a/cmd/hibiscusspur/backend.go
+++ b/cmd/hibiscusspur/backend.go
@@ -88,7 +88,7 @@
 		Short: "List all backend servers",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				views, head, err := o.Backends(ctx)
 				if err != nil {
 					return err
--- a/cmd/hibiscusspur/compact.go
+++ b/cmd/hibiscusspur/compact.go
@@ -50,7 +50,7 @@
 		return merry.Append(operator.ErrInput, "--output json needs --yes")
 	}
 	if !yes {
-		err := d.within(ctx, func(ctx context.Context) error { return showExpired(ctx, o, cmd, opts) })
+		err := d.withTimeout(ctx, func(ctx context.Context) error { return showExpired(ctx, o, cmd, opts) })
 		if err != nil {
 			return err
 		}
--- a/cmd/hibiscusspur/contract.go
+++ b/cmd/hibiscusspur/contract.go
@@ -82,7 +82,7 @@
 		Short: "Show what apply would change",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				p, err := a.plan(ctx, o, cmd)
 				if err != nil {
 					return err
@@ -110,7 +110,7 @@
 		Short: "Print a customer's contract",
 		Args:  cobra.ExactArgs(1),
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, args []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				v, err := o.Contract(ctx, args[0])
 				if err != nil {
 					return err
@@ -127,7 +127,7 @@
 		Short: "List all contracts",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				views, head, err := o.Contracts(ctx)
 				if err != nil {
 					return err
@@ -149,7 +149,7 @@
 			if len(args) > 0 {
 				customer = args[0]
 			}
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				h, err := o.History(ctx, customer, max(limit, 1))
 				if err != nil {
 					return err
@@ -183,7 +183,7 @@
 		Short: "Show the newest revision and which processes have it in force",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				if change != "" {
 					return showChange(ctx, d, o, cmd, change)
 				}
--- a/cmd/hibiscusspur/operator.go
+++ b/cmd/hibiscusspur/operator.go
@@ -122,8 +122,8 @@
 	return u.Username
 }
 
-// within runs f with the timeout for one read or write operation.
-func (d *driver) within(ctx context.Context, f func(context.Context) error) error {
+// withTimeout runs f with the timeout for one read or write operation.
+func (d *driver) withTimeout(ctx context.Context, f func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
 	return f(ctx)
@@ -179,7 +179,7 @@
 		return merry.Append(operator.ErrInput, "--output json needs --yes")
 	}
 	var p *operator.Plan
-	err := d.within(ctx, func(ctx context.Context) (err error) {
+	err := d.withTimeout(ctx, func(ctx context.Context) (err error) {
 		p, err = plan(ctx)
 		return err
 	})
@@ -203,7 +203,7 @@
 
 func (d *driver) commit(ctx context.Context, o *operator.Operator, cmd *cobra.Command, p *operator.Plan) error {
 	var revision uint64
-	err := d.within(ctx, func(ctx context.Context) (err error) {
+	err := d.withTimeout(ctx, func(ctx context.Context) (err error) {
 		revision, err = o.Commit(ctx, p)
 		return err
 	})
--- a/cmd/hsload/capacity.go
+++ b/cmd/hsload/capacity.go
@@ -15,7 +15,7 @@
 	"github.com/hibiscusspur/hibiscusspur/load/capacity"
 )
 
-// capacityCmd measures the resource use per unit of load that docs/CAPACITY.md lists.
+// capacityCmd measures the resource use at several sizes and fits the slopes that docs/CAPACITY.md lists.
 func capacityCmd() *cobra.Command {
 	var o capacity.Options
 	var file, bin string
