--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -228,7 +228,7 @@
 		cl.sendCrashing(gateways, n)
 	}
 	for _, p := range gateways {
-		waitUntil(cl.t, "the request is quarantined", func() bool { return p.gauge(cl.t, metrics.RequestsHeld) == 1 })
+		waitUntil(cl.t, "the request is quarantined", func() bool { return p.gauge(cl.t, metrics.RequestsQuarantined) == 1 })
 	}
 	return n
 }
@@ -259,7 +259,7 @@
 		p.done = nil
 	}
 	for i, p := range startGateways(t, cl.store) {
-		waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
+		waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 1 })
 		cl.assertRejected(p, fmt.Sprint("again-", i))
 	}
 }
@@ -273,7 +273,7 @@
 	cl.store.Set(site.Busy)
 	p := start(t, cl.store, "g4", gateways[0].settings.ControlAddr)
 	p.waitReady(t, http.StatusOK)
-	waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
+	waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 1 })
 	cl.assertRejected(p, "again")
 }
 
@@ -291,7 +291,7 @@
 	cl.answerOthers()
 	cl.store.Put(holdback.TableName, key, nil)
 	for i, p := range gateways {
-		waitUntil(t, "the quarantine has ended", func() bool { return p.gauge(t, metrics.RequestsHeld) == 0 })
+		waitUntil(t, "the quarantine has ended", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 0 })
 		waitUntil(t, "the request is answered", func() bool {
 			res := p.stream(t, fmt.Sprint("again-", i), crashingBody)
 			_, _ = io.Copy(io.Discard, res.Body)
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -30,7 +30,7 @@
 	for _, r := range replaced {
 		requests := s.fwd.EndIncarnation(r.ID)
 		s.pool.CloseIdle(r.Addr)
-		s.metrics.Counter(metrics.StartsEnded).Inc(1)
+		s.metrics.Counter(metrics.ServerRestarts).Inc(1)
 		event.ServerRestarted.Log(s.log).Str("server", r.Instance()).Int64("born", r.Born).Int("requests", requests).Msg("")
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -168,7 +168,7 @@
 	s.metrics.GaugeFunc(metrics.LinkBytesSent, s.peers.Sent)
 	s.metrics.GaugeFunc(metrics.LinkBytesReceived, s.peers.Received)
 	s.metrics.GaugeFunc(metrics.ConfigProofAge, s.proofAge)
-	s.metrics.GaugeFunc(metrics.QuotaSilent, s.quotas.unresponsiveGateways)
+	s.metrics.GaugeFunc(metrics.QuotaReservedPeers, s.quotas.unresponsiveGateways)
 	s.peerLoads = newPeerLoads(s.view.incarnationID)
 	s.view.onReplaced = s.incarnationsReplaced
 	s.guard, s.holds = holdback.New(d.Log, d.Metrics, settings.Off.Has(mechanism.Quarantine)), d.Holds
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -132,7 +132,7 @@
 	q.announceIfDue()
 	if unresponsive := q.shared.UnresponsiveMembers(); unresponsive != q.unresponsive {
 		q.unresponsive = unresponsive
-		event.QuotaShared.Log(q.log).Int("silent", unresponsive).Msg("")
+		event.QuotaReserved.Log(q.log).Int("silent", unresponsive).Msg("")
 	}
 }
 
--- a/operator/push_test.go
+++ b/operator/push_test.go
@@ -15,28 +15,28 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// TestPushWhenTheTableGoesOut: the commit is the last thing that the table does,
-// and the change still reaches a sidecar.
-func TestPushWhenTheTableGoesOut(t *testing.T) {
+// TestPushDuringTableOutage guards against a change that is lost to the sidecars when the
+// table becomes unavailable right after the commit.
+func TestPushDuringTableOutage(t *testing.T) {
 	_, live := sidecartest.Start(t)
 	ctx := context.Background()
-	var out error
+	var outage error
 	table := memory.New(memory.Options{Hook: func(op memory.Op) error {
 		if op.Phase == memory.Before {
-			return out
+			return outage
 		}
 		return nil
 	}}).Table()
 	o := operator.New(table, "test", time.Now)
 	add := func(id, addr string) operator.PushResult {
-		wanted, err := operator.BackendWanted(&contract.Backend{ID: id, Address: addr, Zone: "z", Role: "decode", Models: []string{"m"}})
+		wanted, err := operator.DesiredBackend(&contract.Backend{ID: id, Address: addr, Zone: "z", Role: "decode", Models: []string{"m"}})
 		assert.NilError(t, err)
 		p, err := o.Plan(ctx, wanted, nil, operator.Options{})
 		assert.NilError(t, err)
 		revision, err := o.Commit(ctx, p)
 		assert.NilError(t, err)
-		out = errors.Join(store.ErrUnavailable)
-		defer func() { out = nil }()
+		outage = errors.Join(store.ErrUnavailable)
+		defer func() { outage = nil }()
 		return o.Push(ctx, p, revision)
 	}
 	assert.DeepEqual(t, add("live", live).Confirmed, []string{"live"})
--- a/store/http_ports.go
+++ b/store/http_ports.go
@@ -12,7 +12,7 @@
 type httpTable struct{ h *httpClient }
 
 // NewHTTPTable returns a client of the table at baseURL (scheme, host and port).
-// A nil hc means a client of its own. The client is safe for concurrent use.
+// If hc is nil, the table uses its own HTTP client. It is safe for concurrent use.
 func NewHTTPTable(baseURL string, hc *http.Client, opts ...Option) Table {
 	return httpTable{newHTTPClient(baseURL, hc, opts)}
 }
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	q := url.Values{ParamPrefix: {prefix}, ParamAfter: {after}, ParamLimit: {strconv.Itoa(limit)}}
-	var a RowsAnswer
+	var a RowsResponse
 	err := t.h.read(ctx, PathRows, q, &a)
 	return a.Rows, err
 }
@@ -60,22 +60,22 @@
 
 // Put implements Objects.
 func (o httpObjects) Put(ctx context.Context, key string, body []byte) error {
-	_, err := o.one(ctx, call{method: http.MethodPut, body: body, write: true}, key)
+	_, err := o.objectCall(ctx, call{method: http.MethodPut, body: body, write: true}, key)
 	return err
 }
 
 // Get implements Objects.
 func (o httpObjects) Get(ctx context.Context, key string) ([]byte, error) {
-	return o.one(ctx, call{method: http.MethodGet}, key)
+	return o.objectCall(ctx, call{method: http.MethodGet}, key)
 }
 
-// Delete implements Objects. Deleting what is not there succeeds.
+// Delete implements Objects. Deleting an absent object succeeds.
 func (o httpObjects) Delete(ctx context.Context, key string) error {
-	_, err := o.one(ctx, call{method: http.MethodDelete, write: true}, key)
+	_, err := o.objectCall(ctx, call{method: http.MethodDelete, write: true}, key)
 	return err
 }
 
-func (o httpObjects) one(ctx context.Context, c call, key string) ([]byte, error) {
+func (o httpObjects) objectCall(ctx context.Context, c call, key string) ([]byte, error) {
 	if err := ValidateKey(key); err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 
 // List implements Objects.
 func (o httpObjects) List(ctx context.Context, prefix string) ([]string, error) {
-	var a ObjectsAnswer
+	var a ObjectsResponse
 	err := o.h.read(ctx, PathObjects, url.Values{ParamPrefix: {prefix}}, &a)
 	return a.Keys, err
 }
@@ -104,7 +104,7 @@
 
 // List implements VMs.
 func (v httpVMs) List(ctx context.Context) ([]VM, time.Duration, error) {
-	var a VMsAnswer
+	var a VMsResponse
 	if err := v.h.read(ctx, PathVMs, nil, &a); err != nil {
 		return nil, 0, err
 	}
