--- a/dissemination/push/push_test.go
+++ b/dissemination/push/push_test.go
@@ -43,6 +43,6 @@
 		assert.NilError(t, sc.Configure(dissemination.Delta{Head: has}))
 		targets = append(targets, contract.Backend{ID: fmt.Sprint("at ", has), Address: addr})
 	}
-	gone := contract.Backend{ID: "gone", Address: sidecartest.Gone(t)}
+	gone := contract.Backend{ID: "gone", Address: sidecartest.UnusedAddr(t)}
 	assert.Equal(t, len(push.Push(context.Background(), state, append(targets, gone), nil)), len(targets))
 }
--- a/entry/client_tls_test.go
+++ b/entry/client_tls_test.go
@@ -29,7 +29,7 @@
 		{"without TLS", security.Settings{}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := pathtest.Start(t, pathtest.Options{EntryTLS: tc.entry, SidecarTLS: sidecars, MayBeDown: !tc.ok})
+			p := pathtest.Start(t, pathtest.Options{EntryTLS: tc.entry, SidecarTLS: sidecars, SkipReadyWait: !tc.ok})
 			c := newClient(p, option.WithMaxRetries(0))
 			if tc.ok {
 				_, err := c.Chat.Completions.New(t.Context(), chat(pathtest.Lookup, "hi"))
--- a/gateway/proofs_test.go
+++ b/gateway/proofs_test.go
@@ -238,7 +238,7 @@
 		const cutFor = 9 * time.Second
 		for _, cut := range []int{0, 5, keyedGateways - 1} {
 			f.stores[cut].lose(true)
-			f.hosts[cut].Cut(cutFor)
+			f.hosts[cut].Stall(cutFor)
 			time.Sleep(100 * time.Millisecond)
 			f.store.change()
 			refused := 0
--- a/internal/pathtest/pathtest.go
+++ b/internal/pathtest/pathtest.go
@@ -63,8 +63,8 @@
 	Engine  func(*standin.Config)
 	// EntryTLS and SidecarTLS are the TLS settings of the two sides of the links.
 	EntryTLS, SidecarTLS security.Settings
-	// MayBeDown skips the wait until the path serves.
-	MayBeDown bool
+	// SkipReadyWait skips the wait until the path serves.
+	SkipReadyWait bool
 }
 
 // Path is a running path.
@@ -216,7 +216,7 @@
 	e := entry.New(set, p.Log.logger(), metrics.NewSet())
 	p.drain = p.run(e)
 	p.URL = "http://" + e.Addr()
-	if !p.opts.MayBeDown {
+	if !p.opts.SkipReadyWait {
 		poll.WaitOn(p.t, p.serving, poll.WithTimeout(startBound), poll.WithDelay(10*time.Millisecond))
 	}
 }
--- a/internal/sidecartest/sidecartest.go
+++ b/internal/sidecartest/sidecartest.go
@@ -33,8 +33,8 @@
 	return s, lis.Addr().String()
 }
 
-// Gone returns an address at which nothing listens.
-func Gone(t testing.TB) string {
+// UnusedAddr returns an address at which nothing listens.
+func UnusedAddr(t testing.TB) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, lis.Close())
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -71,8 +71,8 @@
 	time.Sleep(time.Until(free))
 }
 
-// Cut holds up whatever comes to the host or leaves it for d: it is on its way, and comes then.
-func (h *Host) Cut(d time.Duration) {
+// Stall holds up whatever comes to the host or leaves it for d: it is on its way, and comes then.
+func (h *Host) Stall(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	until := time.Now().Add(d)
--- a/invariant/check.go
+++ b/invariant/check.go
@@ -38,8 +38,8 @@
 // String returns the number and the name of p.
 func (p Point) String() string { return fmt.Sprintf("%d %s", uint8(p), pointNames[p]) }
 
-// Breach is one violation.
-type Breach struct {
+// Violation is one violation.
+type Violation struct {
 	Point   Point
 	At      time.Duration
 	Request string
@@ -48,7 +48,7 @@
 }
 
 // String is for reports.
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%v at %v request=%q node=%q: %s", b.Point, b.At.Round(time.Millisecond), b.Request, b.Node, b.Detail)
 }
 
@@ -68,13 +68,13 @@
 }
 
 // Check returns every breach in events, which must be in order of time.
-func Check(events []Event, b Bounds) []Breach {
+func Check(events []Event, b Bounds) []Violation {
 	c := newChecker(b)
 	for _, e := range events {
 		c.take(e)
 	}
 	c.finish()
-	slices.SortStableFunc(c.breaches, func(a, b Breach) int { return int(a.At - b.At) })
+	slices.SortStableFunc(c.breaches, func(a, b Violation) int { return int(a.At - b.At) })
 	return c.breaches
 }
 
@@ -101,7 +101,7 @@
 	faults   map[string][]time.Duration
 	accepted map[string][]Event
 	decided  map[[2]string]uint64
-	breaches []Breach
+	breaches []Violation
 }
 
 func newChecker(b Bounds) *checker {
@@ -117,7 +117,7 @@
 }
 
 func (c *checker) breach(p Point, e Event, format string, args ...any) {
-	c.breaches = append(c.breaches, Breach{Point: p, At: e.At, Request: e.Request, Node: e.Node, Detail: fmt.Sprintf(format, args...)})
+	c.breaches = append(c.breaches, Violation{Point: p, At: e.At, Request: e.Request, Node: e.Node, Detail: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) request(id string) *requestState {
@@ -132,18 +132,18 @@
 
 func (c *checker) take(e Event) {
 	switch e.Kind {
-	case Asked:
+	case RequestSent:
 		c.request(e.Request).asked = e
 	case Token:
 		c.token(e)
-	case Answered, Cut, CallerGone:
+	case ResponseReceived, ConnectionLost, CallerGone:
 		c.end(e)
-	case Granted:
+	case WorkAccepted:
 		c.granted(e)
-	case Begun:
+	case RunStarted:
 		r := c.request(e.Request)
 		r.begun = append(r.begun, e)
-	case Listed:
+	case MemoryHeld:
 		c.listed(e)
 	case Leaving:
 		first(c.leaving, e)
@@ -151,9 +151,9 @@
 		first(c.draining, e)
 	case Fault:
 		c.faults[e.Node] = append(c.faults[e.Node], e.At)
-	case Accepted:
+	case RevisionCommitted:
 		c.accepted[e.Key] = append(c.accepted[e.Key], e)
-	case Decided:
+	case RevisionUsed:
 		c.decide(e)
 	}
 }
@@ -185,7 +185,7 @@
 		return
 	}
 	r.endedAt = e.At
-	if e.Kind == Cut {
+	if e.Kind == ConnectionLost {
 		r.cut = true
 		return
 	}
@@ -200,7 +200,7 @@
 }
 
 func (c *checker) completed(r *requestState, e Event) {
-	if r.asked.Kind != Asked {
+	if r.asked.Kind != RequestSent {
 		c.breach(WholeAnswer, e, "answer to a request that this caller did not send")
 	}
 	if r.asked.Want != "" && e.Text != r.asked.Want {
--- a/invariant/event.go
+++ b/invariant/event.go
@@ -14,35 +14,35 @@
 type Kind uint8
 
 const (
-	// Asked: a caller sent Request through the entry Node. Key, Unrepeatable and
+	// RequestSent: a caller sent Request through the entry Node. Key, Unrepeatable and
 	// Want say what it may expect.
-	Asked Kind = iota + 1
+	RequestSent Kind = iota + 1
 	// Token: the caller received Text as the output token at Position.
 	Token
-	// Answered: the caller received the end of Request with Outcome; Text is the
+	// ResponseReceived: the caller received the end of Request with Outcome; Text is the
 	// whole answer when the outcome is completed.
-	Answered
-	// Cut: the caller's connection ended without an answer.
-	Cut
+	ResponseReceived
+	// ConnectionLost: the caller's connection ended without an answer.
+	ConnectionLost
 	// CallerGone: the caller closed its connection and wants nothing more.
 	CallerGone
-	// Granted: the backend server Node took Request as new work.
-	Granted
-	// Begun: an engine or service Node began a run of Request.
-	Begun
-	// Listed: the engine Node holds memory for Request: a run, a reserved place or
+	// WorkAccepted: the backend server Node took Request as new work.
+	WorkAccepted
+	// RunStarted: an engine or service Node began a run of Request.
+	RunStarted
+	// MemoryHeld: the engine Node holds memory for Request: a run, a reserved place or
 	// an exported KV cache.
-	Listed
+	MemoryHeld
 	// Leaving: the backend server Node was first told to leave.
 	Leaving
 	// Draining: the process Node was told to shut down gracefully.
 	Draining
 	// Fault: something was done to Node that may break requests in progress.
 	Fault
-	// Accepted: a change of Key was committed as Revision.
-	Accepted
-	// Decided: the process Node decided about Key under Revision.
-	Decided
+	// RevisionCommitted: a change of Key was committed as Revision.
+	RevisionCommitted
+	// RevisionUsed: the process Node decided about Key under Revision.
+	RevisionUsed
 )
 
 // Event is one thing that happened. Fields that do not apply are left zero.
--- a/load/lab/check.go
+++ b/load/lab/check.go
@@ -28,7 +28,7 @@
 // Sent implements load.Observer.
 func (c *Check) Sent(r *load.Request) {
 	c.recorder.Add(invariant.Event{
-		Kind: invariant.Asked, Request: r.ID, Key: r.ID, Want: strings.Join(r.Answer, ""),
+		Kind: invariant.RequestSent, Request: r.ID, Key: r.ID, Want: strings.Join(r.Answer, ""),
 		Unrepeatable: r.Class.Unrepeatable || isPost(r.Class),
 	})
 }
@@ -37,7 +37,7 @@
 
 // Ended implements load.Observer.
 func (c *Check) Ended(r *load.Request, res load.Result) {
-	e := invariant.Event{Kind: invariant.Answered, Request: r.ID}
+	e := invariant.Event{Kind: invariant.ResponseReceived, Request: r.ID}
 	switch {
 	case res.Verdict.Completed():
 		e.Outcome, e.Text = outcome.Completed, strings.Join(r.Answer[:min(res.Tokens, len(r.Answer))], "")
@@ -48,7 +48,7 @@
 	case res.Verdict == load.Unknown:
 		e.Outcome = outcome.Unknown
 	default:
-		e.Kind = invariant.Cut
+		e.Kind = invariant.ConnectionLost
 	}
 	c.recorder.Add(e)
 }
@@ -62,7 +62,7 @@
 		}
 		for id, n := range s.Calls {
 			for range n {
-				c.recorder.Add(invariant.Event{Kind: invariant.Begun, Request: id, Node: name})
+				c.recorder.Add(invariant.Event{Kind: invariant.RunStarted, Request: id, Node: name})
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 // records what they hold then.
 func (c *Check) memory(ctx context.Context, l *Lab) error {
 	const left = "left"
-	c.recorder.Add(invariant.Event{Kind: invariant.Asked, Request: left})
+	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: left})
 	c.recorder.Add(invariant.Event{Kind: invariant.CallerGone, Request: left})
 	pause(ctx, invariant.DefaultBounds().Memory+time.Second)
 	for _, e := range l.Engines {
@@ -85,13 +85,13 @@
 			return err
 		}
 		for _, r := range runs {
-			c.recorder.Add(invariant.Event{Kind: invariant.Listed, Request: left, Node: fmt.Sprintf("%s %s", e.ID, r.ID)})
+			c.recorder.Add(invariant.Event{Kind: invariant.MemoryHeld, Request: left, Node: fmt.Sprintf("%s %s", e.ID, r.ID)})
 		}
 	}
 	return nil
 }
 
 // Breaches returns what was found.
-func (c *Check) Breaches() []invariant.Breach {
+func (c *Check) Breaches() []invariant.Violation {
 	return invariant.Check(c.recorder.Events(), invariant.DefaultBounds())
 }
--- a/operator/push_test.go
+++ b/operator/push_test.go
@@ -40,7 +40,7 @@
 		return o.Push(ctx, p, revision)
 	}
 	assert.DeepEqual(t, add("live", live).Confirmed, []string{"live"})
-	r := add("dead", sidecartest.Gone(t))
+	r := add("dead", sidecartest.UnusedAddr(t))
 	assert.Equal(t, len(r.Targets), 2)
 	assert.DeepEqual(t, r.Confirmed, []string{"live"})
 }
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -148,7 +148,7 @@
 			rev, err := w.tryChange(change)
 			if err == nil {
 				w.c.head = rev
-				w.rec.Add(invariant.Event{Kind: invariant.Accepted, Key: configKey, Revision: rev})
+				w.rec.Add(invariant.Event{Kind: invariant.RevisionCommitted, Key: configKey, Revision: rev})
 				return
 			}
 			time.Sleep(20 * pollEvery)
--- a/proofs/sitewatch_test.go
+++ b/proofs/sitewatch_test.go
@@ -64,10 +64,10 @@
 		return
 	}
 	w.sawTenant(call)
-	e.Kind = invariant.Granted
+	e.Kind = invariant.WorkAccepted
 	w.rec.Add(e)
 	if call.Kind != site.Prefill {
-		e.Kind = invariant.Begun
+		e.Kind = invariant.RunStarted
 		w.rec.Add(e)
 	}
 }
@@ -151,7 +151,7 @@
 	}
 	e := invariant.Event{Request: q.id, Node: g.vm}
 	asked := e
-	asked.Kind, asked.Unrepeatable, asked.Want = invariant.Asked, q.unrepeatable(), q.want()
+	asked.Kind, asked.Unrepeatable, asked.Want = invariant.RequestSent, q.unrepeatable(), q.want()
 	w.rec.Add(asked)
 	process, oldest := g.process(), w.oldest(g.process())
 	status := w.send(ctx, g, q, &e)
@@ -159,7 +159,7 @@
 		assert.Check(w.c.t, version >= oldest, "%s answered by manifest %d where %d holds at least", process, version, oldest)
 		w.show(process, version)
 	}
-	if e.Kind == invariant.Cut && ctx.Err() != nil {
+	if e.Kind == invariant.ConnectionLost && ctx.Err() != nil {
 		e.Kind = invariant.CallerGone
 	}
 	w.rec.Add(e)
@@ -201,7 +201,7 @@
 }
 
 func (w *siteWatch) send(ctx context.Context, g *siteGateway, q siteAsk, e *invariant.Event) int {
-	e.Kind = invariant.Cut
+	e.Kind = invariant.ConnectionLost
 	h := http.Header{site.Credentials: {w.credentials(q)}, site.RequestID: {q.id}, site.Deadline: {strconv.FormatInt(clientPatience.Milliseconds(), 10)}}
 	if q.streams() {
 		h.Set(site.Tokens, "1000,200")
@@ -231,15 +231,15 @@
 		// A request under which servers end is told for how long it is held back, one beyond a quota when there will be room.
 		truth := q.body != "" || res.Status == http.StatusTooManyRequests
 		assert.Check(w.c.t, err == nil && (after <= clientPatience.Seconds()/3 || truth), "%s: refused with Retry-After %q", q.id, res.Header.Get("Retry-After"))
-		e.Kind, e.Outcome = invariant.Answered, outcome.NotRun
+		e.Kind, e.Outcome = invariant.ResponseReceived, outcome.NotRun
 	case http.StatusUnauthorized:
 		assert.Check(w.c.t, strings.HasPrefix(q.id, takenID), "%s: 401 for a key that all manifests have", q.id)
-		e.Kind, e.Outcome = invariant.Answered, outcome.NotRun
+		e.Kind, e.Outcome = invariant.ResponseReceived, outcome.NotRun
 	case http.StatusNotFound:
 		assert.Check(w.c.t, q.kind() == "v", "%s: 404 for a route that all manifests have", q.id)
-		e.Kind, e.Outcome = invariant.Answered, outcome.NotRun
+		e.Kind, e.Outcome = invariant.ResponseReceived, outcome.NotRun
 	default:
-		e.Kind, e.Outcome = invariant.Answered, outcome.Unknown
+		e.Kind, e.Outcome = invariant.ResponseReceived, outcome.Unknown
 	}
 }
 
@@ -255,7 +255,7 @@
 	if err != nil {
 		return
 	}
-	e.Kind, e.Outcome, e.Text = invariant.Answered, outcome.Completed, text
+	e.Kind, e.Outcome, e.Text = invariant.ResponseReceived, outcome.Completed, text
 }
 
 // stream reads a stream to its end.
--- a/proofs/watch.go
+++ b/proofs/watch.go
@@ -79,7 +79,7 @@
 	for hash, n := range s.BegunPrompts {
 		at := fmt.Sprintf("%s/%d/%d", b.id, pid, hash)
 		for ; w.seen[at] < n; w.seen[at]++ {
-			w.rec.Add(invariant.Event{Kind: invariant.Begun, Request: w.latest[hash], Node: b.id})
+			w.rec.Add(invariant.Event{Kind: invariant.RunStarted, Request: w.latest[hash], Node: b.id})
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		return
 	}
 	// Lag is judged at rest; here a revision must only never fall.
-	w.rec.Add(invariant.Event{Kind: invariant.Decided, Request: "", Node: fmt.Sprintf("%s/%d", p.name, pid), Key: "in force", Revision: rev})
+	w.rec.Add(invariant.Event{Kind: invariant.RevisionUsed, Request: "", Node: fmt.Sprintf("%s/%d", p.name, pid), Key: "in force", Revision: rev})
 }
 
 func revisionAt(admin string) uint64 {
@@ -170,7 +170,7 @@
 	w.mu.Unlock()
 	event := invariant.Event{Request: request, Node: e.id, Key: q.key}
 	asked := event
-	asked.Kind, asked.Want, asked.Unrepeatable = invariant.Asked, q.want(), q.model == unrepeatable
+	asked.Kind, asked.Want, asked.Unrepeatable = invariant.RequestSent, q.want(), q.model == unrepeatable
 	w.rec.Add(asked)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -192,11 +192,11 @@
 	case left:
 		event.Kind, name = invariant.CallerGone, "left"
 	case a.whole:
-		event.Kind, event.Outcome, event.Text, name = invariant.Answered, outcome.Completed, a.text, "completed"
+		event.Kind, event.Outcome, event.Text, name = invariant.ResponseReceived, outcome.Completed, a.text, "completed"
 	case a.outcome != "":
-		event.Kind, event.Outcome = invariant.Answered, kinds[a.outcome]
+		event.Kind, event.Outcome = invariant.ResponseReceived, kinds[a.outcome]
 	default:
-		event.Kind, name = invariant.Cut, "cut"
+		event.Kind, name = invariant.ConnectionLost, "cut"
 	}
 	w.rec.Add(event)
 	w.mu.Lock()
