--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory keeps the resident memory of a daemon near what it holds. A node
-// has little memory for control, and the runtime's defaults trade it for time.
+// Package memory keeps the resident memory of a daemon close to its live heap. A VM reserves little memory
+// for control processes, and the defaults of the Go runtime use more memory to save CPU time.
 package memory
 
 import (
@@ -9,17 +9,16 @@
 	"time"
 )
 
-// garbagePercent is how much a heap may grow over what is live before it is
-// collected; the runtime's default is 100.
+// garbagePercent is the GOGC value: how far the heap may grow over the live heap before a collection. The
+// runtime's default is 100.
 const garbagePercent = 50
 
-// trimInterval is how often memory that is not held any more goes back to the
-// system. A daemon without work collects by itself every two minutes only, and
-// keeps what its start took until then.
+// trimInterval is how often freed memory is returned to the operating system. An idle daemon is otherwise
+// collected only every two minutes, and keeps the memory used by its startup until then.
 const trimInterval = 10 * time.Second
 
-// Trim sets the garbage collector's target, unless the environment does, and gives
-// free memory back to the system until ctx ends. It does not block.
+// Trim sets the garbage collector's target, unless GOGC is set in the environment, and returns freed memory
+// to the operating system at intervals until ctx ends. It does not block.
 func Trim(ctx context.Context) {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(garbagePercent)
--- a/internal/pages/code.go
+++ b/internal/pages/code.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Uses returns the names of package pkg that the module's code outside of tests
-// and of the package itself refers to as pkg.Name.
+// Uses returns the names of package pkg that the module's code refers to as pkg.Name, without tests and the
+// package itself.
 func Uses(t testing.TB, pkg string) map[string]bool {
 	t.Helper()
 	used := make(map[string]bool)
@@ -26,9 +26,8 @@
 	return used
 }
 
-// CallsWithout returns the places in the module's code outside of tests and of
-// package pkg where a method of one of these names is called with a first argument
-// that does not contain a name of the package.
+// CallsWithout returns the positions in the module's code, without tests and package pkg, at which a method
+// of one of these names is called with a first argument that contains no name of the package.
 func CallsWithout(t testing.TB, pkg string, methods ...string) []string {
 	t.Helper()
 	var found []string
@@ -38,15 +37,15 @@
 			return
 		}
 		sel, ok := call.Fun.(*ast.SelectorExpr)
-		if ok && slices.Contains(methods, sel.Sel.Name) && !names(call.Args[0], pkg) {
+		if ok && slices.Contains(methods, sel.Sel.Name) && !mentions(call.Args[0], pkg) {
 			found = append(found, fset.Position(call.Pos()).String())
 		}
 	})
 	return found
 }
 
-// names reports whether an expression contains pkg.Name.
-func names(e ast.Expr, pkg string) bool {
+// mentions reports whether an expression contains a selector pkg.Name.
+func mentions(e ast.Expr, pkg string) bool {
 	found := false
 	ast.Inspect(e, func(n ast.Node) bool {
 		_, ok := nameOf(n, pkg)
@@ -56,7 +55,7 @@
 	return found
 }
 
-// nameOf returns Name of a node that is pkg.Name.
+// nameOf returns Name if the node is a selector pkg.Name.
 func nameOf(n ast.Node, pkg string) (string, bool) {
 	sel, ok := n.(*ast.SelectorExpr)
 	if !ok {
@@ -66,8 +65,8 @@
 	return sel.Sel.Name, ok && id.Name == pkg
 }
 
-// Declared returns the names that the const or var declarations of a file beside
-// the test introduce, in order.
+// Declared returns the names that the const or var declarations of a file introduce, in order. The path is
+// relative to the directory of the test.
 func Declared(t testing.TB, file string, tok token.Token) []string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
@@ -87,7 +86,7 @@
 	return names
 }
 
-// inspect visits every node of the module's code outside of tests and generated files.
+// inspect calls visit for every syntax node of the module's code, without tests and generated files.
 func inspect(t testing.TB, visit func(path string, fset *token.FileSet, n ast.Node)) {
 	t.Helper()
 	err := filepath.WalkDir(root(t), func(path string, d fs.DirEntry, err error) error {
--- a/internal/pages/names_test.go
+++ b/internal/pages/names_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// wireNames are names that the users' platform gives to headers and calls.
+// wireNames matches the names of headers and calls of the users' platform.
 var wireNames = regexp.MustCompile(`Hibiscusspur-[A-Z]|Kv-Fetch|/api/(rows|order|report|kv|hold|ready|blob)`)
 
-// TestPlatformNamesStayInTheAdapter: the users' platform's names stand in platform/ alone,
-// and in the stand-ins that speak for it; tests take them from there.
+// TestPlatformNamesStayInTheAdapter: names of the users' platform occur only in platform/ and in the
+// stand-ins of standin/ that simulate that platform; tests import them from there.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
 	err := filepath.WalkDir("../..", func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") {
@@ -32,10 +32,10 @@
 	assert.NilError(t, err)
 }
 
-// TestAdapterDecidesNothing: the adapter draws no chance, starts no goroutine and knows
-// none of the policies.
-func TestAdapterDecidesNothing(t *testing.T) {
-	decides := regexp.MustCompile(`hibiscusspur/policy|math/rand|\bgo func|time\.Now\(`)
+// TestPlatformAdapterContainsNoPolicy: the platform adapter draws no random numbers, starts no goroutine,
+// reads no clock and imports no policy.
+func TestPlatformAdapterContainsNoPolicy(t *testing.T) {
+	forbidden := regexp.MustCompile(`hibiscusspur/policy|math/rand|\bgo func|time\.Now\(`)
 	files, err := filepath.Glob("../../platform/*.go")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 5)
@@ -45,6 +45,6 @@
 		}
 		data, err := os.ReadFile(path)
 		assert.NilError(t, err)
-		assert.Check(t, !decides.Match(data), "%s: %s", path, decides.Find(data))
+		assert.Check(t, !forbidden.Match(data), "%s: %s", path, forbidden.Find(data))
 	}
 }
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -1,5 +1,4 @@
-// Package pages reads the tables of the pages in docs/, for the tests that hold
-// the pages to the code.
+// Package pages reads the tables of the pages in docs/, for the tests that compare them with the code.
 package pages
 
 import (
@@ -11,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// root is the root of the module as seen from the directory of a test.
+// root returns the root directory of the module, searched upwards from the directory of the test.
 func root(t testing.TB) string {
 	t.Helper()
 	dir, err := os.Getwd()
@@ -26,9 +25,8 @@
 	}
 }
 
-// Rows returns the cells of every table row under a heading of docs/page, up to
-// the next heading. Rows of column names and rules are left out, and backquotes
-// around a whole cell are dropped.
+// Rows returns the cells of every table row under a heading of docs/page, up to the next heading. Header rows
+// and separator rows are left out, and backquotes around a whole cell are removed.
 func Rows(t testing.TB, page, heading string) [][]string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(root(t), "docs", page))
--- a/internal/pages/settings.go
+++ b/internal/pages/settings.go
@@ -14,51 +14,50 @@
 	"github.com/hibiscusspur/hibiscusspur/config"
 )
 
-// Setting is one setting as the code knows it.
+// Setting is one setting as defined by the code.
 type Setting struct {
 	Path, Type, Default string
 	value               reflect.Value
 }
 
-// rangeForm is a range with both ends written out.
+// rangeForm matches a range with two bounds, such as "1 to 10".
 var rangeForm = regexp.MustCompile(`^(.+) to ([^ ]+)$`)
 
-// CheckSettings compares the table under a heading of docs/CONFIG.md with
-// settings that hold the defaults: names, types and defaults, that "required"
-// settings are required, and that ranges are enforced. newDefaults returns a
-// pointer to fresh defaults.
+// CheckSettings compares the table under a heading of docs/CONFIG.md with the settings and their defaults:
+// names, types and defaults match, settings marked "required" are required, and ranges are enforced.
+// newDefaults returns a pointer to a new value with the defaults.
 func CheckSettings(t *testing.T, heading string, newDefaults func() config.Validator) {
 	t.Helper()
 	rows := Rows(t, "CONFIG.md", heading)
 	settings := settingsOf(reflect.ValueOf(newDefaults()).Elem(), "")
-	var listed, want [][]string
+	var documented, want [][]string
 	for _, s := range settings {
 		want = append(want, []string{s.Path, s.Type, s.Default})
 	}
 	for _, row := range rows {
 		assert.Equal(t, len(row), 5, "%v", row)
 		assert.Assert(t, row[4] != "", "%s has no meaning", row[0])
-		listed = append(listed, withoutRequired(t, row, newDefaults()))
+		documented = append(documented, withoutRequired(t, row, newDefaults()))
 	}
-	assert.DeepEqual(t, listed, want)
+	assert.DeepEqual(t, documented, want)
 	for i, row := range rows {
 		checkRange(t, row[0], row[3], i, newDefaults)
 	}
 }
 
-// withoutRequired is the row's name, type and default, once a default of
-// "required" is found to be true.
+// withoutRequired returns the row's name, type and default. For a default of "required" it checks that the
+// setting can't be left out, and returns "none" in its place.
 func withoutRequired(t *testing.T, row []string, defaults config.Validator) []string {
 	t.Helper()
 	if row[2] != "required" {
 		return row[:3]
 	}
-	assert.Check(t, faulty(defaults, row[0]), "%s may be left out", row[0])
+	assert.Check(t, rejects(defaults, row[0]), "%s is documented as required, but may be left out", row[0])
 	return []string{row[0], row[1], "none"}
 }
 
-// checkRange holds a range to what Check enforces; a lower end that depends on
-// another setting is not tried.
+// checkRange checks that the settings' Check enforces the documented range. A lower bound that depends on
+// another setting is not tested.
 func checkRange(t *testing.T, path, text string, index int, newDefaults func() config.Validator) {
 	t.Helper()
 	m := rangeForm.FindStringSubmatch(text)
@@ -68,14 +67,14 @@
 	for i, end := range m[1:] {
 		n, ok := number(end)
 		if !ok {
-			assert.Check(t, i == 0, "%s: upper end %q", path, end)
+			assert.Check(t, i == 0, "%s: upper bound %q is not a number", path, end)
 			continue
 		}
-		beyond := n + int64(2*i-1)
-		for value, want := range map[int64]bool{n: false, beyond: true} {
+		outside := n + int64(2*i-1)
+		for value, want := range map[int64]bool{n: false, outside: true} {
 			v := newDefaults()
 			settingsOf(reflect.ValueOf(v).Elem(), "")[index].value.SetInt(value)
-			assert.Check(t, faulty(v, path) == want, "%s = %d: fault is %v", path, value, !want)
+			assert.Check(t, rejects(v, path) == want, "%s = %d: fault is %v", path, value, !want)
 		}
 	}
 }
@@ -88,13 +87,13 @@
 	return int64(d), err == nil
 }
 
-func faulty(v config.Validator, path string) bool {
+func rejects(v config.Validator, path string) bool {
 	found := false
 	v.Check(func(field, _ string, _ ...any) { found = found || field == path })
 	return found
 }
 
-// settingsOf lists the leaves of a settings struct by their YAML paths.
+// settingsOf lists the leaf fields of a settings struct by their YAML paths.
 func settingsOf(v reflect.Value, prefix string) []Setting {
 	var out []Setting
 	for f, field := range v.Fields() {
--- a/internal/pathtest/certs.go
+++ b/internal/pathtest/certs.go
@@ -18,7 +18,7 @@
 	"github.com/hibiscusspur/hibiscusspur/security"
 )
 
-// Authority signs certificates of a test.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	t    testing.TB
 	key  *ecdsa.PrivateKey
@@ -26,7 +26,7 @@
 	file string
 }
 
-// NewAuthority returns a new authority, trusted by nobody yet.
+// NewAuthority returns a new authority with a self-signed certificate.
 func NewAuthority(t testing.TB) *Authority {
 	a := &Authority{t: t, key: newKey(t)}
 	tmpl := template("authority", time.Now().Add(time.Hour))
@@ -40,22 +40,22 @@
 	return a
 }
 
-// Issue writes a certificate for name, valid for the given time, and returns the
-// settings of a process that holds it and accepts peers of this authority.
-func (a *Authority) Issue(name string, life time.Duration, peers ...string) security.Settings {
+// Issue writes a certificate for name with the given validity, and returns the TLS settings of a process that
+// uses it and accepts peers with certificates of this authority.
+func (a *Authority) Issue(name string, validity time.Duration, peers ...string) security.Settings {
 	dir := a.t.TempDir()
 	s := security.Settings{
 		Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"),
 		Authority: a.file, PeerNames: peers,
 	}
-	a.Renew(s, name, life)
+	a.Renew(s, name, validity)
 	return s
 }
 
-// Renew writes a new key and certificate to the files of s.
-func (a *Authority) Renew(s security.Settings, name string, life time.Duration) {
+// Renew replaces the key and the certificate in the files of s.
+func (a *Authority) Renew(s security.Settings, name string, validity time.Duration) {
 	key := newKey(a.t)
-	tmpl := template(name, time.Now().Add(life))
+	tmpl := template(name, time.Now().Add(validity))
 	tmpl.DNSNames = []string{name}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &key.PublicKey, a.key)
 	assert.NilError(a.t, err)
--- a/internal/pathtest/pathtest.go
+++ b/internal/pathtest/pathtest.go
@@ -1,6 +1,6 @@
-// Package pathtest runs the whole path within a test process, over loopback: the
-// stand-ins of the platform, an engine and a plain service, their sidecars, and an
-// entry. Faults are switched on the stand-ins directly.
+// Package pathtest runs the whole request path within a test process, over loopback: the stand-ins of the
+// platform, an engine and a plain service, their sidecars, and an entry. Tests switch faults directly on the
+// stand-ins.
 package pathtest
 
 import (
@@ -35,15 +35,15 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/service"
 )
 
-// Names used by the path.
+// Names used by the test environment.
 const (
-	// Key is the API key of the one customer, Brand its brand.
+	// Key is the API key of the only customer, Brand is its brand.
 	Key   = "pathtest-key-7f31c2"
 	Brand = "Skógrækt & Synir"
-	// Lookup is a model whose requests may be repeated, Ruling one whose may not.
+	// Lookup is a model with repeatable requests, Ruling one with unrepeatable requests.
 	Lookup = "lookup"
 	Ruling = "ruling"
-	// Permits is the plain service; POST /receipts may not be repeated.
+	// Permits is the plain service; its call POST /receipts is unrepeatable.
 	Permits = "permits"
 
 	anyPort     = "127.0.0.1:0"
@@ -53,29 +53,29 @@
 	secretBytes = 32
 )
 
-// Options of a path. The zero value is ready for use.
+// Options configure a Path. The zero value is ready for use.
 type Options struct {
-	// Contract is YAML; empty means that of the customer above.
+	// Contract is the customer's contract in YAML; empty means the default contract of the customer above.
 	Contract string
-	// Entry, Sidecar and Engine change settings before the start.
+	// Entry, Sidecar and Engine modify the settings before the processes start.
 	Entry   func(*entry.Settings)
 	Sidecar func(*sidecar.Settings)
 	Engine  func(*standin.Config)
-	// EntryTLS and SidecarTLS are the TLS settings of the two sides of the links.
+	// EntryTLS and SidecarTLS are the TLS settings of the two ends of the links.
 	EntryTLS, SidecarTLS security.Settings
-	// SkipReadyWait skips the wait until the path serves.
+	// SkipReadyWait makes Start return without waiting until requests are served.
 	SkipReadyWait bool
 }
 
-// Path is a running path.
+// Path is a running test environment: one request path from an entry to an engine and a service.
 type Path struct {
-	// URL is where callers connect.
+	// URL is the entry's address for callers.
 	URL      string
 	Platform *splatform.Server
 	Node     *standin.Node
 	Faults   *fault.Set
 	Service  *service.Service
-	// ServiceFaults are those of the plain service.
+	// ServiceFaults are the faults of the plain service.
 	ServiceFaults *fault.Set
 	Log           *Log
 
@@ -87,7 +87,7 @@
 // DrainEntry shuts the entry down gracefully.
 func (p *Path) DrainEntry() error { return p.drain() }
 
-// Log collects what all processes log. It is safe for concurrent use.
+// Log collects the log lines of all components. It is safe for concurrent use.
 type Log struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -111,7 +111,7 @@
 	return &log.Logger{Level: log.TraceLevel, Writer: &log.IOWriter{Writer: l}}
 }
 
-// Start runs a path until the test ends.
+// Start runs the whole path until the test ends.
 func Start(t testing.TB, o Options) *Path {
 	t.Helper()
 	p := &Path{t: t, opts: o, Log: &Log{}}
@@ -158,7 +158,7 @@
 	cfg := standin.DefaultConfig()
 	cfg.ID, cfg.Role, cfg.Models = "engine-1", engine.RoleMixed, []string{Lookup, Ruling}
 	cfg.StepBase, cfg.StepPerRun, cfg.PrefillRate = time.Millisecond, 0, 1e6
-	cfg.Source = "http://engine-1.invalid" // exports nothing
+	cfg.Source = "http://engine-1.invalid" // never dialled: the engine exports no KV cache
 	if p.opts.Engine != nil {
 		p.opts.Engine(&cfg)
 	}
@@ -185,7 +185,7 @@
 	return "http://" + srv.Addr()
 }
 
-// startSidecar returns the backend record.
+// startSidecar starts a sidecar and returns the record of its backend server.
 func (p *Path) startSidecar(id, role, engineURL, serviceURL string) contract.Backend {
 	set := sidecar.DefaultSettings()
 	set.ID, set.Zone, set.Engine, set.Service = id, zone, engineURL, serviceURL
@@ -217,11 +217,11 @@
 	p.drain = p.run(e)
 	p.URL = "http://" + e.Addr()
 	if !p.opts.SkipReadyWait {
-		poll.WaitOn(p.t, p.serving, poll.WithTimeout(startBound), poll.WithDelay(10*time.Millisecond))
+		poll.WaitOn(p.t, p.checkServing, poll.WithTimeout(startBound), poll.WithDelay(10*time.Millisecond))
 	}
 }
 
-// run starts a service, and drains it when the test ends or drain is called.
+// run starts a component, and drains it when drain is called or the test ends, whichever comes first.
 func (p *Path) run(s kernel.Service) (drain func() error) {
 	assert.NilError(p.t, s.Start(context.Background(), kernel.New()))
 	drain = sync.OnceValue(func() error {
@@ -237,8 +237,8 @@
 	return drain
 }
 
-// serving is done when the entry has placed a request and a call.
-func (p *Path) serving(poll.LogT) poll.Result {
+// checkServing succeeds when the entry has served a model request and a service call.
+func (p *Path) checkServing(poll.LogT) poll.Result {
 	for _, r := range []struct{ method, path, body string }{
 		{http.MethodPost, "/v1/completions", `{"model":"` + Lookup + `","prompt":"ready?","max_tokens":1}`},
 		{http.MethodGet, "/services/" + Permits + "/status/0", ""},
--- a/internal/sidecartest/sidecartest.go
+++ b/internal/sidecartest/sidecartest.go
@@ -1,5 +1,5 @@
-// Package sidecartest serves a sidecar without an engine on loopback, for tests of
-// what travels between processes.
+// Package sidecartest runs a sidecar without an engine on loopback, for tests of the communication between
+// processes.
 package sidecartest
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/hibiscusspur/hibiscusspur/sidecar"
 )
 
-// Start returns a sidecar and its address; it ends with the test.
+// Start runs a sidecar until the test ends, and returns it and its address.
 func Start(t testing.TB) (*sidecar.Server, string) {
 	quiet := event.New("sidecar", "test", log.PanicLevel)
 	s := sidecar.NewServer(sidecar.DefaultSettings(), nil, engine.Info{}, rand.Text(), quiet, metrics.NewSet())
--- a/internal/simnet/conn.go
+++ b/internal/simnet/conn.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// conn is one end of a connection.
+// conn is one endpoint of a connection.
 type conn struct {
 	local, remote *Host
 	in, out       *stream
 }
 
 func pipe(a, b *Host) (net.Conn, net.Conn) {
-	there, back := newStream(a, b), newStream(b, a)
-	return &conn{local: a, remote: b, in: back, out: there}, &conn{local: b, remote: a, in: there, out: back}
+	forward, backward := newStream(a, b), newStream(b, a)
+	return &conn{local: a, remote: b, in: backward, out: forward}, &conn{local: b, remote: a, in: forward, out: backward}
 }
 
 // Read implements net.Conn.
@@ -35,7 +35,7 @@
 	return written, nil
 }
 
-// Close implements net.Conn. What is under way is lost.
+// Close implements net.Conn. Data in flight is lost.
 func (c *conn) Close() error {
 	c.in.close()
 	c.out.close()
@@ -48,7 +48,7 @@
 // RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return addr(c.remote.addr) }
 
-// SetDeadline implements net.Conn for reads alone.
+// SetDeadline implements net.Conn; only reads honour the deadline.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.Conn.
@@ -57,19 +57,19 @@
 	return nil
 }
 
-// SetWriteDeadline implements net.Conn; deadlines of writes are not kept.
+// SetWriteDeadline implements net.Conn; writes have no deadline.
 func (*conn) SetWriteDeadline(time.Time) error { return nil }
 
 // stream is one direction of a connection.
 type stream struct {
 	from, to *Host
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	arrived []byte
-	under   int
-	closed  bool
-	// deadline is when reads fail; zero means never.
+	mu       sync.Mutex
+	changed  *sync.Cond
+	arrived  []byte
+	inFlight int
+	closed   bool
+	// deadline is the time after which reads fail; zero means never.
 	deadline time.Time
 }
 
@@ -79,24 +79,24 @@
 	return s
 }
 
-// write hands one packet to the link, once there is room in the window.
+// write sends one packet, once the window has free space.
 func (s *stream) write(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.under >= window && !s.closed {
+	for s.inFlight >= window && !s.closed {
 		s.changed.Wait()
 	}
 	if s.closed {
 		return errClosed
 	}
 	data := append([]byte(nil), p...)
-	s.under += len(data)
-	time.AfterFunc(s.pass(len(data)), func() { s.arrive(data) })
+	s.inFlight += len(data)
+	time.AfterFunc(s.transmit(len(data)), func() { s.arrive(data) })
 	return nil
 }
 
-// pass reserves both links for n bytes and returns how long they take.
-func (s *stream) pass(n int) time.Duration {
+// transmit reserves the links of both hosts for n bytes and returns the time until they are delivered.
+func (s *stream) transmit(n int) time.Duration {
 	network := s.from.network
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -111,7 +111,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrived = append(s.arrived, data...)
-	s.under -= len(data)
+	s.inFlight -= len(data)
 	s.changed.Broadcast()
 }
 
@@ -132,7 +132,7 @@
 	return n, nil
 }
 
-// overdue reports whether the deadline of reads has passed. The caller holds mu.
+// overdue reports whether the read deadline has passed. The caller holds mu.
 func (s *stream) overdue() bool { return !s.deadline.IsZero() && !time.Now().Before(s.deadline) }
 
 func (s *stream) setDeadline(t time.Time) {
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -1,5 +1,5 @@
-// Package simnet is a network in memory for tests under fake time: hosts with links of
-// limited bandwidth, over which all connections of a host share what it sends and receives.
+// Package simnet is an in-memory network for tests under fake time. Each host has a link of limited bandwidth
+// that all of its connections share.
 package simnet
 
 import (
@@ -11,13 +11,13 @@
 )
 
 const (
-	// packet is what goes over a link at once, in bytes.
+	// packet is the transmission unit of a link, in bytes.
 	packet = 4 << 10
-	// window is what one connection may have under way, in bytes.
+	// window is the maximum of data in flight per connection and direction, in bytes.
 	window = 32 << 10
-	// delay is the way from one host to another.
+	// delay is the one-way propagation delay between two hosts.
 	delay = 500 * time.Microsecond
-	// backlog is the number of connections that wait to be accepted.
+	// backlog is the number of connections that may wait to be accepted.
 	backlog = 128
 )
 
@@ -41,12 +41,12 @@
 	addr     string
 	rate     int
 	accepted chan net.Conn
-	// inFree and outFree are when the link is free again; guarded by Network.mu.
+	// inFree and outFree are when each direction of the link is free again; guarded by Network.mu.
 	inFree, outFree time.Time
 	received        int
 }
 
-// Host adds a host whose link carries rate bytes a second each way.
+// Host adds a host whose link carries rate bytes a second in each direction.
 func (n *Network) Host(addr string, rate int) *Host {
 	h := &Host{network: n, addr: addr, rate: rate}
 	n.mu.Lock()
@@ -55,14 +55,15 @@
 	return h
 }
 
-// Received is the number of bytes that came over the link.
+// Received returns the number of bytes that the host has received over its link.
 func (h *Host) Received() int {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	return h.received
 }
 
-// Occupy keeps the link busy with n bytes received from elsewhere, and returns once they came.
+// Occupy keeps the receiving direction of the link busy with n bytes of other traffic, and returns once they
+// have been received.
 func (h *Host) Occupy(n int) {
 	h.network.mu.Lock()
 	h.inFree = h.reserve(h.inFree, time.Now(), n)
@@ -71,7 +72,7 @@
 	time.Sleep(time.Until(free))
 }
 
-// Stall holds up whatever comes to the host or leaves it for d: it is on its way, and comes then.
+// Stall delays all traffic to and from the host by d; nothing is lost.
 func (h *Host) Stall(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -79,7 +80,8 @@
 	h.inFree, h.outFree = until, until
 }
 
-// reserve is when n bytes are over a link that is free at free. The caller holds Network.mu.
+// reserve returns when n bytes have been transmitted over a link that is free from the time free. The caller
+// holds Network.mu.
 func (h *Host) reserve(free, now time.Time, n int) time.Time {
 	if free.Before(now) {
 		free = now
@@ -116,7 +118,7 @@
 	}
 }
 
-// Connect is Dial for callers that also name a network.
+// Connect is Dial for callers that also pass the name of a network.
 func (h *Host) Connect(ctx context.Context, _, addr string) (net.Conn, error) {
 	return h.Dial(ctx, addr)
 }
--- a/internal/simnet/simnet_test.go
+++ b/internal/simnet/simnet_test.go
@@ -13,7 +13,8 @@
 	"github.com/hibiscusspur/hibiscusspur/internal/simnet"
 )
 
-// TestConnectionsShareALink: two connections to one host take as long as its link needs for both.
+// TestConnectionsShareALink: two concurrent transfers to one host take as long as its link needs for the sum
+// of both.
 func TestConnectionsShareALink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, size = 1_000_000, 500_000
@@ -44,7 +45,7 @@
 	})
 }
 
-// TestReadsEnd: at their deadline, and when the connection is closed.
+// TestReadsEnd: a read ends at its deadline, and when the connection is closed.
 func TestReadsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New()
--- a/invariant/event.go
+++ b/invariant/event.go
@@ -1,6 +1,5 @@
-// Package invariant records what happened in a run of the whole system and finds
-// every breach of what must always hold. The recorder is safe for concurrent
-// use; the checker is a pure function of the events.
+// Package invariant records the events of a run of the whole system and finds every violation of the system's
+// invariants. The recorder is safe for concurrent use; the checker is a pure function of the events.
 package invariant
 
 import (
@@ -10,57 +9,56 @@
 	"github.com/hibiscusspur/hibiscusspur/outcome"
 )
 
-// Kind is what happened.
+// Kind is the type of an event.
 type Kind uint8
 
 const (
-	// RequestSent: a caller sent Request through the entry Node. Key, Unrepeatable and
-	// Want say what it may expect.
+	// RequestSent: a caller sent Request through the entry Node. Key, Unrepeatable and Want give the
+	// semantics and the answer that the caller may expect.
 	RequestSent Kind = iota + 1
 	// Token: the caller received Text as the output token at Position.
 	Token
-	// ResponseReceived: the caller received the end of Request with Outcome; Text is the
+	// ResponseReceived: the caller received the end of the response to Request, with Outcome; Text is the
 	// whole answer when the outcome is completed.
 	ResponseReceived
 	// ConnectionLost: the caller's connection ended without an answer.
 	ConnectionLost
-	// CallerGone: the caller closed its connection and wants nothing more.
+	// CallerGone: the caller closed its connection and needs no answer.
 	CallerGone
-	// WorkAccepted: the backend server Node took Request as new work.
+	// WorkAccepted: the backend server Node accepted Request as new work.
 	WorkAccepted
-	// RunStarted: an engine or service Node began a run of Request.
+	// RunStarted: an engine or service Node started a run of Request.
 	RunStarted
-	// MemoryHeld: the engine Node holds memory for Request: a run, a reserved place or
-	// an exported KV cache.
+	// MemoryHeld: the engine Node lists memory held for Request: a run, a reserved decode slot or an exported
+	// KV cache.
 	MemoryHeld
 	// Leaving: the backend server Node was first told to leave.
 	Leaving
 	// Draining: the process Node was told to shut down gracefully.
 	Draining
-	// Fault: something was done to Node that may break requests in progress.
+	// Fault: a fault that may break requests in progress was injected into Node.
 	Fault
-	// RevisionCommitted: a change of Key was committed as Revision.
+	// RevisionCommitted: a change of the record Key was committed as Revision.
 	RevisionCommitted
-	// RevisionUsed: the process Node decided about Key under Revision.
+	// RevisionUsed: the process Node made a decision that depends on Key under Revision.
 	RevisionUsed
 )
 
-// Event is one thing that happened. Fields that do not apply are left zero.
+// Event is one event of a run. Fields that do not apply to its Kind are zero.
 type Event struct {
 	// At is the time since the start of the run.
 	At   time.Duration
 	Kind Kind
-	// Request identifies what one caller sent once; a re-send is another request
-	// with the same Key.
+	// Request identifies one request of one caller; a repetition is another request with the same Key.
 	Request string
-	// Node is a process, engine or backend server; a restarted process is another node.
+	// Node is a process, engine or backend server; a restarted process counts as a new node.
 	Node string
-	// Key is the idempotency key of a request, or the record that a revision is of.
+	// Key is the idempotency key of a request, or the record that Revision belongs to.
 	Key string
-	// Unrepeatable marks a request that may run at most once for its Key, or by
-	// itself when it has no Key.
+	// Unrepeatable marks a request that may run at most once for its Key, or at most once itself if it has no
+	// Key.
 	Unrepeatable bool
-	// Want is the true answer; empty when it is not known.
+	// Want is the expected answer; empty when it is unknown.
 	Want     string
 	Position int
 	Text     string
@@ -70,24 +68,24 @@
 
 // Recorder collects events. It is safe for concurrent use.
 type Recorder struct {
-	begun time.Time
+	start time.Time
 
 	mu     sync.Mutex
 	events []Event
 }
 
 // NewRecorder returns a recorder whose clock starts now.
-func NewRecorder() *Recorder { return &Recorder{begun: time.Now()} }
+func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Add stamps e with the time since the recorder's start and keeps it.
+// Add sets e.At to the time since the recorder's start and appends e.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.At = time.Since(r.begun)
+	e.At = time.Since(r.start)
 	r.events = append(r.events, e)
 }
 
-// Events returns a copy of what was recorded, in order.
+// Events returns a copy of the recorded events, in the order of Add.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
