--- a/invariant/check.go
+++ b/invariant/check.go
@@ -79,13 +79,13 @@
 
 // requestState is the state of one request, built from its events.
 type requestState struct {
-	asked          Event
-	endedAtFirst   time.Duration
+	sent           Event
+	firstEnd       time.Duration
 	ended          bool
 	answers        int
 	answer         Event
 	connectionLost bool
-	endedAt        time.Duration
+	responseEnd    time.Duration
 	runs           []Event
 	tokens         int
 	streamedText   strings.Builder
@@ -132,7 +132,7 @@
 func (c *checker) apply(e Event) {
 	switch e.Kind {
 	case RequestSent:
-		c.request(e.Request).asked = e
+		c.request(e.Request).sent = e
 	case Token:
 		c.token(e)
 	case ResponseReceived, ConnectionLost, CallerGone:
@@ -178,12 +178,12 @@
 func (c *checker) requestEnded(e Event) {
 	r := c.request(e.Request)
 	if !r.ended {
-		r.ended, r.endedAtFirst = true, e.At
+		r.ended, r.firstEnd = true, e.At
 	}
 	if e.Kind == CallerGone {
 		return
 	}
-	r.endedAt = e.At
+	r.responseEnd = e.At
 	if e.Kind == ConnectionLost {
 		r.connectionLost = true
 		return
@@ -199,11 +199,11 @@
 }
 
 func (c *checker) checkAnswer(r *requestState, e Event) {
-	if r.asked.Kind != RequestSent {
+	if r.sent.Kind != RequestSent {
 		c.report(WholeAnswer, e, "answer to a request that this caller did not send")
 	}
-	if r.asked.Want != "" && e.Text != r.asked.Want {
-		c.report(WholeAnswer, e, "answer differs from the expected one (%d and %d bytes)", len(e.Text), len(r.asked.Want))
+	if r.sent.Want != "" && e.Text != r.sent.Want {
+		c.report(WholeAnswer, e, "answer differs from the expected one (%d and %d bytes)", len(e.Text), len(r.sent.Want))
 	}
 	if r.tokens > 0 && r.streamedText.String() != e.Text {
 		c.report(WholeAnswer, e, "streamed tokens differ from the answer")
@@ -218,8 +218,8 @@
 
 func (c *checker) memoryHeld(e Event) {
 	r, ok := c.requests[e.Request]
-	if ok && r.ended && e.At-r.endedAtFirst > c.bounds.Memory {
-		c.report(MemoryFreed, e, "memory held %v after the caller disconnected or got its answer", e.At-r.endedAtFirst)
+	if ok && r.ended && e.At-r.firstEnd > c.bounds.Memory {
+		c.report(MemoryFreed, e, "memory held %v after the caller disconnected or got its answer", e.At-r.firstEnd)
 	}
 }
 
@@ -247,8 +247,8 @@
 		if r.answers > 0 && r.answer.Outcome == outcome.NotRun && len(r.runs) > 0 {
 			c.report(NotRunIsTrue, r.answer, "reported as not run, but run %d times, on %s", len(r.runs), r.runs[0].Node)
 		}
-		if r.asked.Unrepeatable {
-			key := r.asked.Key
+		if r.sent.Unrepeatable {
+			key := r.sent.Key
 			if key == "" {
 				key = "request " + id
 			}
@@ -270,16 +270,16 @@
 	if !failed {
 		return
 	}
-	nodes := []string{r.asked.Node}
+	nodes := []string{r.sent.Node}
 	for _, b := range r.runs {
 		nodes = append(nodes, b.Node)
 	}
-	if slices.ContainsFunc(nodes, func(n string) bool { return c.hadFault(n, r.asked.At, r.endedAt) }) {
+	if slices.ContainsFunc(nodes, func(n string) bool { return c.hadFault(n, r.sent.At, r.responseEnd) }) {
 		return
 	}
 	for _, n := range nodes {
-		if since, ok := c.draining[n]; ok && since >= r.asked.At && since <= r.endedAt {
-			c.report(ShutdownCutsNothing, Event{At: r.endedAt, Request: r.asked.Request, Node: n}, "request in progress was not completed")
+		if since, ok := c.draining[n]; ok && since >= r.sent.At && since <= r.responseEnd {
+			c.report(ShutdownCutsNothing, Event{At: r.responseEnd, Request: r.sent.Request, Node: n}, "request in progress was not completed")
 			return
 		}
 	}
--- a/invariant/check_test.go
+++ b/invariant/check_test.go
@@ -11,7 +11,7 @@
 
 const second = time.Second
 
-func TestCheckFindsEachBreach(t *testing.T) {
+func TestCheckFindsEachViolation(t *testing.T) {
 	ask := Event{At: 1, Kind: RequestSent, Request: "r", Node: "entry", Want: "ab", Unrepeatable: true}
 	whole := Event{At: second, Kind: ResponseReceived, Request: "r", Outcome: outcome.Completed, Text: "ab"}
 	begun := Event{At: 2, Kind: RunStarted, Request: "r", Node: "engine"}
--- a/proofs/caller.go
+++ b/proofs/caller.go
@@ -17,38 +17,39 @@
 	standin "github.com/hibiscusspur/hibiscusspur/standin/engine"
 )
 
-// ask is one request for model work.
-type ask struct {
+// modelRequest is one completion request.
+type modelRequest struct {
 	model string
-	// prompt says how long the answer is, see length.
+	// prompt also sets the length of the answer; see promptForTokens.
 	prompt string
 	stream bool
-	// key is the idempotency key, bearer the API key; apiKey when empty.
+	// key is the idempotency key, bearer the API key; an empty bearer stands for apiKey.
 	key, bearer string
-	// sent is called when the request is in the socket.
+	// sent is called once the request has been written to the socket.
 	sent func()
 	// onToken is called for each received token, with its number from 1.
 	onToken func(n int)
 }
 
-// length is a prompt to which the answer has n tokens; pad makes it long.
-func length(n, pad int, name string) string {
+// promptForTokens returns a prompt whose answer has n tokens; pad is the number of words that make the prompt
+// longer.
+func promptForTokens(n, pad int, name string) string {
 	return fmt.Sprintf("[[len=%d]] %s %s", n, name, strings.Repeat("word ", pad))
 }
 
-// answer is what the caller saw.
+// answer is the response as the caller received it.
 type answer struct {
 	id     string
 	status int
 	text   string
 	tokens int
-	// whole is true when the answer was marked as complete: a body with a finish
-	// reason, or a stream with [DONE].
+	// whole is true if the answer was marked as complete: a body with a finish reason, or a stream with
+	// [DONE].
 	whole bool
-	// outcome, code and retryAfter are those of an error body or event.
+	// outcome and code are those of an error body or event; retryAfter is the Retry-After header.
 	outcome, code string
 	retryAfter    string
-	// err is set when the connection ended without an answer.
+	// err is set if the connection ended without an answer.
 	err  error
 	took time.Duration
 }
@@ -57,23 +58,23 @@
 	return fmt.Sprintf("status=%d tokens=%d whole=%v outcome=%s code=%s err=%v after %v", a.status, a.tokens, a.whole, a.outcome, a.code, a.err, a.took.Round(time.Millisecond))
 }
 
-// want is the true answer.
-func (q ask) want() string {
+// expectedAnswer returns the correct answer to q.
+func (q modelRequest) expectedAnswer() string {
 	return strings.Join(standin.Answer(q.model, q.prompt, 0), "")
 }
 
-// do sends q to an entry over a connection of its own and reads to the end.
-func (e *entry) do(ctx context.Context, q ask) answer {
+// do sends q to an entry over a new connection and reads the whole response.
+func (e *entry) do(ctx context.Context, q modelRequest) answer {
 	begun := time.Now()
 	a := e.send(ctx, q)
 	a.took = time.Since(begun)
 	return a
 }
 
-// callerBound is after which a caller of these tests gives up by itself.
+// callerBound is the timeout of a caller in these tests.
 const callerBound = 40 * time.Second
 
-func (e *entry) send(ctx context.Context, q ask) answer {
+func (e *entry) send(ctx context.Context, q modelRequest) answer {
 	ctx, cancel := context.WithTimeout(ctx, callerBound)
 	defer cancel()
 	body, _ := json.Marshal(map[string]any{"model": q.model, "prompt": q.prompt, "stream": q.stream})
@@ -105,7 +106,7 @@
 	return a
 }
 
-// reply is either form of a body or an event.
+// reply is a response body or a stream event, with either choices or an error.
 type reply struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -127,14 +128,14 @@
 	if a.err = json.Unmarshal(data, &b); a.err != nil {
 		return
 	}
-	a.take(b)
+	a.apply(b)
 	if b.Error == nil && len(b.Choices) == 1 {
 		a.whole = b.Choices[0].FinishReason != nil
 		a.tokens = strings.Count(a.text, " ")
 	}
 }
 
-func (a *answer) take(b reply) {
+func (a *answer) apply(b reply) {
 	if b.Error != nil {
 		a.outcome, a.code = b.Error.Outcome, b.Error.Code
 		return
@@ -144,7 +145,7 @@
 	}
 }
 
-func (a *answer) readStream(r io.Reader, q ask) {
+func (a *answer) readStream(r io.Reader, q modelRequest) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -159,7 +160,7 @@
 		if a.err = json.Unmarshal([]byte(data), &b); a.err != nil {
 			return
 		}
-		a.take(b)
+		a.apply(b)
 		for n := strings.Count(a.text, " "); a.tokens < n; {
 			a.tokens++
 			if q.onToken != nil {
@@ -170,22 +171,22 @@
 	a.err = lines.Err()
 }
 
-// asked is a request in progress.
-type asked struct {
+// pendingRequest is a request in progress.
+type pendingRequest struct {
 	cancel context.CancelFunc
 	done   chan answer
 }
 
-// begin sends q on a goroutine. cancel closes the caller's connection.
-func (e *entry) begin(q ask) *asked {
+// begin sends q on a new goroutine. cancel closes the caller's connection.
+func (e *entry) begin(q modelRequest) *pendingRequest {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &asked{cancel: cancel, done: make(chan answer, 1)}
+	p := &pendingRequest{cancel: cancel, done: make(chan answer, 1)}
 	go func() { p.done <- e.do(ctx, q) }()
 	return p
 }
 
-// stalled sends q on a raw connection and reads nothing.
-func (e *entry) stalled(q ask) (net.Conn, error) {
+// sendWithoutReading sends q on a raw connection and reads nothing, like a stalled client.
+func (e *entry) sendWithoutReading(q modelRequest) (net.Conn, error) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
 	if err != nil {
 		return nil, err
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -15,18 +15,17 @@
 	splatform "github.com/hibiscusspur/hibiscusspur/standin/platform"
 )
 
-// Environment of the random-fault run: chaosVar is the number of faults, seedVar
-// the seed that they are drawn from.
+// Environment variables of the random-fault run: chaosVar is the number of faults, seedVar the seed that they
+// are drawn from.
 const (
 	chaosVar = "HIBISCUSSPUR_CHAOS"
 	seedVar  = "HIBISCUSSPUR_SEED"
 )
 
-// chaosCallers is the number of callers.
 const chaosCallers = 12
 
-// TestRandomFaults draws faults from a seed while callers ask, and lets the
-// checker judge what was seen.
+// TestRandomFaults injects random faults, drawn from a seed, while callers send requests, and checks the
+// invariants on what was observed.
 func TestRandomFaults(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv(chaosVar))
 	if n == 0 {
@@ -34,7 +33,7 @@
 	}
 	seed, _ := strconv.ParseUint(os.Getenv(seedVar), 10, 64)
 	c := newCluster(t, options{prefills: 2, decodes: 3, mixed: 1, entries: 3})
-	w := newWatch(c)
+	w := newObserver(c)
 	x := &chaos{faults: newFaults(seed), c: c, w: w}
 	callers := w.startCallers(chaosCallers, seed)
 	x.run(n, x.kinds())
@@ -42,7 +41,7 @@
 	c.clearEngines()
 	w.stop()
 	callers.Wait()
-	took := w.rest(quiet)
+	took := w.awaitIdle(settleBound)
 	breaches := invariant.Check(w.rec.Events(), chaosBounds())
 	t.Logf("seed %d: %d faults %v; %s; at rest after %v", seed, n, x.drawn, w.summary(), took.Round(time.Millisecond))
 	for _, b := range breaches {
@@ -50,10 +49,10 @@
 	}
 }
 
-// chaosBounds leave room for the faults that hold at the time.
+// chaosBounds are the default bounds, with time for the faults that are active when memory has to be freed.
 func chaosBounds() invariant.Bounds {
 	b := invariant.DefaultBounds()
-	b.Memory = quiet
+	b.Memory = settleBound
 	return b
 }
 
@@ -61,10 +60,11 @@
 type chaos struct {
 	*faults
 	c *cluster
-	w *watch
+	w *observer
 }
 
-// kinds are the faults of entries, sidecars, engines, links and the store.
+// kinds are the faults of entries, sidecars, engines, links and the store. Their order fixes what a seed
+// draws.
 func (x *chaos) kinds() []faultKind {
 	return []faultKind{
 		{"entry killed", func(i int) (string, func()) { return x.kill(x.entry(i).proc) }},
@@ -75,14 +75,14 @@
 		{"sidecar shut down", func(i int) (string, func()) { return x.shutDown(x.server(i).sidecar) }},
 		{"engine killed", func(i int) (string, func()) {
 			b := x.server(i)
-			x.w.look(b)
+			x.w.scan(b)
 			return x.kill(b.engine)
 		}},
 		{"engine frozen", func(i int) (string, func()) { return x.freeze(x.server(i).engine) }},
 		{"link cut", func(i int) (string, func()) { x.server(i).relay.cut(); return "", nil }},
-		{"link silent", func(i int) (string, func()) { x.server(i).relay.silence(true, true); return "", nil }},
-		{"link silent up", func(i int) (string, func()) { x.server(i).relay.silence(true, false); return "", nil }},
-		{"link silent down", func(i int) (string, func()) { x.server(i).relay.silence(false, true); return "", nil }},
+		{"link silent", func(i int) (string, func()) { x.server(i).relay.drop(true, true); return "", nil }},
+		{"link silent up", func(i int) (string, func()) { x.server(i).relay.drop(true, false); return "", nil }},
+		{"link silent down", func(i int) (string, func()) { x.server(i).relay.drop(false, true); return "", nil }},
 		{"link held", func(i int) (string, func()) { return "", x.server(i).relay.hold() }},
 		{"link blocked", func(i int) (string, func()) {
 			r := x.server(i).relay
@@ -116,7 +116,7 @@
 
 func (x *chaos) storeFault(f splatform.Fault) func(int) (string, func()) {
 	return func(int) (string, func()) {
-		if !x.take("store") {
+		if !x.reserve("store") {
 			return "", nil
 		}
 		x.c.storeFault(f)
@@ -128,7 +128,7 @@
 	return func(target int) (string, func()) {
 		b := x.server(target)
 		id := b.engine.name
-		if !x.take(id) {
+		if !x.reserve(id) {
 			return "", nil
 		}
 		x.c.fault(b, r)
@@ -136,8 +136,8 @@
 	}
 }
 
-// change commits a harmless change of the contract, in spite of the store's faults.
-func (w *watch) change() {
+// change commits a contract change without effect, and retries while the store fails.
+func (w *observer) change() {
 	w.changes++
 	text := fmt.Sprintf("%s# change %d\n", contractText(), w.changes)
 	change := map[string]dissemination.Change{dissemination.ContractPrefix + customer: {Body: text}}
@@ -151,12 +151,12 @@
 				w.rec.Add(invariant.Event{Kind: invariant.RevisionCommitted, Key: configKey, Revision: rev})
 				return
 			}
-			time.Sleep(20 * pollEvery)
+			time.Sleep(20 * pollInterval)
 		}
 	})
 }
 
-// clearEngine ends the faults of an engine; one that is down has none.
+// clearEngine ends the faults of an engine; an engine that is down has none.
 func (c *cluster) clearEngine(b *backend) { _ = deleteAt(b.engineURL + fault.Path) }
 
 func (c *cluster) clearEngines() {
--- a/proofs/cluster.go
+++ b/proofs/cluster.go
@@ -25,17 +25,17 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// startBound is how long a process may take to answer.
+// startBound is how long a process may take to start answering.
 const startBound = 15 * time.Second
 
-// apiKey is the key of the one customer.
+// customer is the only customer, apiKey its API key.
 const (
 	customer = "office"
 	apiKey   = "proofs-key"
 )
 
-// contractYAML is the customer's contract: repeatable drafts, unrepeatable
-// rulings, and a service with one unrepeatable call. The limits are out of reach.
+// contractYAML is the customer's contract: repeatable drafts, unrepeatable rulings, and a service with one
+// unrepeatable call. The limits are too high to be reached.
 const contractYAML = `customer: office
 brand: Office
 keys:
@@ -50,8 +50,8 @@
   - {name: permits, unrepeatable: ["POST /receipts"], timeout: 10s}
 `
 
-// backend is one backend server: an engine or service, its sidecar, and the
-// relay through which entries reach the sidecar.
+// backend is one backend server: an engine or a service, its sidecar, and the relay through which entries
+// reach the sidecar.
 type backend struct {
 	id, role             string
 	engineURL, adminURL  string
@@ -60,24 +60,24 @@
 	sidecarAddr, address string
 }
 
-// entry is one entry with the relay to its platform.
+// entry is one entry and the relay between it and the platform's store.
 type entry struct {
 	id, url, adminURL string
 	proc              *process
 	store             *relay
 }
 
-// options choose a cluster.
+// options describe a cluster.
 type options struct {
 	prefills, decodes, mixed, services, entries int
-	// engineArgs are added to each engine, serviceArgs to each service.
+	// engineArgs are additional arguments of each engine, serviceArgs of each service.
 	engineArgs  []string
 	serviceArgs []string
-	// entryYAML and sidecarYAML are added to the settings.
+	// entryYAML and sidecarYAML are appended to the settings files.
 	entryYAML, sidecarYAML string
 }
 
-// cluster is the whole path as processes.
+// cluster runs the platform, the entries and the backend servers as separate processes.
 type cluster struct {
 	t        *testing.T
 	dir      string
@@ -176,7 +176,7 @@
 	return file
 }
 
-// awaitServing waits until an entry has a usable link to every backend server.
+// awaitServing waits until an entry is healthy and has a link to every backend server.
 func (c *cluster) awaitServing(e *entry) {
 	c.t.Helper()
 	await(c.t, startBound, e.adminURL+"/healthz")
@@ -185,7 +185,7 @@
 	})
 }
 
-// links counts the backend servers that an entry has logged a link to.
+// links counts the backend servers to which an entry has logged a link.
 func (c *cluster) links(e *entry) int {
 	data := readLog(e.proc.log)
 	n := 0
@@ -202,7 +202,7 @@
 	return string(data)
 }
 
-// commit changes the configuration and returns its new revision.
+// commit commits a configuration change and returns the new revision.
 func (c *cluster) commit(changes map[string]dissemination.Change) uint64 {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), startBound)
@@ -223,14 +223,14 @@
 	return nil
 }
 
-// state reads the books of an engine; a dead engine holds nothing.
+// state returns an engine's state; a dead engine returns an error and holds no memory.
 func (b *backend) state() (standin.State, error) {
 	var s standin.State
 	err := getJSON(b.engineURL+standin.PathState, &s)
 	return s, err
 }
 
-// held counts the runs and exported KV caches in all engines that answer.
+// held counts the runs and exported KV caches in all reachable engines.
 func (c *cluster) held() int {
 	n := 0
 	for _, b := range c.backends {
@@ -241,8 +241,8 @@
 	return n
 }
 
-// begun counts the runs begun for a request, in all engines that answer. A nil
-// error means that all did.
+// begun counts the runs started for a request, in all reachable engines. A nil error means that all engines
+// were reachable.
 func (c *cluster) begun(request string) (int, error) {
 	run := c.runOf(request)
 	n := 0
@@ -259,7 +259,7 @@
 	return n, errs
 }
 
-// runOf is the id under which the entries ran a request, from their logs.
+// runOf returns the ID of the run that the entries made for a request, taken from their logs.
 func (c *cluster) runOf(request string) string {
 	for _, e := range c.entries {
 		_, rest, ok := strings.Cut(readLog(e.proc.log), `"text":"request ended","request":"`+request+`","run":"`)
@@ -284,19 +284,19 @@
 	return false
 }
 
-// fault switches a fault of the engine or service on.
+// fault enables a fault of the engine or service.
 func (c *cluster) fault(b *backend, r fault.Rule) {
 	c.t.Helper()
 	assert.NilError(c.t, postJSON(b.engineURL+fault.Path, r))
 }
 
-// storeFault switches a fault of the platform on; clearStore ends all.
+// storeFault enables a fault of the platform's store; clearStore ends all of them.
 func (c *cluster) storeFault(f splatform.Fault) {
 	c.t.Helper()
 	assert.NilError(c.t, postJSON(c.storeURL+splatform.PathFault, f))
 }
 
-// control is the client of control endpoints.
+// control is the HTTP client for admin and fault endpoints.
 var control = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func status(url string) int {
@@ -333,7 +333,7 @@
 	return nil
 }
 
-// enginesAnswer reports whether every engine tells its state.
+// enginesAnswer reports whether every engine returns its state.
 func (c *cluster) enginesAnswer() bool {
 	for _, b := range c.backends {
 		if b.role == "service" {
--- a/proofs/faults_test.go
+++ b/proofs/faults_test.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Shape of a run of random faults.
+// Parameters of a run of random faults.
 const (
-	// faultGap is the mean pause between two faults; faults last up to longestFault,
-	// so that several hold at once.
-	faultGap     = 400 * time.Millisecond
-	longestFault = 2500 * time.Millisecond
+	// faultInterval is the mean interval between two faults. Faults last up to longestFault, so that several
+	// are active at once.
+	faultInterval = 400 * time.Millisecond
+	longestFault  = 2500 * time.Millisecond
 )
 
-// faultKind is one kind of fault. Begin applies it to the target of that number, and returns
-// what it holds and what ends it; end is nil when there is nothing to end.
+// faultKind is one kind of fault. begin applies it to the target of that number, and returns the ID that it
+// has reserved and a function that ends the fault; end is nil if there is nothing to end.
 type faultKind struct {
 	name  string
 	begin func(target int) (id string, end func())
 }
 
-// faults draws faults from a seed and applies them, several at once.
+// faults draws faults from a seed and applies them, several at a time.
 type faults struct {
 	rng   *rand.Rand
 	wg    sync.WaitGroup
 	drawn map[string]int
 
-	mu   sync.Mutex
-	busy map[string]bool
+	mu       sync.Mutex
+	reserved map[string]bool
 }
 
 func newFaults(seed uint64) *faults {
-	return &faults{rng: rand.New(rand.NewPCG(seed, 0)), busy: make(map[string]bool), drawn: make(map[string]int)}
+	return &faults{rng: rand.New(rand.NewPCG(seed, 0)), reserved: make(map[string]bool), drawn: make(map[string]int)}
 }
 
-// run applies n faults, some two at once, and ends them all.
+// run applies n faults, every fourth together with the next one, and ends them all.
 func (x *faults) run(n int, kinds []faultKind) {
 	for i := range n {
 		k := kinds[x.rng.IntN(len(kinds))]
@@ -43,7 +43,7 @@
 		x.drawn[k.name]++
 		x.apply(k, target, length)
 		if i%4 != 0 {
-			time.Sleep(time.Duration(x.rng.Int64N(int64(2 * faultGap))))
+			time.Sleep(time.Duration(x.rng.Int64N(int64(2 * faultInterval))))
 		}
 	}
 	x.wg.Wait()
@@ -57,29 +57,29 @@
 	x.wg.Go(func() {
 		time.Sleep(length)
 		end()
-		x.free(id)
+		x.release(id)
 	})
 }
 
-// take reserves a process for one fault at a time.
-func (x *faults) take(id string) bool {
+// reserve reserves a target, so that one fault at a time affects it.
+func (x *faults) reserve(id string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.busy[id] {
+	if x.reserved[id] {
 		return false
 	}
-	x.busy[id] = true
+	x.reserved[id] = true
 	return true
 }
 
-func (x *faults) free(id string) {
+func (x *faults) release(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.busy, id)
+	delete(x.reserved, id)
 }
 
 func (x *faults) kill(p *process) (string, func()) {
-	if !x.take(p.name) {
+	if !x.reserve(p.name) {
 		return "", nil
 	}
 	p.kill()
@@ -87,7 +87,7 @@
 }
 
 func (x *faults) freeze(p *process) (string, func()) {
-	if !x.take(p.name) {
+	if !x.reserve(p.name) {
 		return "", nil
 	}
 	p.freeze()
@@ -95,7 +95,7 @@
 }
 
 func (x *faults) shutDown(p *process) (string, func()) {
-	if !x.take(p.name) {
+	if !x.reserve(p.name) {
 		return "", nil
 	}
 	p.terminate()
--- a/proofs/site_test.go
+++ b/proofs/gateway_cluster_test.go
@@ -22,18 +22,18 @@
 	modelService = "llm"
 )
 
-// siteServer is one backend server with the relay through which gateways reach it.
-type siteServer struct {
+// clusterServer is one backend server with the relay through which gateways reach it.
+type clusterServer struct {
 	*site.Server
 	service string
 	stage   registry.Stage
 	relay   *relay
-	// dead is set once it has crashed for good; guarded by the cluster's lock.
-	dead bool
+	// crashed is set once the server has crashed for good; guarded by the cluster's lock.
+	crashed bool
 }
 
-// siteGateway is one gateway with its settings file and the relay to its store.
-type siteGateway struct {
+// clusterGateway is one gateway with its settings file and the relay between it and the store.
+type clusterGateway struct {
 	vm, file       string
 	callers, ready string
 	control        string
@@ -42,28 +42,28 @@
 	settings       map[string]any
 }
 
-// siteCluster is the users' platform, stood in for, and gateways as processes.
-type siteCluster struct {
+// gatewayCluster runs gateways as processes against stand-ins of the users' platform.
+type gatewayCluster struct {
 	t        *testing.T
 	dir      string
 	log      *site.Log
 	store    *site.Store
-	keys     *siteKeys
-	gateways []*siteGateway
+	keys     *tenantKeys
+	gateways []*clusterGateway
 
 	mu sync.Mutex
-	// version is that of the newest manifest.
+	// version is the version of the newest manifest.
 	version int
 	started int
-	servers []*siteServer
-	// crashes are servers that crashed and are being replaced.
+	servers []*clusterServer
+	// crashes counts the crashed servers whose replacement is in progress.
 	crashes sync.WaitGroup
 }
 
-// newSite starts so many gateways before plain servers and engines.
-func newSite(t *testing.T, gateways int) *siteCluster {
+// newGatewayCluster starts the given number of gateways in front of plain servers and engines.
+func newGatewayCluster(t *testing.T, gateways int) *gatewayCluster {
 	t.Helper()
-	c := &siteCluster{t: t, dir: t.TempDir(), log: site.NewLog(), store: site.NewStore(t), keys: newSiteKeys()}
+	c := &gatewayCluster{t: t, dir: t.TempDir(), log: site.NewLog(), store: site.NewStore(t), keys: newTenantKeys()}
 	for range 3 {
 		c.addServer(plainService, registry.Whole)
 	}
@@ -86,18 +86,18 @@
 	return c
 }
 
-// addServer starts a server and lists it in the store.
-func (c *siteCluster) addServer(service string, stage registry.Stage) *siteServer {
+// addServer starts a server and writes its entry to the store.
+func (c *gatewayCluster) addServer(service string, stage registry.Stage) *clusterServer {
 	c.mu.Lock()
 	c.started++
 	id := fmt.Sprintf("i-%s-%d", service, c.started)
 	c.mu.Unlock()
-	s := &siteServer{Server: site.NewServer(c.t, id, c.log), service: service, stage: stage}
+	s := &clusterServer{Server: site.NewServer(c.t, id, c.log), service: service, stage: stage}
 	s.Restart(time.Now().UnixMilli(), false)
 	s.relay = newRelay(c.t, s.Addr())
-	s.EndUnder(deadly, func(*site.Server) {
+	s.EndUnder(crashPrefix, func(*site.Server) {
 		defer c.crashes.Done()
-		c.crashed(s)
+		c.replaceCrashed(s)
 	})
 	s.OnCrash(func() { c.crashes.Add(1) })
 	c.mu.Lock()
@@ -107,12 +107,12 @@
 	return s
 }
 
-// list writes the entry of a server into the store.
-func (c *siteCluster) list(s *siteServer, state string) {
+// list writes the entry of a server to the store.
+func (c *gatewayCluster) list(s *clusterServer, state string) {
 	c.mu.Lock()
-	dead := s.dead
+	crashed := s.crashed
 	c.mu.Unlock()
-	if dead {
+	if crashed {
 		return
 	}
 	e := site.Entry{
@@ -125,8 +125,8 @@
 	c.store.Put("servers", s.ID, e.Encode())
 }
 
-// retire takes a server from those that are drawn for faults.
-func (c *siteCluster) retire(s *siteServer) {
+// retire removes a server from those that faults are drawn for.
+func (c *gatewayCluster) retire(s *clusterServer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, other := range c.servers {
@@ -137,22 +137,21 @@
 	}
 }
 
-// all returns the servers that are listed.
-func (c *siteCluster) all() []*siteServer {
+// all returns the servers that faults are drawn for.
+func (c *gatewayCluster) all() []*clusterServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]*siteServer(nil), c.servers...)
+	return append([]*clusterServer(nil), c.servers...)
 }
 
-// nextManifest writes the next configuration, with a route of that version alone, and
-// returns the version.
-func (c *siteCluster) nextManifest() int {
+// nextManifest writes the next manifest, with a route that only this version has, and returns the version.
+func (c *gatewayCluster) nextManifest() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
 	route := func(name, kind, service string, attempts int, resumable bool) map[string]any {
 		return map[string]any{
-			"name": name, "host": siteHost, "prefix": "/" + name + "/", "kind": kind, "service": service,
+			"name": name, "host": routeHost, "prefix": "/" + name + "/", "kind": kind, "service": service,
 			"timeout_ms": 6000, "slo_ms": 900, "attempts": attempts, "resumable": resumable,
 		}
 	}
@@ -174,23 +173,23 @@
 	return c.version
 }
 
-// siteHost is the host of all routes.
-const siteHost = "h"
+// routeHost is the host of all routes.
+const routeHost = "h"
 
 // versionRoute is the name of the route that only this version of the manifest has.
 func versionRoute(version int) string { return fmt.Sprint("v", version) }
 
-func (c *siteCluster) newest() int {
+func (c *gatewayCluster) newestVersion() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// newGateway prepares a gateway on an address of loopback of its own, as VMs have.
-func (c *siteCluster) newGateway(i int) *siteGateway {
+// newGateway prepares a gateway on its own loopback address, as if on its own VM.
+func (c *gatewayCluster) newGateway(i int) *clusterGateway {
 	ip := fmt.Sprintf("127.0.0.%d", i+2)
-	at := func(offset int) string { return fmt.Sprintf("%s:%d", ip, sitePort+offset) }
-	g := &siteGateway{
+	at := func(offset int) string { return fmt.Sprintf("%s:%d", ip, gatewayPort+offset) }
+	g := &clusterGateway{
 		vm: fmt.Sprint("edge-", i+1), callers: at(0), ready: at(1), control: at(2), store: newRelay(c.t, c.store.Addr()),
 	}
 	g.file = filepath.Join(c.dir, g.vm+".json")
@@ -199,28 +198,28 @@
 		"listen":     map[string]any{"front": g.callers, "ready": g.ready, "control": g.control},
 		"port_range": []int{datagramPort, datagramPort + 9}, "heartbeat_ms": 500,
 		"limits":   map[string]any{"memory_mb": 200},
-		"bounds":   map[string]any{"grace_s": 3, "retry_ratio": 0.2, "retry_window_s": 10, "retry_slack": 50, "fail_closed": true, "revoke_ms": siteRevoke.Milliseconds()},
+		"bounds":   map[string]any{"grace_s": 3, "retry_ratio": 0.2, "retry_window_s": 10, "retry_slack": 50, "fail_closed": true, "revoke_ms": revocationBound.Milliseconds()},
 		"provider": map[string]any{"addr": g.store.addr},
 	}
 	return g
 }
 
-// Ports of gateways, the same on each one's own address as on VMs: sitePort and the next
-// are where callers, the balancer and other gateways connect, datagramPort begins the range
-// for traffic among gateways. Runs of this kind don't go beside each other.
+// Ports of gateways, the same on each gateway's address, as on VMs: gatewayPort and the next two are for
+// callers, the load balancer and other gateways, datagramPort is the first of the range for datagrams between
+// gateways. Tests of this kind must not run in parallel.
 const (
-	sitePort     = 20100
+	gatewayPort  = 20100
 	datagramPort = 20110
 )
 
-func (c *siteCluster) startGateway(g *siteGateway) {
+func (c *gatewayCluster) startGateway(g *clusterGateway) {
 	c.writeSettings(g)
 	g.proc = startWith(c.t, []string{platform.SettingsEnv + "=" + g.file}, c.dir, g.vm, "hibiscusspur", "gateway")
 }
 
-// writeSettings writes the settings file whole, with the control addresses of the others
-// as seeds.
-func (c *siteCluster) writeSettings(g *siteGateway) {
+// writeSettings replaces the settings file atomically, with the control addresses of the other gateways as
+// seeds.
+func (c *gatewayCluster) writeSettings(g *clusterGateway) {
 	var seeds []string
 	for _, other := range c.gateways {
 		if other != g {
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -14,17 +14,17 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// leavingBound is how long a leaving server may get new work after the first
-// telling, quietBound how long it is then watched.
+// leavingBound is how long a leaving server may get new work after it is first announced as leaving,
+// watchBound how much longer it is watched.
 const (
 	leavingBound = 3 * time.Second
-	quietBound   = 2 * time.Second
+	watchBound   = 2 * time.Second
 )
 
 var leavingRows = []struct {
 	fault string
-	// tell makes m1 leave; it may break something first.
-	tell func(c *cluster)
+	// announce makes m1 leave; it may inject a fault first.
+	announce func(c *cluster)
 }{
 	{"list says leaving", func(c *cluster) { c.list("m1", store.VMLeaving) }},
 	{"operator retires", func(c *cluster) { c.retire("m1") }},
@@ -71,20 +71,20 @@
 				return fmt.Sprintf("last new work %v after telling", took.Round(time.Millisecond))
 			})
 			c := newCluster(t, options{mixed: 2, entries: 2})
-			l := c.startLoad(6, short)
+			l := c.startLoad(6, shortRequest)
 			b := c.backend("m1")
 			eventually(t, startBound, "work on m1", func() bool { return b.accepted() > 5 })
 			begun := time.Now()
-			r.tell(c)
-			took = b.lastWork(begun, leavingBound+quietBound)
-			assert.Assert(t, took <= leavingBound, "new work %v after the telling", took)
+			r.announce(c)
+			took = b.lastWork(begun, leavingBound+watchBound)
+			assert.Assert(t, took <= leavingBound, "new work %v after the announcement", took)
 			assert.Assert(t, c.backend("m2").accepted() > 5)
 			l.finish()
 		})
 	}
 }
 
-// accepted counts the runs that an engine has taken.
+// accepted counts the runs that an engine has accepted.
 func (b *backend) accepted() int {
 	s, _ := b.state()
 	n := 0
@@ -94,8 +94,7 @@
 	return n
 }
 
-// lastWork watches an engine for a time and returns when after begun it last
-// took new work.
+// lastWork watches an engine for the given time and returns how long after begun it last accepted new work.
 func (b *backend) lastWork(begun time.Time, watch time.Duration) time.Duration {
 	last, n := time.Duration(0), b.accepted()
 	for time.Since(begun) < watch {
@@ -103,7 +102,7 @@
 		if k := b.accepted(); k > n {
 			last, n = now, k
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return last
 }
--- a/proofs/load.go
+++ b/proofs/load.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// load is a steady number of callers that ask one after another, each with a
-// prompt of its own, at entries that say they are ready, as a balancer would.
+// load is a closed-loop load generator: a constant number of callers, each with one request in progress and
+// another prompt for each, at entries that report ready, as a load balancer would choose them.
 type load struct {
 	c      *cluster
 	stop   context.CancelFunc
 	ctx    context.Context
 	wg     sync.WaitGroup
-	health *health
+	health *healthChecker
 
-	mu   sync.Mutex
-	ends []ended
-	sent atomic.Int64
+	mu      sync.Mutex
+	results []completedRequest
+	sent    atomic.Int64
 }
 
-// ended is one request of the load.
-type ended struct {
-	q     ask
+// completedRequest is one finished request of the load.
+type completedRequest struct {
+	q     modelRequest
 	a     answer
 	entry string
 	begun time.Time
 }
 
-// healthEvery is how often the balancer looks at the health of the entries.
-const healthEvery = 100 * time.Millisecond
+// healthInterval is the interval between two health checks of the load balancer.
+const healthInterval = 100 * time.Millisecond
 
-// startLoad begins with n callers; make builds request number i.
-func (c *cluster) startLoad(n int, make func(i int) ask) *load {
+// startLoad starts n callers; newRequest builds request number i.
+func (c *cluster) startLoad(n int, newRequest func(i int) modelRequest) *load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{c: c, ctx: ctx, stop: cancel, health: newHealth(c.entries)}
+	l := &load{c: c, ctx: ctx, stop: cancel, health: newHealthChecker(c.entries)}
 	l.wg.Go(func() { l.health.run(ctx) })
 	for range n {
-		l.wg.Go(func() { l.caller(make) })
+		l.wg.Go(func() { l.caller(newRequest) })
 	}
 	c.t.Cleanup(func() {
 		cancel()
@@ -48,63 +48,63 @@
 	return l
 }
 
-func (l *load) caller(make func(i int) ask) {
+func (l *load) caller(newRequest func(i int) modelRequest) {
 	for l.ctx.Err() == nil {
 		i := int(l.sent.Add(1))
 		e := l.health.pick(i)
 		if e == nil {
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 			continue
 		}
-		q, begun := make(i), time.Now()
+		q, begun := newRequest(i), time.Now()
 		a := e.do(context.Background(), q)
 		l.mu.Lock()
-		l.ends = append(l.ends, ended{q, a, e.id, begun})
+		l.results = append(l.results, completedRequest{q, a, e.id, begun})
 		l.mu.Unlock()
 	}
 }
 
-// finish lets the requests in progress end and returns all.
-func (l *load) finish() []ended {
+// finish stops the callers, waits for the requests in progress, and returns all results.
+func (l *load) finish() []completedRequest {
 	l.stop()
 	l.wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ends
+	return l.results
 }
 
-// wrong lists what did not end with the true answer.
-func wrong(ends []ended) []string {
+// mismatches describes the results that are not the whole expected answer.
+func mismatches(results []completedRequest) []string {
 	var out []string
-	for _, e := range ends {
-		if !e.a.whole || e.a.text != e.q.want() {
+	for _, e := range results {
+		if !e.a.whole || e.a.text != e.q.expectedAnswer() {
 			out = append(out, fmt.Sprintf("%s %.20s: %v", e.entry, e.q.prompt, e.a))
 		}
 	}
 	return out
 }
 
-// short is a small request with an answer of its own.
-func short(i int) ask {
-	return ask{model: "drafting", prompt: length(3, 0, fmt.Sprint("short ", i)), stream: i%2 == 0}
+// shortRequest is a request with a short answer that differs by i.
+func shortRequest(i int) modelRequest {
+	return modelRequest{model: "drafting", prompt: promptForTokens(3, 0, fmt.Sprint("short ", i)), stream: i%2 == 0}
 }
 
-// health is what a balancer knows of the entries.
-type health struct {
+// healthChecker polls the health of the entries, as a load balancer does.
+type healthChecker struct {
 	entries []*entry
 	ready   []atomic.Bool
 }
 
-func newHealth(entries []*entry) *health {
-	h := &health{entries: entries, ready: make([]atomic.Bool, len(entries))}
+func newHealthChecker(entries []*entry) *healthChecker {
+	h := &healthChecker{entries: entries, ready: make([]atomic.Bool, len(entries))}
 	for i := range h.ready {
 		h.ready[i].Store(true)
 	}
 	return h
 }
 
-func (h *health) run(ctx context.Context) {
-	t := time.NewTicker(healthEvery)
+func (h *healthChecker) run(ctx context.Context) {
+	t := time.NewTicker(healthInterval)
 	defer t.Stop()
 	for {
 		for i, e := range h.entries {
@@ -118,7 +118,7 @@
 	}
 }
 
-func (h *health) pick(i int) *entry {
+func (h *healthChecker) pick(i int) *entry {
 	for k := range h.entries {
 		j := (i + k) % len(h.entries)
 		if h.ready[j].Load() {
--- a/proofs/memory_test.go
+++ b/proofs/memory_test.go
@@ -11,73 +11,73 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/fault"
 )
 
-// Bounds of point 1: with the caller seen to leave, and when only the lapse of
-// a lease tells.
+// Bounds of point 1: closedBound if the caller's connection is seen to close, lapsedBound if only the expiry
+// of a lease reveals that the caller is gone.
 const (
 	closedBound = time.Second
 	lapsedBound = 4 * time.Second
 )
 
-// patient engines keep an exported KV cache far longer than the bounds, so that
-// its expiry does not do the system's work.
-var patient = []string{"--kv-ttl", "30s"}
+// longKVTTL makes engines keep an exported KV cache far longer than the bounds, so that its expiry does not
+// hide a missing release.
+var longKVTTL = []string{"--kv-ttl", "30s"}
 
-// onePair is a prefill and a decode server with one place.
-var onePair = options{prefills: 1, decodes: 1, engineArgs: append([]string{"--places", "1"}, patient...)}
+// singleSlot is one prefill and one decode server with one decode slot.
+var singleSlot = options{prefills: 1, decodes: 1, engineArgs: append([]string{"--places", "1"}, longKVTTL...)}
 
-// long is a request that decodes for some ten seconds.
-func long(stream bool) ask {
-	return ask{model: "drafting", prompt: length(1000, 10, "long"), stream: stream}
+// longRequest is a request that decodes for about ten seconds.
+func longRequest(stream bool) modelRequest {
+	return modelRequest{model: "drafting", prompt: promptForTokens(1000, 10, "long"), stream: stream}
 }
 
-// memoryRow brings a request to a stage, breaks something and says from when on
-// the engines may hold nothing.
+// memoryRow brings a request to a stage, injects a fault and requires that the engines hold no memory within
+// bound after that.
 type memoryRow struct {
 	fault string
 	opts  options
 	bound time.Duration
-	// act returns when the caller is gone.
+	// act returns once the caller is gone.
 	act func(c *cluster)
 }
 
 var memoryRows = []memoryRow{
 	{"caller closes before prefill", slowPrefill, closedBound, func(c *cluster) {
-		first := c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "first")})
+		first := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "first")})
 		c.awaitPhase("p1", engine.PhasePrefill)
-		second := c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "second")})
-		eventually(c.t, startBound, "second request waiting", func() bool { return c.placesUsed("d1") == 2 })
+		second := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "second")})
+		eventually(c.t, startBound, "second request queued", func() bool { return c.slotsUsed("d1") == 2 })
 		second.cancel()
 		first.cancel()
 		<-first.done
 		<-second.done
 	}},
 	{"caller closes during prefill", slowPrefill, closedBound, func(c *cluster) {
-		q := c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "x")})
+		q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("p1", engine.PhasePrefill)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller closes during hand-off", onePair, closedBound, func(c *cluster) {
+	{"caller closes during hand-off", singleSlot, closedBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Link, Factor: 0})
-		q := c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "x")})
+		q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("d1", engine.PhaseImport)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller closes during decode", onePair, closedBound, func(c *cluster) {
-		q := c.entries[0].begin(long(true))
+	{"caller closes during decode", singleSlot, closedBound, func(c *cluster) {
+		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller closes during decode, not streamed", onePair, closedBound, func(c *cluster) {
-		q := c.entries[0].begin(long(false))
+	{"caller closes during decode, not streamed", singleSlot, closedBound, func(c *cluster) {
+		q := c.entries[0].begin(longRequest(false))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller stalls without closing", stalling, lapsedBound, func(c *cluster) {
-		conn, err := c.entries[0].stalled(ask{model: "drafting", prompt: length(90000, 10, "x")})
+	{"caller stalls without closing", fastDecode, lapsedBound, func(c *cluster) {
+		conn, err := c.entries[0].sendWithoutReading(modelRequest{model: "drafting", prompt: promptForTokens(90000, 10, "x")})
 		assert.NilError(c.t, err)
 		c.t.Cleanup(func() { _ = conn.Close() })
 		c.awaitPhase("d1", engine.PhaseDecode)
@@ -89,79 +89,79 @@
 		assert.Equal(c.t, s.Counters.Completed, 0, "the whole answer was decoded for a caller that does not read")
 	}},
 	{"entry killed during prefill", slowPrefill, lapsedBound, func(c *cluster) {
-		c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "x")})
+		c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("p1", engine.PhasePrefill)
 		c.entries[0].proc.kill()
 	}},
-	{"entry killed during hand-off", onePair, lapsedBound, func(c *cluster) {
+	{"entry killed during hand-off", singleSlot, lapsedBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Link, Factor: 0})
-		c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "x")})
+		c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("d1", engine.PhaseImport)
 		c.entries[0].proc.kill()
 	}},
-	{"entry killed during decode", onePair, lapsedBound, func(c *cluster) {
-		c.entries[0].begin(long(true))
+	{"entry killed during decode", singleSlot, lapsedBound, func(c *cluster) {
+		c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.entries[0].proc.kill()
 	}},
-	{"entry frozen past its lease", onePair, lapsedBound, func(c *cluster) {
-		c.entries[0].begin(long(true))
+	{"entry frozen past its lease", singleSlot, lapsedBound, func(c *cluster) {
+		c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.entries[0].proc.freeze()
 		c.t.Cleanup(c.entries[0].proc.thaw)
 	}},
-	{"link entry-sidecar silent for good", onePair, lapsedBound, func(c *cluster) {
-		c.entries[0].begin(long(true))
+	{"link entry-sidecar silent for good", singleSlot, lapsedBound, func(c *cluster) {
+		c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").relay.block()
 	}},
-	{"caller closes while the link is silent", onePair, lapsedBound, func(c *cluster) {
-		q := c.entries[0].begin(long(true))
+	{"caller closes while the link is silent", singleSlot, lapsedBound, func(c *cluster) {
+		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
-		c.backend("d1").relay.silence(true, true)
+		c.backend("d1").relay.drop(true, true)
 		q.cancel()
 		<-q.done
 	}},
-	{"sidecar killed and restarted while its engine goes on", onePair, lapsedBound, func(c *cluster) {
-		q := c.entries[0].begin(ask{model: "ruling", prompt: length(1000, 10, "x")})
+	{"sidecar killed and restarted while its engine goes on", singleSlot, lapsedBound, func(c *cluster) {
+		q := c.entries[0].begin(modelRequest{model: "ruling", prompt: promptForTokens(1000, 10, "x")})
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").sidecar.kill()
 		assert.Assert(c.t, c.held() > 0, "engine stopped with its sidecar")
 		c.backend("d1").sidecar.restart()
 		<-q.done
 	}},
-	{"sidecar frozen until its request is given up, thawed", onePair, lapsedBound, func(c *cluster) {
-		q := c.entries[0].begin(ask{model: "ruling", prompt: length(1000, 10, "x")})
+	{"sidecar frozen until its request is given up, thawed", singleSlot, lapsedBound, func(c *cluster) {
+		q := c.entries[0].begin(modelRequest{model: "ruling", prompt: promptForTokens(1000, 10, "x")})
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").sidecar.freeze()
 		<-q.done
 		c.backend("d1").sidecar.thaw()
 	}},
-	{"prefill sidecar killed and restarted, KV cache exported", onePair, lapsedBound, func(c *cluster) {
+	{"prefill sidecar killed and restarted, KV cache exported", singleSlot, lapsedBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Link, Factor: 0})
-		q := c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "x")})
+		q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("d1", engine.PhaseImport)
 		c.backend("p1").sidecar.kill()
 		q.cancel()
 		<-q.done
 		c.backend("p1").sidecar.restart()
 	}},
-	{"answer of the engine's cancel lost, three times", onePair, lapsedBound, func(c *cluster) {
+	{"answer of the engine's cancel lost, three times", singleSlot, lapsedBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.LoseAnswer, Op: "cancel", Count: 3})
-		q := c.entries[0].begin(long(true))
+		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"engine's cancel hangs without effect, once", onePair, lapsedBound, func(c *cluster) {
+	{"engine's cancel hangs without effect, once", singleSlot, lapsedBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Hang, Op: "cancel", Count: 1})
-		q := c.entries[0].begin(long(true))
+		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"engine's listing refused for two sweeps, caller closes", onePair, lapsedBound, func(c *cluster) {
-		q := c.entries[0].begin(long(true))
+	{"engine's listing refused for two sweeps, caller closes", singleSlot, lapsedBound, func(c *cluster) {
+		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Refuse, Op: "runs", Count: 2})
 		q.cancel()
@@ -170,8 +170,8 @@
 }
 
 var (
-	slowPrefill = options{prefills: 1, decodes: 1, engineArgs: append([]string{"--places", "4", "--prefill-rate", "50"}, patient...)}
-	stalling    = options{prefills: 1, decodes: 1, engineArgs: append([]string{"--step-base", "10us", "--step-per-run", "10us"}, patient...)}
+	slowPrefill = options{prefills: 1, decodes: 1, engineArgs: append([]string{"--places", "4", "--prefill-rate", "50"}, longKVTTL...)}
+	fastDecode  = options{prefills: 1, decodes: 1, engineArgs: append([]string{"--step-base", "10us", "--step-per-run", "10us"}, longKVTTL...)}
 )
 
 func TestMemoryIsFreed(t *testing.T) {
@@ -186,26 +186,26 @@
 	}
 }
 
-// TestReservationIsFreed: a granted place that is not used comes back, so that
-// the only place serves another caller.
+// TestReservationIsFreed: a reserved decode slot that is not used is released, so that the only slot serves
+// another caller.
 func TestReservationIsFreed(t *testing.T) {
 	const bound = lapsedBound
 	for _, r := range []struct {
 		fault string
-		act   func(c *cluster, q *asked)
+		act   func(c *cluster, q *pendingRequest)
 	}{
-		{"caller closes with a place reserved", func(_ *cluster, q *asked) { q.cancel() }},
-		{"entry killed with a place reserved", func(c *cluster, _ *asked) { c.entries[0].proc.kill() }},
+		{"caller closes with a place reserved", func(_ *cluster, q *pendingRequest) { q.cancel() }},
+		{"entry killed with a place reserved", func(c *cluster, _ *pendingRequest) { c.entries[0].proc.kill() }},
 	} {
 		t.Run(r.fault, func(t *testing.T) {
 			took := time.Duration(-1)
 			row(t, 1, r.fault, func() string { return fmt.Sprintf("served after %v of %v", took.Round(time.Millisecond), bound) })
-			c := newCluster(t, options{prefills: 1, decodes: 1, entries: 2, engineArgs: append([]string{"--places", "1", "--prefill-rate", "50"}, patient...)})
-			q := c.entries[0].begin(ask{model: "drafting", prompt: length(20, 200, "x")})
+			c := newCluster(t, options{prefills: 1, decodes: 1, entries: 2, engineArgs: append([]string{"--places", "1", "--prefill-rate", "50"}, longKVTTL...)})
+			q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 			c.awaitPhase("p1", engine.PhasePrefill)
 			r.act(c, q)
 			took = eventually(t, bound, "another caller served", func() bool {
-				return c.entries[1].do(t.Context(), ask{model: "drafting", prompt: length(1, 0, "y")}).whole
+				return c.entries[1].do(t.Context(), modelRequest{model: "drafting", prompt: promptForTokens(1, 0, "y")}).whole
 			})
 		})
 	}
@@ -216,8 +216,8 @@
 	eventually(c.t, startBound, id+" in "+string(p), func() bool { return c.backend(id).phase(p) })
 }
 
-// placesUsed is a sidecar's own count of its decode places.
-func (c *cluster) placesUsed(id string) int {
+// slotsUsed is the number of decode slots in use as counted by the sidecar.
+func (c *cluster) slotsUsed(id string) int {
 	var m map[string]struct {
 		Value float64 `json:"value"`
 	}
--- a/proofs/once.go
+++ b/proofs/once.go
@@ -13,29 +13,29 @@
 	splatform "github.com/hibiscusspur/hibiscusspur/standin/platform"
 )
 
-// settled is how long a late second run is looked for.
-const settled = 2 * time.Second
+// lateRunWindow is how long the tests watch for a delayed second run.
+const lateRunWindow = 2 * time.Second
 
-// atMostOnce wants so many whole answers, an end of the last one with code, and at
-// most one run in the engines, which it returns.
-func (c *cluster) atMostOnce(answers []answer, wholes int, code string) int {
+// atMostOnce requires wantWhole whole answers, the error code of the last answer, and at most one run in the
+// engines. It returns the number of runs.
+func (c *cluster) atMostOnce(answers []answer, wantWhole int, code string) int {
 	whole := 0
 	for _, a := range answers {
 		if a.whole {
 			whole++
 		}
 	}
-	assert.Equal(c.t, whole, wholes, "%v", answers)
+	assert.Equal(c.t, whole, wantWhole, "%v", answers)
 	assert.Equal(c.t, answers[len(answers)-1].code, code, "%v", answers)
 	runs := 0
-	for until := time.Now().Add(settled); time.Now().Before(until); time.Sleep(20 * pollEvery) {
+	for until := time.Now().Add(lateRunWindow); time.Now().Before(until); time.Sleep(20 * pollInterval) {
 		runs = max(runs, c.totalBegun())
 	}
 	assert.Assert(c.t, runs <= 1, "%d runs", runs)
 	return runs
 }
 
-// totalBegun counts all runs begun in the engines that answer.
+// totalBegun counts all runs started in the reachable engines.
 func (c *cluster) totalBegun() int {
 	n := 0
 	for _, b := range c.backends {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// ticket takes a ticket from an entry.
+// ticket requests a ticket from an entry.
 func (e *entry) ticket(t *testing.T) string {
 	req, err := http.NewRequest(http.MethodPost, e.url+"/v1/tickets", nil)
 	assert.NilError(t, err)
@@ -60,7 +60,7 @@
 	return body.Ticket
 }
 
-// restartSidecars loses every ledger of tickets.
+// restartSidecars kills and restarts every sidecar, which loses their in-memory ledgers of tickets.
 func (c *cluster) restartSidecars() {
 	for _, b := range c.backends {
 		b.sidecar.kill()
@@ -71,4 +71,4 @@
 	}
 }
 
-func (c *cluster) storeOut() { c.storeFault(splatform.Fault{Kind: splatform.Refuse}) }
+func (c *cluster) disableStore() { c.storeFault(splatform.Fault{Kind: splatform.Refuse}) }
--- a/proofs/once_test.go
+++ b/proofs/once_test.go
@@ -17,20 +17,20 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/service"
 )
 
-// keyed is an unrepeatable request under the one key of these rows.
-func keyed(tokens int) ask {
-	return ask{model: unrepeatable, prompt: length(tokens, 20, "keyed"), key: "receipt-17"}
+// keyedRequest is an unrepeatable request under the idempotency key that all rows share.
+func keyedRequest(tokens int) modelRequest {
+	return modelRequest{model: unrepeatable, prompt: promptForTokens(tokens, 20, "keyed"), key: "receipt-17"}
 }
 
 var onceRows = []struct {
 	fault string
 	act   func(c *cluster) []answer
-	// whole is the number of whole answers wanted, code that of the last answer.
+	// whole is the expected number of whole answers, code the error code of the last answer.
 	whole int
 	code  string
 }{
 	{"same key twice at once through two entries", func(c *cluster) []answer {
-		first, second := c.entries[0].begin(keyed(100)), c.entries[1].begin(keyed(100))
+		first, second := c.entries[0].begin(keyedRequest(100)), c.entries[1].begin(keyedRequest(100))
 		a, b := <-first.done, <-second.done
 		if a.whole {
 			return []answer{a, b}
@@ -38,64 +38,64 @@
 		return []answer{b, a}
 	}, 1, "idempotency_key_in_use"},
 	{"sent again after the answer", func(c *cluster) []answer {
-		return []answer{c.entries[0].do(c.t.Context(), keyed(10)), c.entries[1].do(c.t.Context(), keyed(10))}
+		return []answer{c.entries[0].do(c.t.Context(), keyedRequest(10)), c.entries[1].do(c.t.Context(), keyedRequest(10))}
 	}, 1, "idempotency_key_in_use"},
 	{"entry killed during the run, sent again", func(c *cluster) []answer {
-		p := c.entries[0].begin(keyed(200))
+		p := c.entries[0].begin(keyedRequest(200))
 		c.running()
 		c.entries[0].proc.kill()
-		return []answer{<-p.done, c.entries[1].do(c.t.Context(), keyed(200))}
+		return []answer{<-p.done, c.entries[1].do(c.t.Context(), keyedRequest(200))}
 	}, 0, "idempotency_key_in_use"},
 	{"entry killed and replaced, sent again", func(c *cluster) []answer {
-		p := c.entries[0].begin(keyed(200))
+		p := c.entries[0].begin(keyedRequest(200))
 		c.running()
 		c.entries[0].proc.kill()
 		c.entries[0].proc.restart()
 		a := <-p.done
 		c.awaitServing(c.entries[0])
-		return []answer{a, c.entries[0].do(c.t.Context(), keyed(200))}
+		return []answer{a, c.entries[0].do(c.t.Context(), keyedRequest(200))}
 	}, 0, "idempotency_key_in_use"},
 	{"sidecar killed and restarted during the run, sent again", func(c *cluster) []answer {
-		p := c.entries[0].begin(keyed(200))
+		p := c.entries[0].begin(keyedRequest(200))
 		b := c.running()
 		b.sidecar.kill()
 		b.sidecar.restart()
-		return []answer{<-p.done, c.entries[1].do(c.t.Context(), keyed(200))}
+		return []answer{<-p.done, c.entries[1].do(c.t.Context(), keyedRequest(200))}
 	}, 0, "idempotency_key_in_use"},
 	{"entry frozen past its lease, sent again, thawed", func(c *cluster) []answer {
-		p := c.entries[0].begin(keyed(300))
+		p := c.entries[0].begin(keyedRequest(300))
 		c.running()
 		c.entries[0].proc.freeze()
 		eventually(c.t, lapsedBound, "run given up", func() bool { return c.held() == 0 })
-		second := c.entries[1].do(c.t.Context(), keyed(300))
+		second := c.entries[1].do(c.t.Context(), keyedRequest(300))
 		c.entries[0].proc.thaw()
 		return []answer{<-p.done, second}
 	}, 0, "idempotency_key_in_use"},
 	{"store refuses", func(c *cluster) []answer {
 		c.storeFault(splatform.Fault{Kind: splatform.Refuse})
-		return []answer{c.entries[0].do(c.t.Context(), keyed(10))}
+		return []answer{c.entries[0].do(c.t.Context(), keyedRequest(10))}
 	}, 0, "store_unavailable"},
 	{"store hangs", func(c *cluster) []answer {
 		c.storeFault(splatform.Fault{Kind: splatform.Hang})
-		return []answer{c.entries[0].do(c.t.Context(), keyed(10))}
+		return []answer{c.entries[0].do(c.t.Context(), keyedRequest(10))}
 	}, 0, "store_unavailable"},
 	{"store slow", func(c *cluster) []answer {
 		c.storeFault(splatform.Fault{Kind: splatform.Delay, Delay: 300 * time.Millisecond})
-		return []answer{c.entries[0].do(c.t.Context(), keyed(10))}
+		return []answer{c.entries[0].do(c.t.Context(), keyedRequest(10))}
 	}, 1, ""},
 	{"store loses the answer after the write, sent again", func(c *cluster) []answer {
 		c.storeFault(splatform.Fault{Kind: splatform.LoseAnswer, Side: splatform.Writes, Count: 1})
-		return []answer{c.entries[0].do(c.t.Context(), keyed(10)), c.entries[1].do(c.t.Context(), keyed(10))}
+		return []answer{c.entries[0].do(c.t.Context(), keyedRequest(10)), c.entries[1].do(c.t.Context(), keyedRequest(10))}
 	}, 1, "idempotency_key_in_use"},
 	{"decode engine dies, sent again", func(c *cluster) []answer {
-		p := c.entries[0].begin(keyed(200))
+		p := c.entries[0].begin(keyedRequest(200))
 		c.running().engine.kill()
-		return []answer{<-p.done, c.entries[0].do(c.t.Context(), keyed(200))}
+		return []answer{<-p.done, c.entries[0].do(c.t.Context(), keyedRequest(200))}
 	}, 0, "idempotency_key_in_use"},
 	{"engine's answer to the start lost and engine silent, sent again", func(c *cluster) []answer {
 		onRole(string(engine.RoleDecode), fault.Rule{Kind: fault.LoseAnswer, Op: "decode"})(c)
 		onRole(string(engine.RoleDecode), fault.Rule{Kind: fault.Refuse, Op: "resume"})(c)
-		return []answer{c.entries[0].do(c.t.Context(), keyed(10)), c.entries[1].do(c.t.Context(), keyed(10))}
+		return []answer{c.entries[0].do(c.t.Context(), keyedRequest(10)), c.entries[1].do(c.t.Context(), keyedRequest(10))}
 	}, 0, "idempotency_key_in_use"},
 }
 
@@ -104,7 +104,7 @@
 		t.Run(r.fault, func(t *testing.T) {
 			runs := -1
 			row(t, 5, r.fault, func() string { return fmt.Sprintf("%d runs", runs) })
-			c := newCluster(t, options{prefills: 1, decodes: 2, entries: 2, engineArgs: patient})
+			c := newCluster(t, options{prefills: 1, decodes: 2, entries: 2, engineArgs: longKVTTL})
 			answers := r.act(c)
 			runs = c.atMostOnce(answers, r.whole, r.code)
 			if r.code == "store_unavailable" {
@@ -117,7 +117,7 @@
 var serviceRows = []struct {
 	fault string
 	act   func(c *cluster, call func(e *entry) serviceReply)
-	// calls is the largest number of calls done that is allowed.
+	// calls is the maximum number of calls that the services may have run.
 	calls int
 }{
 	{"receipt, same key twice at once through two entries", func(c *cluster, call func(e *entry) serviceReply) {
@@ -137,7 +137,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { call(c.entries[0]) })
 		var at *backend
-		eventually(c.t, startBound, "call done", func() bool { at = c.called(); return at != nil })
+		eventually(c.t, startBound, "call started", func() bool { at = c.serviceInCall(); return at != nil })
 		at.sidecar.kill()
 		wg.Wait()
 		call(c.entries[1])
@@ -145,7 +145,7 @@
 	{"receipt, links cut during the call", func(c *cluster, call func(e *entry) serviceReply) {
 		var wg sync.WaitGroup
 		wg.Go(func() { assert.Check(c.t, call(c.entries[0]).status == http.StatusOK) })
-		eventually(c.t, startBound, "call done", func() bool { return c.called() != nil })
+		eventually(c.t, startBound, "call started", func() bool { return c.serviceInCall() != nil })
 		for _, b := range c.backends {
 			b.relay.cut()
 		}
@@ -160,7 +160,7 @@
 			row(t, 5, r.fault, func() string { return fmt.Sprintf("%d calls done", calls) })
 			c := newCluster(t, options{services: 2, entries: 2, serviceArgs: []string{"--work", "500ms"}})
 			r.act(c, func(e *entry) serviceReply { return e.receipt("receipt-17") })
-			for until := time.Now().Add(settled); time.Now().Before(until); time.Sleep(20 * pollEvery) {
+			for until := time.Now().Add(lateRunWindow); time.Now().Before(until); time.Sleep(20 * pollInterval) {
 				calls = max(calls, c.calls())
 			}
 			assert.Assert(t, calls <= r.calls && calls > 0, "%d calls", calls)
@@ -168,13 +168,13 @@
 	}
 }
 
-// serviceReply is what the caller of a service saw.
+// serviceReply is the response as the caller of a service received it.
 type serviceReply struct {
 	status        int
 	outcome, code string
 }
 
-// receipt calls the unrepeatable call of the service under a key.
+// receipt makes the unrepeatable call of the service under a key.
 func (e *entry) receipt(key string) serviceReply {
 	req, err := http.NewRequest(http.MethodPost, e.url+"/services/permits/receipts", bytes.NewReader([]byte(`{"permit":17}`)))
 	if err != nil {
@@ -194,8 +194,8 @@
 	return serviceReply{status: res.StatusCode, outcome: a.outcome, code: a.code}
 }
 
-// called is a service that has begun a call, or nil.
-func (c *cluster) called() *backend {
+// serviceInCall returns a service that has started a call, or nil.
+func (c *cluster) serviceInCall() *backend {
 	for _, b := range c.backends {
 		if s, err := b.serviceState(); err == nil && s.Total[service.OpReceipt] > 0 {
 			return b
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// calls counts the unrepeatable calls done.
+// calls counts the unrepeatable calls that the services have run.
 func (c *cluster) calls() int {
 	n := 0
 	for _, b := range c.backends {
--- a/proofs/process.go
+++ b/proofs/process.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// process is one started program. Everything it does is by its own pid.
+// process is one started program. Signals go to its own pid only.
 type process struct {
 	t    *testing.T
 	name string
 	args []string
 	log  string
-	// env is added to the environment.
+	// env are additional environment variables.
 	env []string
 
 	mu   sync.Mutex
@@ -29,13 +29,13 @@
 	done chan struct{}
 }
 
-// start runs a program of binDir and kills it at the end of the test.
+// start runs a program from binDir and kills it at the end of the test.
 func start(t *testing.T, dir, name, program string, args ...string) *process {
 	t.Helper()
 	return startWith(t, nil, dir, name, program, args...)
 }
 
-// startWith is start with additions to the environment.
+// startWith is start with additional environment variables.
 func startWith(t *testing.T, env []string, dir, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, env: env, args: append([]string{filepath.Join(binDir, program)}, args...), log: filepath.Join(dir, name+".log")}
@@ -49,7 +49,7 @@
 	return p
 }
 
-// restart runs the program again with the same arguments.
+// restart starts the program again with the same arguments.
 func (p *process) restart() {
 	p.t.Helper()
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -92,7 +92,7 @@
 	}
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
@@ -104,30 +104,30 @@
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// terminate asks for a graceful end.
+// terminate requests a graceful shutdown.
 func (p *process) terminate() { p.signal(syscall.SIGTERM) }
 
 func tail(file string) string {
-	const most = 4000
+	const maxBytes = 4000
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err.Error()
 	}
-	if len(data) > most {
-		data = data[len(data)-most:]
+	if len(data) > maxBytes {
+		data = data[len(data)-maxBytes:]
 	}
 	return "\n" + strings.TrimSpace(string(data))
 }
 
-// Ports below the range that the system gives to outgoing connections.
+// Ports below the ephemeral port range that the system uses for outgoing connections.
 const (
-	portLeast = 10240
-	portMost  = 19999
+	minPort = 10240
+	maxPort = 19999
 )
 
 var (
 	portsMu sync.Mutex
-	port    = portLeast + rand.IntN(portMost-portLeast)
+	port    = minPort + rand.IntN(maxPort-minPort)
 )
 
 // freeAddr returns a loopback address that nothing listens on.
@@ -135,10 +135,10 @@
 	t.Helper()
 	portsMu.Lock()
 	defer portsMu.Unlock()
-	for range portMost - portLeast {
+	for range maxPort - minPort {
 		port++
-		if port >= portMost {
-			port = portLeast
+		if port >= maxPort {
+			port = minPort
 		}
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
 		l, err := net.Listen("tcp", addr)
--- a/proofs/relay.go
+++ b/proofs/relay.go
@@ -7,23 +7,23 @@
 	"testing"
 )
 
-// relay is a TCP relay between two processes that can lose a connection in
-// every way that a network can.
+// relay is a TCP relay between two processes that injects network faults: it cuts, blocks, delays or silently
+// drops the traffic of connections.
 type relay struct {
 	addr, target string
 
 	mu      sync.Mutex
 	lis     net.Listener
-	pairs   map[*pair]struct{}
+	conns   map[*relayedConn]struct{}
 	blocked bool
 }
 
-// pair is one relayed connection. Bytes of a silenced direction are swallowed,
-// and so is its end.
-type pair struct {
-	client, server       net.Conn
-	upSilent, downSilent atomic.Bool
-	// upHeld is locked while bytes towards the server are held back.
+// relayedConn is one relayed connection. In a dropped direction both the data and the end of the stream are
+// discarded.
+type relayedConn struct {
+	client, server         net.Conn
+	upDropped, downDropped atomic.Bool
+	// upHeld is locked while data towards the server is delayed.
 	upHeld sync.Mutex
 }
 
@@ -33,14 +33,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{addr: lis.Addr().String(), target: target, lis: lis, pairs: make(map[*pair]struct{})}
+	r := &relay{addr: lis.Addr().String(), target: target, lis: lis, conns: make(map[*relayedConn]struct{})}
 	go r.accept()
-	t.Cleanup(r.end)
+	t.Cleanup(r.close)
 	return r
 }
 
-// end has nothing listen at the relay's address any more, and cuts all connections.
-func (r *relay) end() {
+// close stops listening at the relay's address and closes all connections.
+func (r *relay) close() {
 	_ = r.lis.Close()
 	r.cut()
 }
@@ -61,31 +61,32 @@
 		_ = client.Close()
 		return
 	}
-	p := &pair{client: client, server: server}
+	p := &relayedConn{client: client, server: server}
 	r.mu.Lock()
 	if r.blocked {
-		p.silence(true, true)
+		p.drop(true, true)
 	}
-	r.pairs[p] = struct{}{}
+	r.conns[p] = struct{}{}
 	r.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { pump(client, server, &p.upSilent, &p.upHeld) })
-	wg.Go(func() { pump(server, client, &p.downSilent, new(sync.Mutex)) })
+	wg.Go(func() { pump(client, server, &p.upDropped, &p.upHeld) })
+	wg.Go(func() { pump(server, client, &p.downDropped, new(sync.Mutex)) })
 	wg.Wait()
 	_ = client.Close()
 	_ = server.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.pairs, p)
+	delete(r.conns, p)
 }
 
-// pump copies until from ends, and passes the end on unless silenced.
-func pump(from, to net.Conn, silent *atomic.Bool, held sync.Locker) {
+// pump copies from one connection to the other until from ends, and passes the end on unless the direction is
+// dropped.
+func pump(from, to net.Conn, dropped *atomic.Bool, held sync.Locker) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		wait(held)
-		if n > 0 && !silent.Load() {
+		waitUnlocked(held)
+		if n > 0 && !dropped.Load() {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
@@ -94,39 +95,38 @@
 			break
 		}
 	}
-	if !silent.Load() {
+	if !dropped.Load() {
 		_ = to.Close()
 	}
 }
 
-// wait returns when nobody holds l.
-func wait(l sync.Locker) {
+// waitUnlocked blocks until l is unlocked.
+func waitUnlocked(l sync.Locker) {
 	l.Lock()
 	defer l.Unlock()
 }
 
-func (p *pair) silence(up, down bool) {
-	p.upSilent.Store(up)
-	p.downSilent.Store(down)
+func (p *relayedConn) drop(up, down bool) {
+	p.upDropped.Store(up)
+	p.downDropped.Store(down)
 }
 
-// silence makes the connections of now silent for good; new ones work. Up is
-// from the side that dialled.
-func (r *relay) silence(up, down bool) {
+// drop discards all further traffic of the open connections in the given directions; new connections work. Up
+// is from the side that dialled.
+func (r *relay) drop(up, down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		p.silence(up, down)
+	for p := range r.conns {
+		p.drop(up, down)
 	}
 }
 
-// hold keeps back what is sent towards the server on the connections of now; the
-// function that it returns lets it arrive late.
+// hold delays the data sent towards the server on the open connections until release is called.
 func (r *relay) hold() (release func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var held []*pair
-	for p := range r.pairs {
+	var held []*relayedConn
+	for p := range r.conns {
 		p.upHeld.Lock()
 		held = append(held, p)
 	}
@@ -137,32 +137,30 @@
 	}
 }
 
-// block makes present and new connections silent until unblock, after which new
-// ones work.
+// block drops the traffic of open and new connections until unblock; connections made after that work.
 func (r *relay) block() {
 	r.mu.Lock()
 	r.blocked = true
 	r.mu.Unlock()
-	r.silence(true, true)
+	r.drop(true, true)
 }
 
-// cut closes the connections of now.
+// cut closes the open connections.
 func (r *relay) cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
+	for p := range r.conns {
 		_ = p.client.Close()
 		_ = p.server.Close()
 	}
 }
 
-// cutSilent closes the connections that were silenced for good, as a network does that is
-// well again.
-func (r *relay) cutSilent() {
+// cutDropped closes the connections whose traffic is dropped, as happens once a network has recovered.
+func (r *relay) cutDropped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		if p.upSilent.Load() || p.downSilent.Load() {
+	for p := range r.conns {
+		if p.upDropped.Load() || p.downDropped.Load() {
 			_ = p.client.Close()
 			_ = p.server.Close()
 		}
--- a/proofs/soak_crash_test.go
+++ b/proofs/soak_crash_test.go
@@ -12,114 +12,114 @@
 )
 
 const (
-	// deadly begins the bodies of requests that crash the servers that run them.
-	deadly = "deadly "
-	// mayEnd is how many servers may end under one of them before it has to be known, within contact, and moreSends
-	// in how many sends it may reach servers after that.
-	mayEnd, moreSends = 3, 3
-	contact           = 3*time.Second + longestFault
-	// strikePause is the mean pause between two sends of one of them.
-	strikePause = 300 * time.Millisecond
+	// crashPrefix starts the bodies of requests that crash the servers that run them.
+	crashPrefix = "deadly "
+	// maxCrashes is how many servers such a request may crash before it has to be detected, within
+	// detectionBound, and maxLateSends in how many sends it may still reach servers after that.
+	maxCrashes, maxLateSends = 3, 3
+	detectionBound           = 3*time.Second + longestFault
+	// crashSendInterval is the mean interval between two sends of one such request.
+	crashSendInterval = 300 * time.Millisecond
 )
 
-// strikers are requests that crash servers and are sent again and again, through any gateway.
-type strikers struct {
-	w    *siteWatch
+// crashingRequests are requests that crash servers and are sent repeatedly, through any gateway.
+type crashingRequests struct {
+	w    *gatewayObserver
 	stop chan struct{}
 	wg   sync.WaitGroup
 
 	mu    sync.Mutex
 	count int
-	// reached is when each of them reached servers, in order; losses counts when all gateways were killed, and what
+	// serverCalls is when each of them serverCalls servers, in order; losses counts when all gateways were killed, and what
 	// they knew was lost if the store was out as well.
-	reached map[string][]reach
-	losses  int
+	serverCalls map[string][]serverCall
+	stateLosses int
 }
 
-// reach is a request that reached a server.
-type reach struct {
-	id   string
-	at   time.Time
-	ends bool
+// serverCall is one call of a server by such a request.
+type serverCall struct {
+	id      string
+	at      time.Time
+	crashes bool
 }
 
-func newStrikers(w *siteWatch) *strikers {
-	return &strikers{w: w, stop: make(chan struct{}), reached: map[string][]reach{}}
+func newCrashingRequests(w *gatewayObserver) *crashingRequests {
+	return &crashingRequests{w: w, stop: make(chan struct{}), serverCalls: map[string][]serverCall{}}
 }
 
-// begin adds a request that comes again until the end.
-func (x *strikers) begin(seed uint64) {
+// begin adds a request that is sent repeatedly until the check.
+func (x *crashingRequests) begin(seed uint64) {
 	x.mu.Lock()
 	x.count++
-	body := fmt.Sprint(deadly, x.count)
+	body := fmt.Sprint(crashPrefix, x.count)
 	x.mu.Unlock()
 	x.wg.Go(func() { x.run(body, rand.New(rand.NewPCG(seed, 2))) })
 }
 
-func (x *strikers) run(body string, rng *rand.Rand) {
+func (x *crashingRequests) run(body string, rng *rand.Rand) {
 	routes := []string{"safe", "unsafe", "draft", "resume"}
 	route := routes[rng.IntN(len(routes))]
 	for k := 0; ; k++ {
 		select {
 		case <-x.stop:
 			return
-		case <-time.After(time.Duration(rng.Int64N(int64(2 * strikePause)))):
+		case <-time.After(time.Duration(rng.Int64N(int64(2 * crashSendInterval)))):
 		}
-		q := siteAsk{id: fmt.Sprintf("%s-%s-%d", route, body, k), route: route, target: "/" + route + "/" + body[len(deadly):], body: body}
-		x.w.ask(x.w.c.gateways[rng.IntN(len(x.w.c.gateways))], q)
+		q := gatewayRequest{id: fmt.Sprintf("%s-%s-%d", route, body, k), route: route, target: "/" + route + "/" + body[len(crashPrefix):], body: body}
+		x.w.sendRecorded(x.w.c.gateways[rng.IntN(len(x.w.c.gateways))], q)
 	}
 }
 
-// called notes a call at a server.
-func (x *strikers) called(c site.Call) {
-	if len(c.Body) < len(deadly) || c.Body[:len(deadly)] != deadly || c.Refused {
+// recordCall records a call at a server.
+func (x *crashingRequests) recordCall(c site.Call) {
+	if len(c.Body) < len(crashPrefix) || c.Body[:len(crashPrefix)] != crashPrefix || c.Refused {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.reached[c.Body] = append(x.reached[c.Body], reach{c.ID, time.Now(), c.Kind != site.Prefill})
+	x.serverCalls[c.Body] = append(x.serverCalls[c.Body], serverCall{c.ID, time.Now(), c.Kind != site.Prefill})
 }
 
-// lost notes that all gateways were killed.
-func (x *strikers) lost() {
+// recordStateLoss records that all gateways were killed.
+func (x *crashingRequests) recordStateLoss() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.losses++
+	x.stateLosses++
 }
 
-// judge ends all and checks how often each reached servers after it had to be known.
-func (x *strikers) judge() {
+// check stops all requests and checks how often each reached servers after it had to be detected.
+func (x *crashingRequests) check() {
 	close(x.stop)
 	x.wg.Wait()
 	x.w.c.crashes.Wait()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	allowed := moreSends * (1 + x.losses)
-	for body, list := range x.reached {
-		ends, more, third := 0, map[string]bool{}, time.Time{}
+	allowed := maxLateSends * (1 + x.stateLosses)
+	for body, list := range x.serverCalls {
+		crashes, lateSends, detectable := 0, map[string]bool{}, time.Time{}
 		for _, r := range list {
-			if r.ends {
-				ends++
+			if r.crashes {
+				crashes++
 			}
 			switch {
-			case ends == mayEnd && third.IsZero():
-				third = r.at
-			case !third.IsZero() && r.at.Sub(third) > contact:
-				more[r.id] = true
+			case crashes == maxCrashes && detectable.IsZero():
+				detectable = r.at
+			case !detectable.IsZero() && r.at.Sub(detectable) > detectionBound:
+				lateSends[r.id] = true
 			}
 		}
-		x.w.c.t.Logf("%s: %d servers ended, %d sends reached servers after it had to be known", body, ends, len(more))
-		assert.Check(x.w.c.t, len(more) <= allowed, "%s was sent to servers %d times more, %d ended in all", body, len(more), ends)
+		x.w.c.t.Logf("%s: %d servers crashed, %d sends reached servers after it had to be detected", body, crashes, len(lateSends))
+		assert.Check(x.w.c.t, len(lateSends) <= allowed, "%s reached servers in %d sends after it had to be detected; %d servers crashed in total", body, len(lateSends), crashes)
 	}
 }
 
-// crashed replaces a server that has ended under a request.
-func (c *siteCluster) crashed(s *siteServer) {
+// replaceCrashed replaces a server that a request has crashed.
+func (c *gatewayCluster) replaceCrashed(s *clusterServer) {
 	c.mu.Lock()
-	s.dead = true
+	s.crashed = true
 	c.mu.Unlock()
 	c.retire(s)
-	s.relay.end()
+	s.relay.close()
 	c.addServer(s.service, s.stage)
 	c.store.Put("servers", s.ID, nil)
 }
--- a/proofs/soak_test.go
+++ b/proofs/soak_test.go
@@ -17,26 +17,26 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/site"
 )
 
-// soakVar is the number of faults of a run of the soak; seedVar is its first seed, and
-// soakSeedsVar the number of seeds, one after another.
+// soakVar is the number of faults of a soak run, seedVar its first seed, and soakSeedsVar the number of
+// consecutive seeds.
 const (
 	soakVar      = "HIBISCUSSPUR_SOAK"
 	soakSeedsVar = "HIBISCUSSPUR_SOAK_SEEDS"
 )
 
-// Shape of a run.
+// Parameters of a soak run.
 const (
 	soakGateways = 3
 	soakClients  = 10
-	// soakTail is how long clients go on after the last fault, so that what it may break by
-	// the bounds shows.
-	soakTail = 2*time.Second + longestFault
-	// soakRecover is how long after the last fault every gateway has to serve each kind of
-	// request, and servers to be at rest.
-	soakRecover = 12 * time.Second
+	// soakTailDuration is how long clients continue after the last fault, so that violations that it causes
+	// become visible after the bounds.
+	soakTailDuration = 2*time.Second + longestFault
+	// recoveryBound is how long after the last fault every gateway may take to serve each kind of request,
+	// and the servers to become idle.
+	recoveryBound = 12 * time.Second
 )
 
-// soakBounds are the users' bounds, and the longest fault that may hold meanwhile.
+// soakBounds are the users' bounds plus the longest fault that may be active meanwhile.
 func soakBounds() invariant.Bounds {
 	b := invariant.DefaultBounds()
 	b.Leaving = 2*time.Second + longestFault
@@ -44,8 +44,8 @@
 	return b
 }
 
-// soakRegressions are seeds that once failed, with the number of faults, the number of kinds that
-// there were then, and why.
+// soakRegressions are seeds that failed before, with the number of faults, the number of fault kinds at that
+// time, and the cause.
 var soakRegressions = []struct {
 	seed          uint64
 	faults, kinds int
@@ -55,8 +55,8 @@
 	{6, 20, 31, "a silent connection outlived the faults"},
 }
 
-// TestSoak draws faults from seeds while clients ask gateways, and lets the checker judge
-// what clients and servers saw.
+// TestSoak injects random faults, drawn from seeds, while clients send requests to gateways, and checks the
+// invariants on what clients and servers observed.
 func TestSoak(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv(soakVar))
 	if n == 0 {
@@ -72,12 +72,12 @@
 	}
 }
 
-// allKinds stands for the number of all kinds.
+// allKinds selects all fault kinds.
 const allKinds = -1
 
 func soak(t *testing.T, seed uint64, n, kinds int) {
-	c := newSite(t, soakGateways)
-	w := newSiteWatch(c)
+	c := newGatewayCluster(t, soakGateways)
+	w := newGatewayObserver(c)
 	x := &soaker{faults: newFaults(seed), c: c, w: w}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -88,21 +88,21 @@
 	if kinds != allKinds {
 		drawn = drawn[:kinds]
 	} else {
-		w.strikers.begin(seed)
+		w.crashing.begin(seed)
 	}
 	x.run(n, drawn)
 	c.store.Set(site.Well)
-	time.Sleep(soakTail)
+	time.Sleep(soakTailDuration)
 	w.c.keys.probing.Wait()
-	w.judgeQuota()
-	w.judgeSayings()
-	w.strikers.judge()
-	w.recovers(soakRecover)
+	w.checkQuota()
+	w.checkAnnouncements()
+	w.crashing.check()
+	w.awaitRecovery(recoveryBound)
 	close(stop)
 	clients.Wait()
-	w.atRest(soakRecover)
+	w.awaitIdle(recoveryBound)
 	for _, g := range c.gateways {
-		assert.Check(t, !g.proc.exited(), "%s ended by itself", g.vm)
+		assert.Check(t, !g.proc.exited(), "%s exited unexpectedly", g.vm)
 	}
 	t.Logf("seed %d: %d faults %v; %s", seed, n, x.drawn, w.summary())
 	for _, b := range invariant.Check(w.rec.Events(), soakBounds()) {
@@ -110,14 +110,14 @@
 	}
 }
 
-// soaker applies faults to a site.
+// soaker applies faults to a gateway cluster.
 type soaker struct {
 	*faults
-	c *siteCluster
-	w *siteWatch
+	c *gatewayCluster
+	w *gatewayObserver
 }
 
-// kinds are the faults of gateways, servers, links and the store.
+// kinds are the faults of gateways, servers, links and the store. Their order fixes what a seed draws.
 func (x *soaker) kinds() []faultKind {
 	server := func(b site.Behaviour) func(int) (string, func()) {
 		return func(i int) (string, func()) { return x.behave(i, b) }
@@ -133,7 +133,7 @@
 		{"settings changed", func(i int) (string, func()) { return x.reload(i) }},
 		{"gateway cut off the store", func(i int) (string, func()) { return x.block(x.gateway(i).store) }},
 		{"store's links cut", func(i int) (string, func()) { x.gateway(i).store.cut(); return "", nil }},
-		{"store's links silent", func(i int) (string, func()) { x.gateway(i).store.silence(false, true); return "", nil }},
+		{"store's links silent", func(i int) (string, func()) { x.gateway(i).store.drop(false, true); return "", nil }},
 		{"store busy", store(site.Busy)},
 		{"store rejects calls", store(site.Many)},
 		{"store loses answers", store(site.Lost)},
@@ -150,8 +150,8 @@
 		{"streams silent", server(site.Silent)},
 		{"engine full", func(i int) (string, func()) { return x.full(i) }},
 		{"server's links cut", func(i int) (string, func()) { x.server(i).relay.cut(); return "", nil }},
-		{"server's links silent", func(i int) (string, func()) { x.server(i).relay.silence(true, true); return "", nil }},
-		{"server's links silent one way", func(i int) (string, func()) { x.server(i).relay.silence(false, true); return "", nil }},
+		{"server's links silent", func(i int) (string, func()) { x.server(i).relay.drop(true, true); return "", nil }},
+		{"server's links silent one way", func(i int) (string, func()) { x.server(i).relay.drop(false, true); return "", nil }},
 		{"server's requests late", func(i int) (string, func()) { return "", x.server(i).relay.hold() }},
 		{"server cut off", func(i int) (string, func()) { return x.block(x.server(i).relay) }},
 		{"server replaced", func(i int) (string, func()) { return x.replace(i) }},
@@ -160,19 +160,20 @@
 		{"server starts again", func(i int) (string, func()) { return x.restart(i, false) }},
 		{"server starts again silently", func(i int) (string, func()) { return x.restart(i, true) }},
 		{"server leaves and starts again", func(i int) (string, func()) { return x.leaveAndRestart(i) }},
-		{"entry spoiled", func(i int) (string, func()) { return x.spoil(i) }},
-		{"request crashes servers", func(i int) (string, func()) { x.w.strikers.begin(uint64(i)); return "", nil }},
+		{"entry spoiled", func(i int) (string, func()) { return x.corruptEntry(i) }},
+		{"request crashes servers", func(i int) (string, func()) { x.w.crashing.begin(uint64(i)); return "", nil }},
 	}
 }
 
-// everyKind are the faults of the site, in the order in which they came to be: seeds that once failed draw from the first.
+// everyKind returns all fault kinds in the order in which they were added: the regression seeds draw from the
+// first ones only.
 func (x *soaker) everyKind() []faultKind {
-	return slices.Concat(x.kinds(), x.keyKinds(), x.sayingKinds())
+	return slices.Concat(x.kinds(), x.keyKinds(), x.announcementKinds())
 }
 
-func (x *soaker) gateway(i int) *siteGateway { return x.c.gateways[i%len(x.c.gateways)] }
+func (x *soaker) gateway(i int) *clusterGateway { return x.c.gateways[i%len(x.c.gateways)] }
 
-func (x *soaker) server(i int) *siteServer {
+func (x *soaker) server(i int) *clusterServer {
 	all := x.c.all()
 	return all[i%len(all)]
 }
@@ -182,9 +183,9 @@
 	return "", r.unblock
 }
 
-// killAll kills every gateway that no other fault holds, and starts them together.
+// killAll kills every gateway that is not under another fault, and restarts them together.
 func (x *soaker) killAll() (string, func()) {
-	x.w.strikers.lost()
+	x.w.crashing.recordStateLoss()
 	var ends []func()
 	var ids []string
 	for _, g := range x.c.gateways {
@@ -195,15 +196,15 @@
 	return "", func() {
 		for i, end := range ends {
 			end()
-			x.free(ids[i])
+			x.release(ids[i])
 		}
 	}
 }
 
-// reload changes the settings file, with a signal or without one.
+// reload rewrites the settings file, for every second target followed by SIGHUP.
 func (x *soaker) reload(i int) (string, func()) {
 	g := x.gateway(i)
-	if !x.take(g.proc.name) {
+	if !x.reserve(g.proc.name) {
 		return "", nil
 	}
 	x.c.writeSettings(g)
@@ -214,7 +215,7 @@
 }
 
 func (x *soaker) storeFault(f site.StoreFault) (string, func()) {
-	if !x.take("store") {
+	if !x.reserve("store") {
 		return "", nil
 	}
 	x.c.store.Set(f)
@@ -223,7 +224,7 @@
 
 func (x *soaker) behave(i int, b site.Behaviour) (string, func()) {
 	s := x.server(i)
-	if !x.take(s.ID) {
+	if !x.reserve(s.ID) {
 		return "", nil
 	}
 	s.Behave(b)
@@ -232,17 +233,17 @@
 
 func (x *soaker) full(i int) (string, func()) {
 	s := x.server(i)
-	if s.stage != registry.Decode || !x.take(s.ID) {
+	if s.stage != registry.Decode || !x.reserve(s.ID) {
 		return "", nil
 	}
 	s.SetFull(true)
 	return s.ID, func() { s.SetFull(false) }
 }
 
-// replace ends a server without a word; its entry goes later, and another one starts.
+// replace stops a server without notice; its entry is deleted later, when a replacement starts.
 func (x *soaker) replace(i int) (string, func()) {
-	s := x.lastAsked(x.server(i).stage)
-	if !x.take(s.ID) {
+	s := x.lastCalled(x.server(i).stage)
+	if !x.reserve(s.ID) {
 		return "", nil
 	}
 	x.c.retire(s)
@@ -254,9 +255,9 @@
 	}
 }
 
-// lastAsked is the server that was asked last among those of one stage: at low load gateways
-// send most to the same ones, and the end of another would change nothing.
-func (x *soaker) lastAsked(stage registry.Stage) *siteServer {
+// lastCalled returns the server of one stage that was called last. At low load gateways send most requests to
+// the same servers, and a fault of any other would have no effect.
+func (x *soaker) lastCalled(stage registry.Stage) *clusterServer {
 	calls, all := x.c.log.Calls(), x.c.all()
 	for _, call := range slices.Backward(calls) {
 		for _, s := range all {
@@ -268,48 +269,49 @@
 	return all[0]
 }
 
-// leave has a server say that it leaves; it serves on, and another one starts.
+// leave marks a server as draining in its entry; it continues to serve, and a replacement starts.
 func (x *soaker) leave(i int) (string, func()) {
-	s := x.lastAsked(x.server(i).stage)
-	if !x.take(s.ID) {
+	s := x.lastCalled(x.server(i).stage)
+	if !x.reserve(s.ID) {
 		return "", nil
 	}
 	x.c.addServer(s.service, s.stage)
 	x.c.retire(s)
 	x.c.list(s, "draining")
-	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: startID(s.ID, s.Born())})
+	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: incarnationID(s.ID, s.Born())})
 	return s.ID, func() {}
 }
 
-// restart has a server start again under its name. Its connections are closed, or stay and are silent.
-func (x *soaker) restart(i int, dark bool) (string, func()) {
-	s := x.lastAsked(x.server(i).stage)
-	if !x.take(s.ID) {
+// restart restarts a server under the same name. Its connections are closed, or stay open and unresponsive.
+func (x *soaker) restart(i int, unresponsive bool) (string, func()) {
+	s := x.lastCalled(x.server(i).stage)
+	if !x.reserve(s.ID) {
 		return "", nil
 	}
-	s.Restart(time.Now().UnixMilli(), dark)
+	s.Restart(time.Now().UnixMilli(), unresponsive)
 	x.c.list(s, "ready")
 	return s.ID, func() {}
 }
 
-// leaveAndRestart has a server say that it leaves; in the end it starts again under its name.
+// leaveAndRestart marks a server as draining; when the fault ends, the server restarts under the same name.
 func (x *soaker) leaveAndRestart(i int) (string, func()) {
-	s := x.lastAsked(x.server(i).stage)
-	if !x.take(s.ID) {
+	s := x.lastCalled(x.server(i).stage)
+	if !x.reserve(s.ID) {
 		return "", nil
 	}
 	x.c.list(s, "draining")
-	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: startID(s.ID, s.Born())})
+	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: incarnationID(s.ID, s.Born())})
 	return s.ID, func() {
 		s.Restart(time.Now().UnixMilli(), false)
 		x.c.list(s, "ready")
 	}
 }
 
-// spoil has another writer overwrite the entry of a server, which serves on.
-func (x *soaker) spoil(i int) (string, func()) {
+// corruptEntry overwrites the entry of a server with an invalid one, as a faulty writer would; the server
+// continues to serve.
+func (x *soaker) corruptEntry(i int) (string, func()) {
 	s := x.server(i)
-	if !x.take(s.ID) {
+	if !x.reserve(s.ID) {
 		return "", nil
 	}
 	entries := []string{"", "{", "[]", "{}", `{"service":7}`, "\xff"}
--- a/proofs/table.go
+++ b/proofs/table.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Environment of these tests: enableVar turns them on; binVar names the
-// directory of the built programs, which are built when it is not set.
+// Environment variables of these tests: enableVar enables them; binVar names the directory of the built
+// programs, which are built if it is not set.
 const (
 	enableVar = "HIBISCUSSPUR_PROOFS"
 	binVar    = "HIBISCUSSPUR_BIN"
 )
 
-// Models of the two kinds of request.
+// The model with repeatable and the one with unrepeatable requests.
 const (
 	repeatable   = "drafting"
 	unrepeatable = "ruling"
@@ -53,13 +53,13 @@
 	return dir, nil
 }
 
-// rows are the results of the table, in order of their end.
+// rows are the lines of the result table, in the order in which their tests ended.
 var (
 	rowsMu sync.Mutex
 	rows   []string
 )
 
-// row reports one row of the table when its test ends.
+// row adds one row to the result table when its test ends. point is the number of the invariant.
 func row(t *testing.T, point int, fault string, figure func() string) {
 	t.Cleanup(func() {
 		verdict := "ok"
@@ -80,10 +80,10 @@
 	}
 }
 
-const pollEvery = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
-// eventually polls until cond holds and returns how long that took. It fails
-// the test when the bound has passed.
+// eventually polls until cond holds and returns how long that took. It fails the test once the bound has
+// passed.
 func eventually(t *testing.T, bound time.Duration, what string, cond func() bool) time.Duration {
 	t.Helper()
 	begun := time.Now()
@@ -91,7 +91,7 @@
 		if time.Since(begun) > bound {
 			t.Fatalf("not within %v: %s", bound, what)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(begun)
 }
