--- a/dissemination/writer_test.go
+++ b/dissemination/writer_test.go
@@ -17,20 +17,20 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// tinyTable is a table with a hook before each commit. The hook returns the
-// error to give, and whether the commit takes effect all the same.
-type tinyTable struct {
-	mu   sync.Mutex
-	rows map[string]store.Row
-	hook func(n int) (effect bool, err error)
-	down func() bool
-	n    int
+// fakeTable is a table with a hook before each commit. The hook returns the error of
+// the commit and whether it takes effect regardless.
+type fakeTable struct {
+	mu          sync.Mutex
+	rows        map[string]store.Row
+	hook        func(n int) (effect bool, err error)
+	isDown      func() bool
+	commitCalls int
 }
 
-func (t *tinyTable) Get(_ context.Context, key string) (store.Row, error) {
+func (t *fakeTable) Get(_ context.Context, key string) (store.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.down != nil && t.down() {
+	if t.isDown != nil && t.isDown() {
 		return store.Row{}, store.ErrUnavailable
 	}
 	r, ok := t.rows[key]
@@ -40,7 +40,7 @@
 	return r, nil
 }
 
-func (t *tinyTable) List(_ context.Context, prefix, after string, limit int) ([]store.Row, error) {
+func (t *fakeTable) List(_ context.Context, prefix, after string, limit int) ([]store.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []store.Row
@@ -53,13 +53,13 @@
 	return out[:min(limit, len(out))], nil
 }
 
-func (t *tinyTable) Commit(_ context.Context, txn store.Txn) error {
+func (t *fakeTable) Commit(_ context.Context, txn store.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.n++
+	t.commitCalls++
 	effect, err := true, error(nil)
 	if t.hook != nil {
-		effect, err = t.hook(t.n)
+		effect, err = t.hook(t.commitCalls)
 	}
 	if !effect {
 		return err
@@ -75,16 +75,16 @@
 	return err
 }
 
-func newTable() *tinyTable {
-	return &tinyTable{rows: make(map[string]store.Row)}
+func newTable() *fakeTable {
+	return &fakeTable{rows: make(map[string]store.Row)}
 }
 
-func newWriter(t *tinyTable) *Writer {
+func newWriter(t *fakeTable) *Writer {
 	n := 0
 	return NewWriter(t, func() string { n++; return fmt.Sprintf("change-%p-%d", &n, n) }, time.Now)
 }
 
-func one(key, body string) map[string]Change {
+func singleChange(key, body string) map[string]Change {
 	return map[string]Change{key: {Body: body}}
 }
 
@@ -92,7 +92,7 @@
 	table := newTable()
 	w := newWriter(table)
 	ctx := context.Background()
-	rev, err := w.Commit(ctx, "ann", 0, one("contracts/a", "x"))
+	rev, err := w.Commit(ctx, "ann", 0, singleChange("contracts/a", "x"))
 	assert.NilError(t, err)
 	assert.Equal(t, rev, uint64(1))
 	rev, err = w.Commit(ctx, "ann", 1, map[string]Change{"contracts/a": {Deleted: true}})
@@ -109,12 +109,12 @@
 func TestTwoOperatorsRace(t *testing.T) {
 	table := newTable()
 	ctx := context.Background()
-	// The second operator commits between the first one's reading of the head and its commit.
+	// The second operator commits after the first has read the head and before its commit.
 	table.hook = func(n int) (bool, error) {
 		if n == 1 {
 			table.hook = nil
 			table.mu.Unlock()
-			_, err := newWriter(table).Commit(ctx, "ben", 0, one("contracts/a", "theirs"))
+			_, err := newWriter(table).Commit(ctx, "ben", 0, singleChange("contracts/a", "theirs"))
 			table.mu.Lock()
 			assert.NilError(t, err)
 		}
@@ -130,7 +130,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	lost := store.ErrIndeterminate
 	for _, tc := range []struct {
 		name    string
@@ -150,17 +150,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				table := newTable()
 				table.hook = tc.hook
-				rev, err := newWriter(table).Commit(t.Context(), "ann", 0, one("contracts/a", "x"))
+				rev, err := newWriter(table).Commit(t.Context(), "ann", 0, singleChange("contracts/a", "x"))
 				assert.NilError(t, err)
 				assert.Equal(t, rev, uint64(1))
 				assert.Equal(t, table.rows["contracts/a"].Version, uint64(1))
-				assert.Equal(t, table.n, tc.commits)
+				assert.Equal(t, table.commitCalls, tc.commits)
 			})
 		})
 	}
 }
 
-func TestLostAnswerThenAnotherWins(t *testing.T) {
+func TestLostResponseThenConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newTable()
 		table.hook = func(n int) (bool, error) {
@@ -168,12 +168,12 @@
 				return true, nil
 			}
 			table.mu.Unlock()
-			_, err := newWriter(table).Commit(t.Context(), "ben", 0, one("contracts/b", "theirs"))
+			_, err := newWriter(table).Commit(t.Context(), "ben", 0, singleChange("contracts/b", "theirs"))
 			table.mu.Lock()
 			assert.NilError(t, err)
 			return false, store.ErrIndeterminate
 		}
-		_, err := newWriter(table).Commit(t.Context(), "ann", 0, one("contracts/a", "x"))
+		_, err := newWriter(table).Commit(t.Context(), "ann", 0, singleChange("contracts/a", "x"))
 		var c *ConflictError
 		assert.Assert(t, errors.As(err, &c), "%v", err)
 	})
@@ -183,10 +183,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := newTable()
 		table.hook = func(int) (bool, error) { return true, store.ErrIndeterminate }
-		table.down = func() bool { return table.n > 0 }
+		table.isDown = func() bool { return table.commitCalls > 0 }
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		_, err := newWriter(table).Commit(ctx, "ann", 0, one("contracts/a", "x"))
+		_, err := newWriter(table).Commit(ctx, "ann", 0, singleChange("contracts/a", "x"))
 		var u *UnknownOutcomeError
 		assert.Assert(t, errors.As(err, &u), "%v", err)
 		assert.Equal(t, u.Revision, uint64(1))
@@ -197,7 +197,7 @@
 func TestUnavailableWritesNothing(t *testing.T) {
 	table := newTable()
 	table.hook = func(int) (bool, error) { return false, store.ErrUnavailable }
-	_, err := newWriter(table).Commit(context.Background(), "ann", 0, one("contracts/a", "x"))
+	_, err := newWriter(table).Commit(context.Background(), "ann", 0, singleChange("contracts/a", "x"))
 	assert.ErrorIs(t, err, store.ErrUnavailable)
-	assert.Equal(t, table.n, 1)
+	assert.Equal(t, table.commitCalls, 1)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -170,7 +170,7 @@
 	s.met.GaugeFunc(metrics.LinkBytesSent, s.peers.Sent)
 	s.met.GaugeFunc(metrics.LinkBytesReceived, s.peers.Received)
 	s.met.GaugeFunc(metrics.ConfigProofAge, s.proofAge)
-	s.met.GaugeFunc(metrics.QuotaSilent, s.quotas.silentNow)
+	s.met.GaugeFunc(metrics.QuotaReservedPeers, s.quotas.silentNow)
 	s.placed = newPlaced(s.view.idOf)
 	s.view.onEnded = s.startsEnded
 	s.guard, s.holds = holdback.New(d.Log, d.Metrics, set.Off.Has(mechanism.Quarantine)), d.Holds
@@ -221,7 +221,7 @@
 }
 
 func (s *Service) serve(name, addr string, h http.Handler, head func(*http.Request) int) (*httpserver.Server, error) {
-	server, err := httpserver.Start(httpserver.Options{Name: name, Addr: addr, Handler: h, Head: head, Pollers: 1})
+	server, err := httpserver.Start(httpserver.Options{Name: name, Addr: addr, Handler: h, CheckHead: head, Pollers: 1})
 	if err == nil && name != "callers" {
 		s.servers = append(s.servers, server)
 	}
--- a/proofs/soak_crash_test.go
+++ b/proofs/soak_crash_test.go
@@ -30,8 +30,8 @@
 
 	mu    sync.Mutex
 	count int
-	// serverCalls is when each of them serverCalls servers, in order; losses counts when all gateways were killed, and what
-	// they knew was lost if the store was out as well.
+	// serverCalls are the calls with which each request reached servers, in order; stateLosses counts how often
+	// all gateways were killed, which loses their local state if the store is unavailable too.
 	serverCalls map[string][]serverCall
 	stateLosses int
 }
