--- a/proofs/answer_test.go
+++ b/proofs/answer_test.go
@@ -11,10 +11,10 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/fault"
 )
 
-// The rows below inject a fault at token breakAt of answerTokens. Decoding all of them takes longer than any
+// The rows below inject a fault at token faultToken of answerTokens. Decoding all of them takes longer than any
 // lease.
 const (
-	breakAt      = 20
+	faultToken   = 20
 	answerTokens = 250
 )
 
@@ -57,8 +57,8 @@
 	{3, "link silent towards the sidecar", unrepeatable, redundant, nil, func(c *cluster) { c.dropToRunning(true, false) }, whole},
 	{3, "link silent towards the entry", unrepeatable, redundant, nil, func(c *cluster) { c.dropToRunning(false, true) }, whole},
 	{3, "link cut", unrepeatable, redundant, nil, func(c *cluster) { c.running().relay.cut() }, whole},
-	{3, "engine's stream cut", unrepeatable, redundant, onDecodes(fault.Rule{Kind: fault.Cut, Op: "decode", AfterTokens: breakAt, Count: 1}), nil, whole},
-	{3, "engine's stream silent", unrepeatable, redundant, onDecodes(fault.Rule{Kind: fault.Silent, Op: "decode", AfterTokens: breakAt, Count: 1}), nil, whole},
+	{3, "engine's stream cut", unrepeatable, redundant, onDecodes(fault.Rule{Kind: fault.Cut, Op: "decode", AfterTokens: faultToken, Count: 1}), nil, whole},
+	{3, "engine's stream silent", unrepeatable, redundant, onDecodes(fault.Rule{Kind: fault.Silent, Op: "decode", AfterTokens: faultToken, Count: 1}), nil, whole},
 	{3, "engine's answer to the start lost", unrepeatable, redundant, onDecodes(fault.Rule{Kind: fault.LoseAnswer, Op: "decode", Count: 1}), nil, whole},
 	{3, "decode engine dies, repeatable", repeatable, redundant, nil, func(c *cluster) { c.running().engine.kill() }, resumed},
 	{3, "decode engine dies, unrepeatable", unrepeatable, redundant, nil, func(c *cluster) { c.running().engine.kill() }, visibleError},
@@ -77,7 +77,7 @@
 	{3, "prefill engine refuses", unrepeatable, redundant, onPrefills(fault.Rule{Kind: fault.Refuse, Op: "prefill", Count: 1}), nil, whole},
 	{3, "prefill engine dies", unrepeatable, redundant, func(c *cluster) { c.fault(c.backend("p1"), fault.Rule{Kind: fault.Die, Op: "prefill", Count: 1}) }, nil, whole},
 	{3, "prefill sidecar dead", unrepeatable, redundant, func(c *cluster) { c.backend("p1").sidecar.kill() }, nil, whole},
-	{4, "start held back by the network, arrives after a new link", unrepeatable, redundant, holdStart, nil, notRunOrWhole},
+	{4, "start held back by the network, arrives after a new link", unrepeatable, redundant, delayStart, nil, notRunOrWhole},
 	{4, "engine refuses the start", unrepeatable, single, onDecodes(fault.Rule{Kind: fault.Refuse, Op: "decode"}), nil, notRun},
 	{4, "no place", unrepeatable, singleSlot, func(c *cluster) {
 		c.entries[0].begin(longRequest(false))
@@ -111,25 +111,25 @@
 	}, resumed},
 }
 
-// holdStart delays what the entry sends to the decode sidecars once a decode slot is reserved, and lets it
+// delayStart delays what the entry sends to the decode sidecars once a decode slot is reserved, and lets it
 // arrive after the entry has a new link.
-func holdStart(c *cluster) {
+func delayStart(c *cluster) {
 	c.fault(c.backend("p1"), fault.Rule{Kind: fault.Delay, Op: "prefill", DelayMillis: 200, Count: 1})
 	c.fault(c.backend("p2"), fault.Rule{Kind: fault.Delay, Op: "prefill", DelayMillis: 200, Count: 1})
 	go func() {
 		for c.slotsUsed("d1")+c.slotsUsed("d2") == 0 {
 			time.Sleep(pollInterval)
 		}
-		releases := []func(){c.backend("d1").relay.hold(), c.backend("d2").relay.hold()}
-		time.Sleep(holdDuration)
+		releases := []func(){c.backend("d1").relay.delay(), c.backend("d2").relay.delay()}
+		time.Sleep(startDelay)
 		for _, release := range releases {
 			release()
 		}
 	}()
 }
 
-// holdDuration is longer than the time without traffic after which both ends close a link.
-const holdDuration = 1500 * time.Millisecond
+// startDelay is longer than the time without traffic after which both ends close a link.
+const startDelay = 1500 * time.Millisecond
 
 // dropToRunning drops the traffic of the open connections to the sidecar of the running request.
 func (c *cluster) dropToRunning(up, down bool) { c.running().relay.drop(up, down) }
@@ -151,7 +151,7 @@
 // freezeEntry freezes the entry until the sidecar has cancelled its run.
 func freezeEntry(c *cluster) {
 	c.entries[0].proc.freeze()
-	eventually(c.t, lapsedBound, "run cancelled", func() bool { return c.held() == 0 })
+	eventually(c.t, leaseBound, "run cancelled", func() bool { return c.heldCount() == 0 })
 	c.entries[0].proc.thaw()
 }
 
@@ -186,19 +186,19 @@
 					r.before(c)
 				}
 				q := modelRequest{model: r.model, prompt: promptForTokens(answerTokens, 20, name), stream: stream}
-				a = c.breakDuring(q, r.during)
+				a = c.injectDuring(q, r.during)
 				c.checkExpectation(q, a, r.want)
 			})
 		}
 	}
 }
 
-// breakDuring sends q and calls during once the answer has reached token breakAt.
-func (c *cluster) breakDuring(q modelRequest, during func(c *cluster)) answer {
+// injectDuring sends q and calls during once the answer has reached token breakAt.
+func (c *cluster) injectDuring(q modelRequest, during func(c *cluster)) answer {
 	c.t.Helper()
 	reached := make(chan struct{})
 	q.onToken = func(n int) {
-		if n == breakAt {
+		if n == faultToken {
 			close(reached)
 		}
 	}
@@ -207,7 +207,7 @@
 		<-reached
 		during(c)
 	} else if during != nil {
-		eventually(c.t, startBound, "answer started", func() bool { b := c.findRunning(); return b != nil && c.position(b.id) >= breakAt })
+		eventually(c.t, startBound, "answer started", func() bool { b := c.findRunning(); return b != nil && c.position(b.id) >= faultToken })
 		during(c)
 	}
 	return <-p.done
@@ -215,7 +215,7 @@
 
 // awaitLateRuns waits long enough for a delayed message to start a second run.
 func (c *cluster) awaitLateRuns() {
-	for begun := time.Now(); time.Since(begun) < lateRunWindow; time.Sleep(pollInterval) {
+	for start := time.Now(); time.Since(start) < lateRunWindow; time.Sleep(pollInterval) {
 	}
 }
 
@@ -224,7 +224,7 @@
 	if e == notRun || e == notRunOrWhole {
 		c.awaitLateRuns()
 	}
-	runs, _ := c.begun(a.id)
+	runs, _ := c.runsStarted(a.id)
 	switch e {
 	case whole, resumed:
 		assert.Assert(c.t, a.whole, "%v", a)
--- a/proofs/caller.go
+++ b/proofs/caller.go
@@ -65,9 +65,9 @@
 
 // do sends q to an entry over a new connection and reads the whole response.
 func (e *entry) do(ctx context.Context, q modelRequest) answer {
-	begun := time.Now()
+	start := time.Now()
 	a := e.send(ctx, q)
-	a.took = time.Since(begun)
+	a.took = time.Since(start)
 	return a
 }
 
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -83,7 +83,7 @@
 		{"link silent", func(i int) (string, func()) { x.server(i).relay.drop(true, true); return "", nil }},
 		{"link silent up", func(i int) (string, func()) { x.server(i).relay.drop(true, false); return "", nil }},
 		{"link silent down", func(i int) (string, func()) { x.server(i).relay.drop(false, true); return "", nil }},
-		{"link held", func(i int) (string, func()) { return "", x.server(i).relay.hold() }},
+		{"link held", func(i int) (string, func()) { return "", x.server(i).relay.delay() }},
 		{"link blocked", func(i int) (string, func()) {
 			r := x.server(i).relay
 			r.block()
@@ -144,7 +144,7 @@
 	w.wg.Go(func() {
 		w.changing.Lock()
 		defer w.changing.Unlock()
-		for !w.ended.Load() {
+		for !w.stopped.Load() {
 			rev, err := w.tryChange(change)
 			if err == nil {
 				w.c.head = rev
--- a/proofs/cluster.go
+++ b/proofs/cluster.go
@@ -230,8 +230,8 @@
 	return s, err
 }
 
-// held counts the runs and exported KV caches in all reachable engines.
-func (c *cluster) held() int {
+// heldCount counts the runs and exported KV caches in all reachable engines.
+func (c *cluster) heldCount() int {
 	n := 0
 	for _, b := range c.backends {
 		if s, err := b.state(); err == nil {
@@ -241,9 +241,9 @@
 	return n
 }
 
-// begun counts the runs started for a request, in all reachable engines. A nil error means that all engines
+// runsStarted counts the runs started for a request, in all reachable engines. A nil error means that all engines
 // were reachable.
-func (c *cluster) begun(request string) (int, error) {
+func (c *cluster) runsStarted(request string) (int, error) {
 	run := c.runOf(request)
 	n := 0
 	var errs error
@@ -333,8 +333,8 @@
 	return nil
 }
 
-// enginesAnswer reports whether every engine returns its state.
-func (c *cluster) enginesAnswer() bool {
+// enginesReachable reports whether every engine returns its state.
+func (c *cluster) enginesReachable() bool {
 	for _, b := range c.backends {
 		if b.role == "service" {
 			continue
--- a/proofs/contract_test.go
+++ b/proofs/contract_test.go
@@ -51,7 +51,7 @@
 		c.commit(keyRotation(newKey))
 	}},
 	{"two operators at once", func(c *cluster) {
-		won := make(chan string, 2)
+		winners := make(chan string, 2)
 		var wg sync.WaitGroup
 		for _, key := range []string{newKey, "other-key"} {
 			wg.Go(func() {
@@ -59,16 +59,16 @@
 				_, err := w.Commit(context.Background(), key, c.head, keyRotation(key))
 				var conflict *dissemination.ConflictError
 				if err == nil {
-					won <- key
+					winners <- key
 				} else if !errors.As(err, &conflict) {
 					c.t.Error(err)
 				}
 			})
 		}
 		wg.Wait()
-		assert.Equal(c.t, len(won), 1)
+		assert.Equal(c.t, len(winners), 1)
 		c.head++
-		if <-won != newKey {
+		if <-winners != newKey {
 			c.commit(keyRotation(newKey))
 		}
 	}},
--- a/proofs/gateway_announcements_test.go
+++ b/proofs/gateway_announcements_test.go
@@ -27,8 +27,8 @@
 	cooldown, cooldownText = 2 * time.Second, "2"
 	cooldownGrace          = 500 * time.Millisecond
 	cooldownSlack          = 2
-	// unawareRequests is how many requests gateways may send that were started, or were frozen, after the
-	// announcement and so have not received it: as many as clients have in progress, through each gateway.
+	// unawareRequests is how many more requests are allowed from gateways that have restarted, or were frozen,
+	// since the announcement and so don't have it: as many as clients have in progress, through each gateway.
 	unawareRequests = soakGateways * soakClients
 )
 
@@ -40,7 +40,7 @@
 	// withdrawn is set once the server no longer announces it.
 	withdrawn bool
 	calls     []time.Time
-	// At most maxRequests may reach the server in any span that starts at least after later than from.
+	// calls are counted from the time after past from; at most maxRequests of them may lie within any span.
 	after, span time.Duration
 	maxRequests int
 }
@@ -146,7 +146,7 @@
 	x.c.retire(s)
 	s.SetLeaving()
 	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: incarnationID(s.ID, s.Born())})
-	return s.ID, func() { x.c.list(s, "draining") }
+	return s.ID, func() { x.c.putEntry(s, "draining") }
 }
 
 // announcementKinds are the faults of servers that announce something in their responses.
--- a/proofs/gateway_cluster_test.go
+++ b/proofs/gateway_cluster_test.go
@@ -103,12 +103,12 @@
 	c.mu.Lock()
 	c.servers = append(c.servers, s)
 	c.mu.Unlock()
-	c.list(s, "ready")
+	c.putEntry(s, "ready")
 	return s
 }
 
-// list writes the entry of a server to the store.
-func (c *gatewayCluster) list(s *clusterServer, state string) {
+// putEntry writes the entry of a server to the store.
+func (c *gatewayCluster) putEntry(s *clusterServer, state string) {
 	c.mu.Lock()
 	crashed := s.crashed
 	c.mu.Unlock()
--- a/proofs/gateway_keys_test.go
+++ b/proofs/gateway_keys_test.go
@@ -18,7 +18,7 @@
 	steadyTenant = "team"
 	greedyTenant = "greedy"
 	greedyKey    = "greedy-key"
-	// greedyID starts the IDs of requests of the greedy tenant, revokedID those of requests with revoked
+	// greedyID is the prefix of the IDs of requests of the greedy tenant, revokedID those of requests with revoked
 	// keys.
 	greedyID  = "greedy-"
 	revokedID = "taken-"
@@ -37,9 +37,9 @@
 // tenantKeys are the keys of the steady tenant, and the calls of the greedy one.
 type tenantKeys struct {
 	mu sync.Mutex
-	// made counts the keys made so far, current are those in the newest manifest with the time from which
+	// created counts the keys created so far, current are those in the newest manifest with the time from which
 	// clients use them.
-	made    int
+	created int
 	current []tenantKey
 	// ran is when calls of the greedy tenant ran.
 	ran     []time.Time
@@ -61,8 +61,8 @@
 
 // add makes a key. The caller holds mu, or k is not shared yet.
 func (k *tenantKeys) add(from time.Time) {
-	k.made++
-	k.current = append(k.current, tenantKey{fmt.Sprint("team-key-", k.made), from})
+	k.created++
+	k.current = append(k.current, tenantKey{fmt.Sprint("team-key-", k.created), from})
 }
 
 // use returns a key that every gateway must accept by now.
--- a/proofs/gateway_observer_test.go
+++ b/proofs/gateway_observer_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// startID identifies one incarnation of a server: what is recorded of it does not apply to the next
+// incarnationID identifies one incarnation of a server: what is recorded of it does not apply to the next
 // incarnation.
 func incarnationID(server string, born int64) string {
 	return registry.Incarnation{Instance: server, Born: born}.ID()
@@ -83,7 +83,7 @@
 // gatewayRequest is one request of a client.
 type gatewayRequest struct {
 	id, route string
-	// leave is after how long the client closes its connection; zero if it waits for the answer.
+	// leaveAfter is after how long the client closes its connection; zero if it waits for the answer.
 	leaveAfter time.Duration
 	// key is the API key; empty stands for one that must be accepted by now.
 	key string
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -26,12 +26,12 @@
 	// announce makes m1 leave; it may inject a fault first.
 	announce func(c *cluster)
 }{
-	{"list says leaving", func(c *cluster) { c.list("m1", store.VMLeaving) }},
+	{"list says leaving", func(c *cluster) { c.setVMState("m1", store.VMLeaving) }},
 	{"operator retires", func(c *cluster) { c.retire("m1") }},
 	{"server signals", func(c *cluster) { c.signalLeave("m1") }},
 	{"list says leaving, one entry cut from the store", func(c *cluster) {
 		c.entries[1].store.block()
-		c.list("m1", store.VMLeaving)
+		c.setVMState("m1", store.VMLeaving)
 	}},
 	{"operator retires, one entry cut from the store", func(c *cluster) {
 		c.entries[1].store.block()
@@ -49,7 +49,7 @@
 	}},
 	{"list says leaving, store down once one entry has read it", func(c *cluster) {
 		c.entries[1].store.block()
-		c.list("m1", store.VMLeaving)
+		c.setVMState("m1", store.VMLeaving)
 		eventually(c.t, startBound, "refused as leaving", func() bool { return status(c.backend("m1").adminURL+"/healthz") == 503 })
 		c.storeFault(splatform.Fault{Kind: splatform.Hang})
 	}},
@@ -74,9 +74,9 @@
 			l := c.startLoad(6, shortRequest)
 			b := c.backend("m1")
 			eventually(t, startBound, "work on m1", func() bool { return b.accepted() > 5 })
-			begun := time.Now()
+			start := time.Now()
 			r.announce(c)
-			took = b.lastWork(begun, leavingBound+watchBound)
+			took = b.lastWork(start, leavingBound+watchBound)
 			assert.Assert(t, took <= leavingBound, "new work %v after the announcement", took)
 			assert.Assert(t, c.backend("m2").accepted() > 5)
 			l.finish()
@@ -95,10 +95,10 @@
 }
 
 // lastWork watches an engine for the given time and returns how long after begun it last accepted new work.
-func (b *backend) lastWork(begun time.Time, watch time.Duration) time.Duration {
+func (b *backend) lastWork(start time.Time, watch time.Duration) time.Duration {
 	last, n := time.Duration(0), b.accepted()
-	for time.Since(begun) < watch {
-		now := time.Since(begun)
+	for time.Since(start) < watch {
+		now := time.Since(start)
 		if k := b.accepted(); k > n {
 			last, n = now, k
 		}
@@ -107,7 +107,7 @@
 	return last
 }
 
-func (c *cluster) list(id string, s store.VMState) {
+func (c *cluster) setVMState(id string, s store.VMState) {
 	c.t.Helper()
 	assert.NilError(c.t, postJSON(c.storeURL+splatform.PathVM, store.VM{ID: id, Zone: "z1", State: s}))
 }
--- a/proofs/load.go
+++ b/proofs/load.go
@@ -27,7 +27,7 @@
 	q     modelRequest
 	a     answer
 	entry string
-	begun time.Time
+	start time.Time
 }
 
 // healthInterval is the interval between two health checks of the load balancer.
@@ -56,10 +56,10 @@
 			time.Sleep(pollInterval)
 			continue
 		}
-		q, begun := newRequest(i), time.Now()
+		q, start := newRequest(i), time.Now()
 		a := e.do(context.Background(), q)
 		l.mu.Lock()
-		l.results = append(l.results, completedRequest{q, a, e.id, begun})
+		l.results = append(l.results, completedRequest{q, a, e.id, start})
 		l.mu.Unlock()
 	}
 }
--- a/proofs/memory_test.go
+++ b/proofs/memory_test.go
@@ -11,11 +11,11 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/fault"
 )
 
-// Bounds of point 1: closedBound if the caller's connection is seen to close, lapsedBound if only the expiry
+// Bounds of point 1: closeBound if the caller's connection is seen to close, leaseBound if only the expiry
 // of a lease reveals that the caller is gone.
 const (
-	closedBound = time.Second
-	lapsedBound = 4 * time.Second
+	closeBound = time.Second
+	leaseBound = 4 * time.Second
 )
 
 // longKVTTL makes engines keep an exported KV cache far longer than the bounds, so that its expiry does not
@@ -30,8 +30,8 @@
 	return modelRequest{model: "drafting", prompt: promptForTokens(1000, 10, "long"), stream: stream}
 }
 
-// memoryRow brings a request to a stage, injects a fault and requires that the engines hold no memory within
-// bound after that.
+// memoryRow brings a request to a stage, injects a fault and requires that the engines hold no memory once
+// bound has passed.
 type memoryRow struct {
 	fault string
 	opts  options
@@ -41,7 +41,7 @@
 }
 
 var memoryRows = []memoryRow{
-	{"caller closes before prefill", slowPrefill, closedBound, func(c *cluster) {
+	{"caller closes before prefill", slowPrefill, closeBound, func(c *cluster) {
 		first := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "first")})
 		c.awaitPhase("p1", engine.PhasePrefill)
 		second := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "second")})
@@ -51,93 +51,93 @@
 		<-first.done
 		<-second.done
 	}},
-	{"caller closes during prefill", slowPrefill, closedBound, func(c *cluster) {
+	{"caller closes during prefill", slowPrefill, closeBound, func(c *cluster) {
 		q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("p1", engine.PhasePrefill)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller closes during hand-off", singleSlot, closedBound, func(c *cluster) {
+	{"caller closes during hand-off", singleSlot, closeBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Link, Factor: 0})
 		q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("d1", engine.PhaseImport)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller closes during decode", singleSlot, closedBound, func(c *cluster) {
+	{"caller closes during decode", singleSlot, closeBound, func(c *cluster) {
 		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller closes during decode, not streamed", singleSlot, closedBound, func(c *cluster) {
+	{"caller closes during decode, not streamed", singleSlot, closeBound, func(c *cluster) {
 		q := c.entries[0].begin(longRequest(false))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"caller stalls without closing", fastDecode, lapsedBound, func(c *cluster) {
+	{"caller stalls without closing", fastDecode, leaseBound, func(c *cluster) {
 		conn, err := c.entries[0].sendWithoutReading(modelRequest{model: "drafting", prompt: promptForTokens(90000, 10, "x")})
 		assert.NilError(c.t, err)
 		c.t.Cleanup(func() { _ = conn.Close() })
 		c.awaitPhase("d1", engine.PhaseDecode)
 		eventually(c.t, 20*time.Second, "decode far ahead of the stalled caller", func() bool {
-			return c.held() == 0 || c.position("d1") > 20000
+			return c.heldCount() == 0 || c.position("d1") > 20000
 		})
 		s, err := c.backend("d1").state()
 		assert.NilError(c.t, err)
 		assert.Equal(c.t, s.Counters.Completed, 0, "the whole answer was decoded for a caller that does not read")
 	}},
-	{"entry killed during prefill", slowPrefill, lapsedBound, func(c *cluster) {
+	{"entry killed during prefill", slowPrefill, leaseBound, func(c *cluster) {
 		c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("p1", engine.PhasePrefill)
 		c.entries[0].proc.kill()
 	}},
-	{"entry killed during hand-off", singleSlot, lapsedBound, func(c *cluster) {
+	{"entry killed during hand-off", singleSlot, leaseBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Link, Factor: 0})
 		c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("d1", engine.PhaseImport)
 		c.entries[0].proc.kill()
 	}},
-	{"entry killed during decode", singleSlot, lapsedBound, func(c *cluster) {
+	{"entry killed during decode", singleSlot, leaseBound, func(c *cluster) {
 		c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.entries[0].proc.kill()
 	}},
-	{"entry frozen past its lease", singleSlot, lapsedBound, func(c *cluster) {
+	{"entry frozen past its lease", singleSlot, leaseBound, func(c *cluster) {
 		c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.entries[0].proc.freeze()
 		c.t.Cleanup(c.entries[0].proc.thaw)
 	}},
-	{"link entry-sidecar silent for good", singleSlot, lapsedBound, func(c *cluster) {
+	{"link entry-sidecar silent for good", singleSlot, leaseBound, func(c *cluster) {
 		c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").relay.block()
 	}},
-	{"caller closes while the link is silent", singleSlot, lapsedBound, func(c *cluster) {
+	{"caller closes while the link is silent", singleSlot, leaseBound, func(c *cluster) {
 		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").relay.drop(true, true)
 		q.cancel()
 		<-q.done
 	}},
-	{"sidecar killed and restarted while its engine goes on", singleSlot, lapsedBound, func(c *cluster) {
+	{"sidecar killed and restarted while its engine goes on", singleSlot, leaseBound, func(c *cluster) {
 		q := c.entries[0].begin(modelRequest{model: "ruling", prompt: promptForTokens(1000, 10, "x")})
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").sidecar.kill()
-		assert.Assert(c.t, c.held() > 0, "engine stopped with its sidecar")
+		assert.Assert(c.t, c.heldCount() > 0, "engine stopped with its sidecar")
 		c.backend("d1").sidecar.restart()
 		<-q.done
 	}},
-	{"sidecar frozen until its request is given up, thawed", singleSlot, lapsedBound, func(c *cluster) {
+	{"sidecar frozen until its request is given up, thawed", singleSlot, leaseBound, func(c *cluster) {
 		q := c.entries[0].begin(modelRequest{model: "ruling", prompt: promptForTokens(1000, 10, "x")})
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.backend("d1").sidecar.freeze()
 		<-q.done
 		c.backend("d1").sidecar.thaw()
 	}},
-	{"prefill sidecar killed and restarted, KV cache exported", singleSlot, lapsedBound, func(c *cluster) {
+	{"prefill sidecar killed and restarted, KV cache exported", singleSlot, leaseBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Link, Factor: 0})
 		q := c.entries[0].begin(modelRequest{model: "drafting", prompt: promptForTokens(20, 200, "x")})
 		c.awaitPhase("d1", engine.PhaseImport)
@@ -146,21 +146,21 @@
 		<-q.done
 		c.backend("p1").sidecar.restart()
 	}},
-	{"answer of the engine's cancel lost, three times", singleSlot, lapsedBound, func(c *cluster) {
+	{"answer of the engine's cancel lost, three times", singleSlot, leaseBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.LoseAnswer, Op: "cancel", Count: 3})
 		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"engine's cancel hangs without effect, once", singleSlot, lapsedBound, func(c *cluster) {
+	{"engine's cancel hangs without effect, once", singleSlot, leaseBound, func(c *cluster) {
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Hang, Op: "cancel", Count: 1})
 		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		q.cancel()
 		<-q.done
 	}},
-	{"engine's listing refused for two sweeps, caller closes", singleSlot, lapsedBound, func(c *cluster) {
+	{"engine's listing refused for two sweeps, caller closes", singleSlot, leaseBound, func(c *cluster) {
 		q := c.entries[0].begin(longRequest(true))
 		c.awaitPhase("d1", engine.PhaseDecode)
 		c.fault(c.backend("d1"), fault.Rule{Kind: fault.Refuse, Op: "runs", Count: 2})
@@ -181,7 +181,7 @@
 			row(t, 1, r.fault, func() string { return fmt.Sprintf("freed after %v of %v", took.Round(time.Millisecond), r.bound) })
 			c := newCluster(t, r.opts)
 			r.act(c)
-			took = eventually(t, r.bound, "engines hold nothing", func() bool { return c.held() == 0 && c.enginesAnswer() })
+			took = eventually(t, r.bound, "engines hold nothing", func() bool { return c.heldCount() == 0 && c.enginesReachable() })
 		})
 	}
 }
@@ -189,7 +189,7 @@
 // TestReservationIsFreed: a reserved decode slot that is not used is released, so that the only slot serves
 // another caller.
 func TestReservationIsFreed(t *testing.T) {
-	const bound = lapsedBound
+	const bound = leaseBound
 	for _, r := range []struct {
 		fault string
 		act   func(c *cluster, q *pendingRequest)
--- a/proofs/observer.go
+++ b/proofs/observer.go
@@ -33,7 +33,7 @@
 type observer struct {
 	c       *cluster
 	rec     *invariant.Recorder
-	ended   atomic.Bool
+	stopped atomic.Bool
 	wg      sync.WaitGroup
 	changes int
 	// changing serializes configuration changes.
@@ -54,7 +54,7 @@
 		startedRuns: make(map[string]int), outcomes: make(map[string]int),
 	}
 	w.wg.Go(func() {
-		for !w.ended.Load() {
+		for !w.stopped.Load() {
 			for _, b := range c.backends {
 				w.scan(b)
 			}
@@ -121,7 +121,7 @@
 	for i := range n {
 		rng := mathrand.New(mathrand.NewPCG(seed, uint64(i)+1))
 		wg.Go(func() {
-			for k := 0; !w.ended.Load(); k++ {
+			for k := 0; !w.stopped.Load(); k++ {
 				w.sendRandom(rng, fmt.Sprintf("%d-%d", i, k))
 			}
 		})
@@ -159,7 +159,7 @@
 		defer w.mu.Unlock()
 		return w.scans
 	}
-	for from := scans(); scans() < from+2 && !w.ended.Load(); {
+	for from := scans(); scans() < from+2 && !w.stopped.Load(); {
 		time.Sleep(pollInterval)
 	}
 }
@@ -214,12 +214,12 @@
 	return fmt.Sprintf("%v of requests, %d runs seen, %d changes", w.outcomes, len(w.startedRuns), w.changes)
 }
 
-func (w *observer) stop() { w.ended.Store(true) }
+func (w *observer) stop() { w.stopped.Store(true) }
 
 // awaitIdle waits until the engines hold nothing and every process has applied the newest revision.
 func (w *observer) awaitIdle(bound time.Duration) time.Duration {
 	w.wg.Wait()
-	took := eventually(w.c.t, bound, "engines idle", func() bool { return w.c.held() == 0 && w.c.enginesAnswer() })
+	took := eventually(w.c.t, bound, "engines idle", func() bool { return w.c.heldCount() == 0 && w.c.enginesReachable() })
 	took += eventually(w.c.t, bound, "newest revision everywhere", func() bool {
 		for _, e := range w.c.entries {
 			if revisionAt(e.adminURL) != w.c.head {
--- a/proofs/once.go
+++ b/proofs/once.go
@@ -29,14 +29,14 @@
 	assert.Equal(c.t, answers[len(answers)-1].code, code, "%v", answers)
 	runs := 0
 	for until := time.Now().Add(lateRunWindow); time.Now().Before(until); time.Sleep(20 * pollInterval) {
-		runs = max(runs, c.totalBegun())
+		runs = max(runs, c.totalRunsStarted())
 	}
 	assert.Assert(c.t, runs <= 1, "%d runs", runs)
 	return runs
 }
 
-// totalBegun counts all runs started in the reachable engines.
-func (c *cluster) totalBegun() int {
+// totalRunsStarted counts all runs started in the reachable engines.
+func (c *cluster) totalRunsStarted() int {
 	n := 0
 	for _, b := range c.backends {
 		if s, err := b.state(); err == nil {
--- a/proofs/once_test.go
+++ b/proofs/once_test.go
@@ -66,7 +66,7 @@
 		p := c.entries[0].begin(keyedRequest(300))
 		c.running()
 		c.entries[0].proc.freeze()
-		eventually(c.t, lapsedBound, "run given up", func() bool { return c.held() == 0 })
+		eventually(c.t, leaseBound, "run given up", func() bool { return c.heldCount() == 0 })
 		second := c.entries[1].do(c.t.Context(), keyedRequest(300))
 		c.entries[0].proc.thaw()
 		return []answer{<-p.done, second}
--- a/proofs/relay.go
+++ b/proofs/relay.go
@@ -23,8 +23,8 @@
 type relayedConn struct {
 	client, server         net.Conn
 	upDropped, downDropped atomic.Bool
-	// upHeld is locked while data towards the server is delayed.
-	upHeld sync.Mutex
+	// upDelayed is locked while data towards the server is delayed.
+	upDelayed sync.Mutex
 }
 
 func newRelay(t *testing.T, target string) *relay {
@@ -69,7 +69,7 @@
 	r.conns[p] = struct{}{}
 	r.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { pump(client, server, &p.upDropped, &p.upHeld) })
+	wg.Go(func() { pump(client, server, &p.upDropped, &p.upDelayed) })
 	wg.Go(func() { pump(server, client, &p.downDropped, new(sync.Mutex)) })
 	wg.Wait()
 	_ = client.Close()
@@ -81,11 +81,11 @@
 
 // pump copies from one connection to the other until from ends, and passes the end on unless the direction is
 // dropped.
-func pump(from, to net.Conn, dropped *atomic.Bool, held sync.Locker) {
+func pump(from, to net.Conn, dropped *atomic.Bool, delayed sync.Locker) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		waitUnlocked(held)
+		waitUnlocked(delayed)
 		if n > 0 && !dropped.Load() {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
@@ -121,18 +121,18 @@
 	}
 }
 
-// hold delays the data sent towards the server on the open connections until release is called.
-func (r *relay) hold() (release func()) {
+// delay delays the data sent towards the server on the open connections until release is called.
+func (r *relay) delay() (release func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var held []*relayedConn
+	var delayed []*relayedConn
 	for p := range r.conns {
-		p.upHeld.Lock()
-		held = append(held, p)
+		p.upDelayed.Lock()
+		delayed = append(delayed, p)
 	}
 	return func() {
-		for _, p := range held {
-			p.upHeld.Unlock()
+		for _, p := range delayed {
+			p.upDelayed.Unlock()
 		}
 	}
 }
--- a/proofs/soak_crash_test.go
+++ b/proofs/soak_crash_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// crashPrefix starts the bodies of requests that crash the servers that run them.
+	// crashPrefix is the prefix of the bodies of requests that crash the servers that run them.
 	crashPrefix = "deadly "
 	// maxCrashes is how many servers such a request may crash before it has to be detected, within
 	// detectionBound, and maxLateSends in how many sends it may still reach servers after that.
@@ -38,9 +38,9 @@
 
 // serverCall is one call of a server by such a request.
 type serverCall struct {
-	id      string
-	at      time.Time
-	crashes bool
+	id            string
+	at            time.Time
+	crashesServer bool
 }
 
 func newCrashingRequests(w *gatewayObserver) *crashingRequests {
@@ -98,7 +98,7 @@
 	for body, list := range x.serverCalls {
 		crashes, lateSends, detectable := 0, map[string]bool{}, time.Time{}
 		for _, r := range list {
-			if r.crashes {
+			if r.crashesServer {
 				crashes++
 			}
 			switch {
--- a/proofs/soak_test.go
+++ b/proofs/soak_test.go
@@ -117,7 +117,7 @@
 	w *gatewayObserver
 }
 
-// kinds are the faults of gateways, servers, links and the store. Their order fixes what a seed draws.
+// kinds are the faults of gateways, servers, links and the store.
 func (x *soaker) kinds() []faultKind {
 	server := func(b site.Behaviour) func(int) (string, func()) {
 		return func(i int) (string, func()) { return x.behave(i, b) }
@@ -148,11 +148,11 @@
 		{"server can't fetch", server(site.LostKV)},
 		{"streams cut", server(site.CutStream)},
 		{"streams silent", server(site.Silent)},
-		{"engine full", func(i int) (string, func()) { return x.full(i) }},
+		{"engine full", func(i int) (string, func()) { return x.fillEngine(i) }},
 		{"server's links cut", func(i int) (string, func()) { x.server(i).relay.cut(); return "", nil }},
 		{"server's links silent", func(i int) (string, func()) { x.server(i).relay.drop(true, true); return "", nil }},
 		{"server's links silent one way", func(i int) (string, func()) { x.server(i).relay.drop(false, true); return "", nil }},
-		{"server's requests late", func(i int) (string, func()) { return "", x.server(i).relay.hold() }},
+		{"server's requests late", func(i int) (string, func()) { return "", x.server(i).relay.delay() }},
 		{"server cut off", func(i int) (string, func()) { return x.block(x.server(i).relay) }},
 		{"server replaced", func(i int) (string, func()) { return x.replace(i) }},
 		{"server leaves", func(i int) (string, func()) { return x.leave(i) }},
@@ -231,7 +231,7 @@
 	return s.ID, func() { s.Behave(site.Answer) }
 }
 
-func (x *soaker) full(i int) (string, func()) {
+func (x *soaker) fillEngine(i int) (string, func()) {
 	s := x.server(i)
 	if s.stage != registry.Decode || !x.reserve(s.ID) {
 		return "", nil
@@ -277,7 +277,7 @@
 	}
 	x.c.addServer(s.service, s.stage)
 	x.c.retire(s)
-	x.c.list(s, "draining")
+	x.c.putEntry(s, "draining")
 	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: incarnationID(s.ID, s.Born())})
 	return s.ID, func() {}
 }
@@ -289,7 +289,7 @@
 		return "", nil
 	}
 	s.Restart(time.Now().UnixMilli(), unresponsive)
-	x.c.list(s, "ready")
+	x.c.putEntry(s, "ready")
 	return s.ID, func() {}
 }
 
@@ -299,11 +299,11 @@
 	if !x.reserve(s.ID) {
 		return "", nil
 	}
-	x.c.list(s, "draining")
+	x.c.putEntry(s, "draining")
 	x.w.rec.Add(invariant.Event{Kind: invariant.Leaving, Node: incarnationID(s.ID, s.Born())})
 	return s.ID, func() {
 		s.Restart(time.Now().UnixMilli(), false)
-		x.c.list(s, "ready")
+		x.c.putEntry(s, "ready")
 	}
 }
 
@@ -316,5 +316,5 @@
 	}
 	entries := []string{"", "{", "[]", "{}", `{"service":7}`, "\xff"}
 	x.c.store.Put("servers", s.ID, []byte(entries[i%len(entries)]+" "))
-	return s.ID, func() { x.c.list(s, "ready") }
+	return s.ID, func() { x.c.putEntry(s, "ready") }
 }
--- a/proofs/table.go
+++ b/proofs/table.go
@@ -86,12 +86,12 @@
 // passed.
 func eventually(t *testing.T, bound time.Duration, what string, cond func() bool) time.Duration {
 	t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	for !cond() {
-		if time.Since(begun) > bound {
+		if time.Since(start) > bound {
 			t.Fatalf("not within %v: %s", bound, what)
 		}
 		time.Sleep(pollInterval)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
