--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -63,8 +63,7 @@
 	w *observer
 }
 
-// kinds are the faults of entries, sidecars, engines, links and the store. Their order fixes what a seed
-// draws.
+// kinds are the faults of entries, sidecars, engines, links and the store.
 func (x *chaos) kinds() []faultKind {
 	return []faultKind{
 		{"entry killed", func(i int) (string, func()) { return x.kill(x.entry(i).proc) }},
