--- a/gateway/proofs_test.go
+++ b/gateway/proofs_test.go
@@ -241,7 +241,7 @@
 		const partitionTime = 9 * time.Second
 		for _, partitioned := range []int{0, 5, keyedGateways - 1} {
 			cl.stores[partitioned].setLost(true)
-			cl.hosts[partitioned].Cut(partitionTime)
+			cl.hosts[partitioned].Stall(partitionTime)
 			time.Sleep(100 * time.Millisecond)
 			cl.store.change()
 			rejected := 0
