--- a/cmd/standin/engine.go
+++ b/cmd/standin/engine.go
@@ -33,7 +33,7 @@
 	f.StringVar(&cfg.Zone, "zone", cfg.Zone, "availability zone")
 	f.StringVar(&role, "role", string(cfg.Role), "prefill, decode or mixed")
 	f.StringSliceVar(&cfg.Models, "models", cfg.Models, "models served")
-	f.IntVar(&cfg.Places, "places", cfg.Places, "decode places")
+	f.IntVar(&cfg.DecodeSlots, "places", cfg.DecodeSlots, "decode places")
 	f.IntVar(&cfg.MaxWaiting, "max-waiting", cfg.MaxWaiting, "bound of the queue for places, and of that for prefill")
 	f.DurationVar(&cfg.StepBase, "step-base", cfg.StepBase, "time of a decode step")
 	f.DurationVar(&cfg.StepPerRun, "step-per-run", cfg.StepPerRun, "time of a decode step for each run in it")
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -188,7 +188,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	f := newFixture(t, engine.RoleMixed, func(c *standin.Config) { c.Places, c.MaxWaiting, c.CheckFence = 1, 1, true })
+	f := newFixture(t, engine.RoleMixed, func(c *standin.Config) { c.DecodeSlots, c.MaxWaiting, c.CheckFence = 1, 1, true })
 	ctx := t.Context()
 	s, err := f.Decode(ctx, request("known", longPrompt))
 	assert.NilError(t, err)
--- a/entry/client_test.go
+++ b/entry/client_test.go
@@ -261,7 +261,7 @@
 
 // A refusal that allows a retry says when; the client library obeys.
 func TestRetryAfter(t *testing.T) {
-	p := pathtest.Start(t, pathtest.Options{Engine: func(c *standin.Config) { c.Places = 1 }})
+	p := pathtest.Start(t, pathtest.Options{Engine: func(c *standin.Config) { c.DecodeSlots = 1 }})
 	c := newClient(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -157,7 +157,7 @@
 		kinds      string
 	}{
 		{"a stream", "/draft/1", func(*testEnv) {}, "prefill decode"},
-		{"KV cache not fetched", "/resume/1", func(w *testEnv) { w.setDecodeBehaviour(site.LostKV) }, "prefill decode decode"},
+		{"KV cache not fetched", "/resume/1", func(w *testEnv) { w.setDecodeBehaviour(site.FailKVFetch) }, "prefill decode decode"},
 		{"resumed", "/resume/1", func(w *testEnv) { w.setDecodeBehaviour(site.CutStream) }, "prefill decode prefill decode"},
 		{"a call that is retried", "/safe/1", func(w *testEnv) { w.servers["p1"].Behave(site.Fail) }, "plain plain"},
 	} {
--- a/forward/cooldowns_test.go
+++ b/forward/cooldowns_test.go
@@ -38,7 +38,7 @@
 				w.add(t, "d1", "llm", registry.Decode)
 			}
 			w.servers[c.cooling].Behave(site.Shed)
-			w.servers[c.cooling].SetRest(longCooldown)
+			w.servers[c.cooling].SetRetryAfter(longCooldown)
 			if c.stage == registry.Decode {
 				assert.Equal(t, w.post(t, c.path).status, 503)
 				w.add(t, "d2", "llm", registry.Decode)
@@ -58,7 +58,7 @@
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode)
 	w.servers["d1"].Behave(site.Shed)
-	w.servers["d1"].SetRest(longCooldown)
+	w.servers["d1"].SetRetryAfter(longCooldown)
 	assert.Equal(t, w.post(t, "/draft/1").status, 503)
 	assert.Equal(t, w.sent("d1", site.Decode), 1)
 	w.add(t, "d2", "llm", registry.Decode)
@@ -71,7 +71,7 @@
 	w := newEngineEnv(t)
 	for _, id := range []string{"d1", "d2"} {
 		w.servers[id].SetFull(true)
-		w.servers[id].SetRest(longCooldown)
+		w.servers[id].SetRetryAfter(longCooldown)
 	}
 	for range 4 {
 		assert.Equal(t, w.post(t, "/draft/1").status, 503)
@@ -85,7 +85,7 @@
 	w := newTestEnv(t)
 	w.add(t, "p1", "plain", registry.Whole)
 	w.servers["p1"].Behave(site.Answer, site.Shed)
-	w.servers["p1"].SetRest("0.3")
+	w.servers["p1"].SetRetryAfter("0.3")
 	assert.Equal(t, w.post(t, "/once/1").status, 503)
 	began := time.Now()
 	refused := w.post(t, "/once/2")
@@ -113,7 +113,7 @@
 	w.fwd.ServiceLoad("llm")
 	w.fwd.SetPeerLoads(map[string]kvmemory.Load{"d2": {Tokens: 4000, Runs: 1, Forecast: kvmemory.Constant(4000)}})
 	w.servers["d1"].Behave(site.Shed)
-	w.servers["d1"].SetRest(longCooldown)
+	w.servers["d1"].SetRetryAfter(longCooldown)
 	assert.Equal(t, w.post(t, "/resume/1").status, 200)
 	assert.Equal(t, w.sent("d1", site.Decode), 1)
 	assert.Equal(t, w.sent("pre", site.Prefill), 1)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -26,14 +26,14 @@
 		{"answered", "/safe/1?q=%2F", site.Answer, 200, "answer of p1 to /safe/1?q=%2F", "plain p1"},
 		{"safe and failed", "/safe/1", site.Fail, 200, "answer of p2 to /safe/1", "plain p1, plain p2"},
 		{"safe and lost", "/safe/1", site.Reset, 200, "answer of p2 to /safe/1", "plain p1, plain p2"},
-		{"safe and cut", "/safe/1", site.Short, 200, "answer of p2 to /safe/1", "plain p1, plain p2"},
+		{"safe and cut", "/safe/1", site.CutBody, 200, "answer of p2 to /safe/1", "plain p1, plain p2"},
 		{"safe without a stamp", "/safe/1", site.Unstamped, 200, "answer of p2 to /safe/1", "plain p1, plain p2"},
 		{"unsafe and failed is passed on", "/unsafe/1", site.Fail, 500, "failed at p1", "plain p1"},
 		{"unsafe and lost may have run", "/unsafe/1", site.Reset, 502, "", "plain p1"},
-		{"unsafe and cut may have run", "/unsafe/1", site.Short, 502, "", "plain p1"},
+		{"unsafe and cut may have run", "/unsafe/1", site.CutBody, 502, "", "plain p1"},
 		{"unsafe and refused is retried", "/unsafe/1", site.Shed, 200, "answer of p2 to /unsafe/1", "plain p1, plain p2"},
 		{"one attempt, refused", "/once/1", site.Shed, 503, "", "plain p1"},
-		{"the route's timeout", "/brief/1", site.Mute, 504, "", "plain p1"},
+		{"the route's timeout", "/brief/1", site.NeverAnswer, 504, "", "plain p1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newPlainEnv(t)
@@ -104,9 +104,9 @@
 		path, tokens, kind, server string
 		behave                     site.Behaviour
 	}{
-		{"/unsafe/1", "", site.Plain, "p1", site.Mute},
-		{"/draft/1", site.Tokens + ": 1000,200\r\n", site.Prefill, "pre", site.Mute},
-		{"/draft/1", site.Tokens + ": 1000,200\r\n", site.Decode, "", site.Silent},
+		{"/unsafe/1", "", site.Plain, "p1", site.NeverAnswer},
+		{"/draft/1", site.Tokens + ": 1000,200\r\n", site.Prefill, "pre", site.NeverAnswer},
+		{"/draft/1", site.Tokens + ": 1000,200\r\n", site.Decode, "", site.StallStream},
 	} {
 		t.Run(c.path+c.kind, func(t *testing.T) {
 			w := newPlainEnv(t)
--- a/forward/limited_test.go
+++ b/forward/limited_test.go
@@ -79,7 +79,7 @@
 		next []site.Behaviour
 	}{
 		{"sent once", nil},
-		{"sent again", []site.Behaviour{site.LostKV, site.Answer, site.LostKV}},
+		{"sent again", []site.Behaviour{site.FailKVFetch, site.Answer, site.FailKVFetch}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newTestEnv(t)
@@ -104,7 +104,7 @@
 func TestLimitSurvivesAnswersWithoutIt(t *testing.T) {
 	w := newTestEnv(t)
 	w.add(t, "p1", "plain", registry.Whole).SetLimit("40")
-	w.servers["p1"].NameSparingly()
+	w.servers["p1"].NameLimitOnSuccessOnly()
 	w.servers["p1"].Behave(site.Shed, site.Answer, site.Fail, site.Answer)
 	limited := func() bool { return w.met.Gauge(metrics.ServersLimited).Value() == 1 }
 	const maxCalls = 3000
@@ -117,7 +117,7 @@
 	w = newTestEnv(t)
 	w.add(t, "pre", "llm", registry.Prefill)
 	w.add(t, "d1", "llm", registry.Decode).SetLimit("40")
-	w.servers["d1"].NameSparingly()
+	w.servers["d1"].NameLimitOnSuccessOnly()
 	for i := 0; i < maxCalls && w.sent("d1", site.Hold) < 3; i++ {
 		w.post(t, "/resume/1")
 	}
--- a/forward/restart_test.go
+++ b/forward/restart_test.go
@@ -39,7 +39,7 @@
 	} {
 		w := newPlainEnv(t)
 		for _, s := range w.servers {
-			s.Behave(site.Mute)
+			s.Behave(site.NeverAnswer)
 		}
 		got, calls := restartDuring(t, w, c.path, site.Plain)
 		assert.Equal(t, got.status, c.status, c.path)
@@ -49,13 +49,13 @@
 
 func TestStreamOfATerminatedIncarnation(t *testing.T) {
 	w := newEngineEnv(t)
-	w.setDecodeBehaviour(site.Silent)
+	w.setDecodeBehaviour(site.StallStream)
 	got, _ := restartDuring(t, w, "/resume/1", site.Decode)
 	assert.Equal(t, got.body, whole)
 	assert.Assert(t, !got.cut, "resumed")
 
 	w = newEngineEnv(t)
-	w.setDecodeBehaviour(site.Silent)
+	w.setDecodeBehaviour(site.StallStream)
 	got, _ = restartDuring(t, w, "/draft/1", site.Decode)
 	// Before the first event is sent, the request can still be answered with an error.
 	assert.Assert(t, got.cut || got.status == http.StatusBadGateway, "an incomplete answer was reported as complete: %d %q", got.status, got.body)
@@ -63,7 +63,7 @@
 
 func TestPrefillOfATerminatedIncarnation(t *testing.T) {
 	w := newEngineEnv(t)
-	w.servers["pre"].Behave(site.Mute)
+	w.servers["pre"].Behave(site.NeverAnswer)
 	got, calls := restartDuring(t, w, "/draft/1", site.Prefill)
 	assert.Equal(t, got.body, whole)
 	last := calls[len(calls)-1]
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -61,7 +61,7 @@
 func TestLeavingAndCooldownAreLogged(t *testing.T) {
 	w := newPlainEnv(t)
 	w.servers["p1"].Behave(site.Answer, site.Shed)
-	w.servers["p1"].SetRest("0.25")
+	w.servers["p1"].SetRetryAfter("0.25")
 	assert.Equal(t, w.post(t, "/unsafe/1").status, 200)
 	assert.Assert(t, strings.Contains(w.logged.String(), `"event":739,"text":"server has turned a request away and asks for rest","server":"p1","service":"plain","rest":250`))
 	w.servers["p2"].SetLeaving()
@@ -77,7 +77,7 @@
 	for _, rest := range []string{"soon", "-1", "NaN", "Thu, 03 Dec 2026 10:00:00 GMT"} {
 		w := newPlainEnv(t)
 		w.servers["p1"].Behave(site.Shed)
-		w.servers["p1"].SetRest(rest)
+		w.servers["p1"].SetRetryAfter(rest)
 		assert.Equal(t, w.post(t, "/unsafe/1").status, 200)
 		assert.Assert(t, strings.Contains(w.logged.String(), `"event":738`), "%q", rest)
 	}
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -28,7 +28,7 @@
 		{"reserved, prefilled, generated", "/draft/1", func(*testEnv) {}, 200, whole, false, "hold D, prefill pre, decode D"},
 		{"prefill fails", "/draft/1", func(w *testEnv) { w.servers["pre"].Behave(site.Fail) }, 200, whole, false, "hold D, prefill pre, decode D"},
 		{"prefill is lost", "/draft/1", func(w *testEnv) { w.servers["pre"].Behave(site.Reset) }, 200, whole, false, "hold D, prefill pre, decode D"},
-		{"the cache can't be fetched", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.LostKV) }, 200, whole, false, "hold D, prefill pre, decode D, hold D, decode D"},
+		{"the cache can't be fetched", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.FailKVFetch) }, 200, whole, false, "hold D, prefill pre, decode D, hold D, decode D"},
 		{"generating fails", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.Fail) }, 500, "failed at D", false, "hold D, prefill pre, decode D"},
 		{"lost before the first event", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.Reset) }, 502, "", false, "hold D, prefill pre, decode D"},
 		{"cut midway", "/draft/1", func(w *testEnv) { w.setDecodeBehaviour(site.CutStream) }, 200, whole[:42], true, "hold D, prefill pre, decode D"},
@@ -67,7 +67,7 @@
 // TestResumed: an interrupted stream is resumed at another engine, without repeating a token and under the head of the
 // first answer.
 func TestResumed(t *testing.T) {
-	for _, b := range []site.Behaviour{site.CutStream, site.Silent} {
+	for _, b := range []site.Behaviour{site.CutStream, site.StallStream} {
 		w := newEngineEnv(t)
 		w.setDecodeBehaviour(b)
 		w.servers["d1"].Behave(site.Answer, b)
@@ -154,7 +154,7 @@
 func TestResumedOnceMemoryIsFree(t *testing.T) {
 	w := newTestEnv(t)
 	w.add(t, "d1", "llm", registry.Decode)
-	w.servers["d1"].Behave(site.Silent)
+	w.servers["d1"].Behave(site.StallStream)
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, "/resume/1") }()
 	w.log.Wait(t, false, func(c site.Call) bool { return c.Kind == site.Decode })
--- a/forward/terminations_test.go
+++ b/forward/terminations_test.go
@@ -32,8 +32,8 @@
 func TestServerTerminatesDuringRequests(t *testing.T) {
 	w := newPlainEnv(t)
 	p1 := w.servers["p1"]
-	p1.Behave(site.Answer, site.Mute)
-	p1.EndUnder("question", nil)
+	p1.Behave(site.Answer, site.NeverAnswer)
+	p1.CrashOn("question", nil)
 	slow := make(chan answer, 1)
 	go func() {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+w.addr+"/once/2", nil)
@@ -62,7 +62,7 @@
 	assert.Equal(t, w.met.Counter(metrics.ServersEnded).Count(), int64(0))
 
 	w = newPlainEnv(t)
-	w.servers["p1"].EndUnder("question", nil)
+	w.servers["p1"].CrashOn("question", nil)
 	// Announced only after the request has reached it; otherwise it would get none.
 	w.log.Watch(func(c site.Call) {
 		w.view.mu.Lock()
@@ -80,7 +80,7 @@
 	w := newPlainEnv(t)
 	w.add(t, "p4", "plain", registry.Whole)
 	for _, s := range w.servers {
-		s.EndUnder("question", nil)
+		s.CrashOn("question", nil)
 	}
 	assert.Equal(t, w.post(t, "/safe/1").status, http.StatusBadGateway)
 	w.awaitCounter(t, metrics.ServersEnded, 2)
@@ -131,7 +131,7 @@
 	w := newTestEnv(t)
 	for i := range quarantine.MaxTerminations + 1 {
 		s := w.add(t, fmt.Sprint("p", i), "plain", registry.Whole)
-		s.Behave(site.Mute)
+		s.Behave(site.NeverAnswer)
 		done := make(chan answer, 1)
 		go func() { done <- w.post(t, "/once/1") }()
 		w.log.Wait(t, false, func(c site.Call) bool { return c.Server == s.ID })
@@ -153,7 +153,7 @@
 // TestFailureDoesNotClearSuspicion: a server may fail a call before it starts to run it.
 func TestFailureDoesNotClearSuspicion(t *testing.T) {
 	w := newPlainEnv(t)
-	w.servers["p1"].EndUnder("question", nil)
+	w.servers["p1"].CrashOn("question", nil)
 	assert.Equal(t, w.post(t, "/once/1").status, http.StatusBadGateway)
 	w.awaitCounter(t, metrics.ServersEnded, 1)
 	for _, id := range []string{"p2", "p3"} {
@@ -178,7 +178,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newTestEnv(t)
-			w.add(t, "p1", "plain", registry.Whole).Behave(site.Mute)
+			w.add(t, "p1", "plain", registry.Whole).Behave(site.NeverAnswer)
 			done := make(chan answer, 1)
 			go func() { done <- w.post(t, "/slow/1") }()
 			w.log.Wait(t, false, func(c site.Call) bool { return c.Server == "p1" })
@@ -214,7 +214,7 @@
 // second attempt, and no failure is counted for the server that it would have gone to.
 func TestQuarantinedRequestCountsNoFailure(t *testing.T) {
 	w := newPlainEnv(t)
-	w.servers["p1"].Behave(site.Mute)
+	w.servers["p1"].Behave(site.NeverAnswer)
 	done := make(chan answer, 1)
 	go func() { done <- w.post(t, "/safe/1") }()
 	w.log.Wait(t, false, func(c site.Call) bool { return c.Server == "p1" })
--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -57,7 +57,7 @@
 
 // newFleet starts one engine of each stage.
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, store: site.NewStore(t), calls: site.NewLog(), behave: site.Silent}
+	f := &fleet{t: t, store: site.NewStore(t), calls: site.NewLog(), behave: site.StallStream}
 	e := site.NewServer(t, "pre", f.calls).Entry("llm", "ready")
 	e.Stage = "prefill"
 	f.store.Put("servers", "pre", e.Encode())
@@ -74,7 +74,7 @@
 	f.started++
 	s := site.NewServer(f.t, fmt.Sprint("dec-", f.started), f.calls)
 	s.Behave(f.behave)
-	s.EndUnder(deadly, f.crashed)
+	s.CrashOn(deadly, f.crashed)
 	f.newest = s
 	e := s.Entry("llm", "ready")
 	e.Stage, e.Slots = "decode", 48
@@ -267,7 +267,7 @@
 	f := newFleet(t)
 	gateways := startGateways(t, f.store)
 	f.untilKnown(gateways)
-	f.store.Set(site.Busy)
+	f.store.SetFault(site.Unavailable)
 	p := start(t, f.store, "g4", gateways[0].set.Control)
 	p.ready(t, http.StatusOK)
 	until(t, "it is held", func() bool { return p.gauge(t, metrics.RequestsHeld) == 1 })
@@ -283,7 +283,7 @@
 	var key string
 	until(t, "it is kept", func() bool { key = f.store.FirstKey(holdback.TableName); return key != "" })
 	f.mu.Lock()
-	f.newest.EndUnder("", nil)
+	f.newest.CrashOn("", nil)
 	f.mu.Unlock()
 	f.well()
 	f.store.Put(holdback.TableName, key, nil)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -167,7 +167,7 @@
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
 	first.ready(t, http.StatusOK)
-	store.Set(site.Busy)
+	store.SetFault(site.Unavailable)
 	second := start(t, store, "g2", first.set.Control)
 	second.ready(t, http.StatusOK)
 	_, body := second.ask(t, "/a/1")
@@ -184,8 +184,8 @@
 	store.Put("op", "config", []byte(strings.ReplaceAll(string(manifest(3, "one")), "30000", "4000")))
 	p := start(t, store, "g1")
 	p.ready(t, http.StatusOK)
-	a.Behave(site.Mute)
-	b.Behave(site.Mute)
+	a.Behave(site.NeverAnswer)
+	b.Behave(site.NeverAnswer)
 	answered := make(chan string, 1)
 	go func() {
 		_, body := p.ask(t, "/a/1")
@@ -207,7 +207,7 @@
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
 	first.ready(t, http.StatusOK)
-	store.Set(site.Busy)
+	store.SetFault(site.Unavailable)
 	second := start(t, store, "g2")
 	second.ready(t, http.StatusServiceUnavailable)
 	set := second.set
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -33,7 +33,7 @@
 	}
 	// Its entry, renewed as ready, does not bring it back.
 	store.Put("servers", "a", entry(leaving, "one", "ready"))
-	store.Set(site.Busy)
+	store.SetFault(site.Unavailable)
 	before := len(calls.Calls())
 	for range 200 {
 		for _, p := range gateways {
--- a/proofs/site_test.go
+++ b/proofs/site_test.go
@@ -95,11 +95,11 @@
 	s := &siteServer{Server: site.NewServer(c.t, id, c.log), service: service, stage: stage}
 	s.Restart(time.Now().UnixMilli(), false)
 	s.relay = newRelay(c.t, s.Addr())
-	s.EndUnder(deadly, func(*site.Server) {
+	s.CrashOn(deadly, func(*site.Server) {
 		defer c.crashes.Done()
 		c.crashed(s)
 	})
-	s.OnCrash(func() { c.crashes.Add(1) })
+	s.BeforeCrash(func() { c.crashes.Add(1) })
 	c.mu.Lock()
 	c.servers = append(c.servers, s)
 	c.mu.Unlock()
--- a/proofs/sitesays_test.go
+++ b/proofs/sitesays_test.go
@@ -124,12 +124,12 @@
 		server: s.ID, after: restGrace, span: saidRest - restGrace,
 		most: soakClients + soakGateways*restMore + knowNothing,
 	})
-	s.SetRest(saidRestText)
+	s.SetRetryAfter(saidRestText)
 	s.Behave(site.Shed)
 	return s.ID, func() {
 		end()
 		s.Behave(site.Answer)
-		s.SetRest("")
+		s.SetRetryAfter("")
 	}
 }
 
--- a/proofs/soak_test.go
+++ b/proofs/soak_test.go
@@ -91,7 +91,7 @@
 		w.strikers.begin(seed)
 	}
 	x.run(n, drawn)
-	c.store.Set(site.Well)
+	c.store.SetFault(site.NoFault)
 	time.Sleep(soakTail)
 	w.c.keys.probing.Wait()
 	w.judgeQuota()
@@ -134,20 +134,20 @@
 		{"gateway cut off the store", func(i int) (string, func()) { return x.block(x.gateway(i).store) }},
 		{"store's links cut", func(i int) (string, func()) { x.gateway(i).store.cut(); return "", nil }},
 		{"store's links silent", func(i int) (string, func()) { x.gateway(i).store.silence(false, true); return "", nil }},
-		{"store busy", store(site.Busy)},
-		{"store rejects calls", store(site.Many)},
-		{"store loses answers", store(site.Lost)},
+		{"store busy", store(site.Unavailable)},
+		{"store rejects calls", store(site.TooManyRequests)},
+		{"store loses answers", store(site.LoseAnswer)},
 		{"store forgets its history", store(site.Compacted)},
-		{"store answers garbage", store(site.Garbled)},
+		{"store answers garbage", store(site.CorruptAnswer)},
 		{"server fails", server(site.Fail)},
 		{"server refuses", server(site.Shed)},
 		{"server resets", server(site.Reset)},
-		{"server mute", server(site.Mute)},
+		{"server mute", server(site.NeverAnswer)},
 		{"server forgets its mark", server(site.Unstamped)},
-		{"server breaks off", server(site.Short)},
-		{"server can't fetch", server(site.LostKV)},
+		{"server breaks off", server(site.CutBody)},
+		{"server can't fetch", server(site.FailKVFetch)},
 		{"streams cut", server(site.CutStream)},
-		{"streams silent", server(site.Silent)},
+		{"streams silent", server(site.StallStream)},
 		{"engine full", func(i int) (string, func()) { return x.full(i) }},
 		{"server's links cut", func(i int) (string, func()) { x.server(i).relay.cut(); return "", nil }},
 		{"server's links silent", func(i int) (string, func()) { x.server(i).relay.silence(true, true); return "", nil }},
@@ -217,8 +217,8 @@
 	if !x.take("store") {
 		return "", nil
 	}
-	x.c.store.Set(f)
-	return "store", func() { x.c.store.Set(site.Well) }
+	x.c.store.SetFault(f)
+	return "store", func() { x.c.store.SetFault(site.NoFault) }
 }
 
 func (x *soaker) behave(i int, b site.Behaviour) (string, func()) {
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -14,8 +14,8 @@
 	Models []string
 	// Source is the base URL under which other engines reach this one.
 	Source string
-	// Places is how many requests hold decode memory at once.
-	Places int
+	// DecodeSlots is how many requests hold decode memory at once.
+	DecodeSlots int
 	// MaxWaiting bounds the runs that wait for a place, and the prefills that wait.
 	MaxWaiting int
 	StepBase   time.Duration
@@ -50,7 +50,7 @@
 		ID:              "engine",
 		Role:            engine.RoleMixed,
 		Models:          []string{"default"},
-		Places:          20,
+		DecodeSlots:     20,
 		MaxWaiting:      64,
 		StepBase:        10 * time.Millisecond,
 		StepPerRun:      500 * time.Microsecond,
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -83,7 +83,7 @@
 }
 
 func TestPlacesBoundTheBatch(t *testing.T) {
-	s := newSim(func(c *Config) { c.Places = 2; c.MaxWaiting = 1 })
+	s := newSim(func(c *Config) { c.DecodeSlots = 2; c.MaxWaiting = 1 })
 	s.mustDecode(t, decodeReq("a", 5))
 	s.mustDecode(t, decodeReq("b", 50))
 	s.mustDecode(t, decodeReq("c", 5))
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -60,7 +60,7 @@
 // Info returns the properties of the engine.
 func (c *Core) Info() engine.Info {
 	return engine.Info{
-		ID: c.cfg.ID, Role: c.cfg.Role, Models: slices.Clone(c.cfg.Models), DecodeSlots: c.cfg.Places,
+		ID: c.cfg.ID, Role: c.cfg.Role, Models: slices.Clone(c.cfg.Models), DecodeSlots: c.cfg.DecodeSlots,
 		PrefillTokensPerSecond: c.cfg.PrefillRate, LinkBytesPerSecond: c.cfg.LinkRate,
 		KVBytesPerToken: c.cfg.KVBytesPerToken, StepBase: c.cfg.StepBase, StepPerRun: c.cfg.StepPerRun,
 		ChecksFence: c.cfg.CheckFence,
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -95,7 +95,7 @@
 
 // admit gives free places to waiting runs, which then fetch or compute their KV cache.
 func (c *Core) admit() {
-	for c.held < c.cfg.Places && len(c.admission) > 0 {
+	for c.held < c.cfg.DecodeSlots && len(c.admission) > 0 {
 		r := c.admission[0]
 		c.admission = c.admission[1:]
 		c.held++
--- a/standin/site/crash.go
+++ b/standin/site/crash.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// EndUnder has the server crash as soon as it begins to run a request whose body begins so, which reading its prompt
+// CrashOn has the server crash as soon as it begins to run a request whose body begins so, which reading its prompt
 // is not. Then onEnd is called, unless it is nil.
-func (s *Server) EndUnder(body string, onEnd func(*Server)) {
+func (s *Server) CrashOn(body string, onEnd func(*Server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deadly, s.onEnd = body, onEnd
 }
 
-// OnCrash has f called when the server begins to crash, before anything of it ends.
-func (s *Server) OnCrash(f func()) {
+// BeforeCrash has f called when the server begins to crash, before anything of it ends.
+func (s *Server) BeforeCrash(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onCrash = f
--- a/standin/site/server.go
+++ b/standin/site/server.go
@@ -23,17 +23,17 @@
 	Shed
 	// Reset runs the request and closes the connection without an answer.
 	Reset
-	// Mute runs the request and never answers.
-	Mute
+	// NeverAnswer runs the request and never answers.
+	NeverAnswer
 	// Unstamped answers without the server's mark.
 	Unstamped
-	// Short breaks off in the middle of the body.
-	Short
-	// LostKV refuses to fetch a KV cache.
-	LostKV
-	// CutStream breaks off after two events, Silent sends no more after two.
+	// CutBody breaks off in the middle of the body.
+	CutBody
+	// FailKVFetch refuses to fetch a KV cache.
+	FailKVFetch
+	// CutStream closes the connection after two events, StallStream sends nothing more after two.
 	CutStream
-	Silent
+	StallStream
 )
 
 // Events is the number of events of a whole stream.
@@ -120,9 +120,9 @@
 	s.limit = limit
 }
 
-// NameSparingly has the server name its limit in answers of success to requests alone: not in refusals, failures and answers
+// NameLimitOnSuccessOnly has the server name its limit in answers of success to requests alone: not in refusals, failures and answers
 // to other calls.
-func (s *Server) NameSparingly() {
+func (s *Server) NameLimitOnSuccessOnly() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sparing = true
@@ -135,8 +135,8 @@
 	s.leaving = true
 }
 
-// SetRest has all refusals ask for so many seconds of rest; empty ends it.
-func (s *Server) SetRest(seconds string) {
+// SetRetryAfter has all refusals ask for so many seconds of rest; empty ends it.
+func (s *Server) SetRetryAfter(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rest = seconds
@@ -270,7 +270,7 @@
 		return
 	}
 	b := s.behaviour()
-	c.Refused = b == Shed || b == LostKV && c.KVFrom != ""
+	c.Refused = b == Shed || b == FailKVFetch && c.KVFrom != ""
 	s.log.add(&s.log.calls, c)
 	s.active.Add(1)
 	defer s.active.Add(-1)
@@ -292,7 +292,7 @@
 		return
 	case b == Reset:
 		panic(http.ErrAbortHandler)
-	case b == Mute:
+	case b == NeverAnswer:
 		<-r.Context().Done()
 		s.log.add(&s.log.left, c)
 		return
@@ -313,7 +313,7 @@
 		reply(w, http.StatusOK, map[string]any{"kv_handle": "kv-" + c.ID, "tokens": 100, "version": 1})
 	case c.Kind == Decode:
 		s.stream(w, r, c, b)
-	case b == Short:
+	case b == CutBody:
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 	default:
@@ -333,7 +333,7 @@
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if i > 2 && b == Silent {
+		if i > 2 && b == StallStream {
 			<-r.Context().Done()
 			s.log.add(&s.log.left, c)
 			return
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -30,16 +30,16 @@
 
 // Faults of the store.
 const (
-	Well StoreFault = iota
-	// Busy answers 503, Many 429; nothing was done.
-	Busy
-	Many
-	// Lost does what was asked and closes the connection without an answer.
-	Lost
+	NoFault StoreFault = iota
+	// Unavailable answers 503 and TooManyRequests 429; the call has no effect.
+	Unavailable
+	TooManyRequests
+	// LoseAnswer does what was asked and closes the connection without an answer.
+	LoseAnswer
 	// Compacted answers 410 to feeds.
 	Compacted
-	// Garbled answers 200 with bytes that are no JSON.
-	Garbled
+	// CorruptAnswer answers 200 with bytes that are no JSON.
+	CorruptAnswer
 )
 
 // Store is the platform's store. It is safe for concurrent use.
@@ -69,8 +69,8 @@
 // Addr is "ip:port".
 func (s *Store) Addr() string { return s.Listener.Addr().String() }
 
-// Set switches a fault.
-func (s *Store) Set(f StoreFault) {
+// SetFault switches a fault.
+func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
@@ -124,14 +124,14 @@
 		s.calls++
 		s.mu.Unlock()
 		switch fault {
-		case Busy:
+		case Unavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case Many:
+		case TooManyRequests:
 			w.WriteHeader(http.StatusTooManyRequests)
-		case Lost:
+		case LoseAnswer:
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
-		case Garbled:
+		case CorruptAnswer:
 			_, _ = w.Write([]byte(`{"rows":[`))
 		default:
 			next.ServeHTTP(w, r)
