--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -24,7 +24,7 @@
 // Answer returns the tokens of the whole answer to prompt. It is a pure function
 // of its arguments: every engine gives the same answer, whole or resumed. The
 // text of the answer is the concatenation of the tokens. The marker [[len=N]] in
-// the prompt forces a length of N before the cap; maxTokens of zero is no cap.
+// the prompt sets the length to N, which maxTokens caps; zero means no cap.
 func Answer(model, prompt string, maxTokens int) []string {
 	s := newScript(model, prompt, maxTokens)
 	out := make([]string, s.total)
@@ -65,7 +65,7 @@
 	return string(append(b, ' '))
 }
 
-// text returns the answer before position n.
+// text returns the first n tokens of the answer.
 func (s script) text(n int) string {
 	var b strings.Builder
 	for i := range min(n, s.total) {
@@ -74,7 +74,7 @@
 	return b.String()
 }
 
-// mix is the finaliser of SplitMix64.
+// mix is the output function (finalizer) of SplitMix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -82,7 +82,7 @@
 	return x ^ (x >> 31)
 }
 
-// PromptHash identifies a prompt of a model in the books.
+// PromptHash identifies a prompt of a model in State.BegunPrompts.
 func PromptHash(model, prompt string) uint64 { return textHash(model, prompt) }
 
 // textHash identifies a prompt of a model.
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -10,11 +10,11 @@
 
 const maxCacheEvents = 8192
 
-// prefixCache is an LRU cache of prompt prefixes by block. Of one prefix the
-// longest blocks are evicted first, so that no block is kept without those before it.
+// prefixCache is an LRU cache of prompt prefixes by block. The last blocks of a
+// prefix are evicted first, so that no block is cached without those before it.
 type prefixCache struct {
 	blocks   int
-	order    *list.List // front is the most recent
+	order    *list.List // front is the most recently used
 	byKey    map[blockKey]*list.Element
 	events   []timedEvent
 	sequence uint64
@@ -23,7 +23,8 @@
 	random   *rand.Rand
 }
 
-// blockKey names a block of a model; the hashes of two models are alike.
+// blockKey identifies a block of a model; two models have the same hash for the
+// same text.
 type blockKey struct {
 	model string
 	hash  uint64
@@ -35,8 +36,8 @@
 }
 
 type timedEvent struct {
-	seenAt time.Time
-	event  engine.CacheEvent
+	visibleAt time.Time
+	event     engine.CacheEvent
 }
 
 func newPrefixCache(cfg Config) *prefixCache {
@@ -50,7 +51,7 @@
 	}
 }
 
-// lookup returns how many tokens of text are cached from its start on.
+// lookup returns the length in tokens of the longest cached prefix of text.
 func (p *prefixCache) lookup(model, text string) int {
 	tokens := 0
 	for _, h := range engine.PrefixHashes(text) {
@@ -87,7 +88,7 @@
 	p.emit(now, b, false)
 }
 
-// emit numbers an event and loses some of them, so that readers see gaps.
+// emit numbers an event and drops some events at random, so that readers see gaps.
 func (p *prefixCache) emit(now time.Time, b block, evicted bool) {
 	p.sequence++
 	if p.random.Float64() < p.loss {
@@ -100,11 +101,11 @@
 	}
 }
 
-// after returns the events past a sequence number that are visible by now.
+// after returns the events after a sequence number that are visible at the time now.
 func (p *prefixCache) after(now time.Time, sequence uint64) []engine.CacheEvent {
 	out := []engine.CacheEvent{}
 	for _, t := range p.events {
-		if t.event.Sequence > sequence && !t.seenAt.After(now) {
+		if t.event.Sequence > sequence && !t.visibleAt.After(now) {
 			out = append(out, t.event)
 		}
 	}
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -6,17 +6,17 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// Config sets the model of the engine.
+// Config configures the simulated engine.
 type Config struct {
 	ID     string
 	Zone   string
 	Role   engine.Role
 	Models []string
-	// Source is the base URL under which other engines reach this one.
+	// Source is the base URL at which other engines reach this one.
 	Source string
-	// DecodeSlots is how many requests hold decode memory at once.
+	// DecodeSlots is how many requests can use decode memory at once.
 	DecodeSlots int
-	// MaxWaiting bounds the runs that wait for a place, and the prefills that wait.
+	// MaxWaiting bounds the runs queued for a decode slot, and separately the queued prefills.
 	MaxWaiting int
 	StepBase   time.Duration
 	StepPerRun time.Duration
@@ -26,25 +26,25 @@
 	CacheTokens int
 	// KVBytesPerToken is the size of the KV cache of one token.
 	KVBytesPerToken int64
-	// LinkRate is that of the inbound KV link in bytes per second, shared by all imports.
+	// LinkRate is the rate of the inbound KV link in bytes per second, shared by all imports.
 	LinkRate float64
-	// KVTTL is how long an exported KV cache is kept.
+	// KVTTL is the time to live of an exported KV cache.
 	KVTTL time.Duration
-	// Retain is how long the output of a completed run is kept for resumption.
+	// Retain is how long the output of a completed run is retained for resumption.
 	Retain time.Duration
 	// LoadLag is the interval at which the load report is renewed.
 	LoadLag time.Duration
-	// EventDelay is by how much cache events are late; EventLoss is the share of
-	// them that is never seen.
+	// EventDelay is the delay until cache events are visible; EventLoss is the
+	// fraction of them that is lost.
 	EventDelay time.Duration
 	EventLoss  float64
-	// Seed decides which cache events are lost.
+	// Seed is the random seed that selects the lost cache events.
 	Seed uint64
-	// CheckFence makes the engine refuse orders with an old fencing number.
+	// CheckFence makes the engine reject orders with an outdated fencing number.
 	CheckFence bool
 }
 
-// DefaultConfig returns the settings of one accelerator as the tests use it.
+// DefaultConfig returns the settings of one accelerator that the tests use.
 func DefaultConfig() Config {
 	return Config{
 		ID:              "engine",
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -1,7 +1,7 @@
 // Package engine is a stand-in for a model engine: a deterministic model of
 // continuous batching behind the HTTP protocol of the engine port, with
-// injectable faults. It computes no language model; it spends the time and keeps
-// the books that a real engine would.
+// injectable faults. It runs no language model; it simulates the processing time
+// and the accounting of a real engine.
 package engine
 
 import (
@@ -12,32 +12,32 @@
 )
 
 // Core is the model of the engine as a discrete-event simulation. It has no
-// clock: Advance moves it to a time, NextAt tells when it has something to do.
-// Not safe for concurrent use.
+// clock: Advance moves it to a given time and NextAt returns the time of its next
+// event. It is not safe for concurrent use.
 //
-// The accelerator does one thing at a time: a prefill, or one decode step of the
-// whole batch. Waiting prefills go first, so a prefill on an engine that decodes
-// stalls its steps. Of several waiting, the highest priority goes first, then
-// the oldest; what has begun is not preempted.
+// The accelerator runs one task at a time: a prefill, or one decode step of the
+// whole batch. Queued prefills precede decode steps, so a prefill on a decoding
+// engine stalls its steps. Prefills are ordered by priority, then by arrival; a
+// task in progress is not preempted.
 type Core struct {
 	cfg    Config
 	now    time.Time
 	nextID uint64
 
 	runs      map[string]*run
-	prefills  map[string]*job
+	prefills  map[string]*prefillJob
 	admission []*run
-	held      int
+	slotsUsed int
 	batch     []*run
 	stepRuns  []*run
 	imports   []*run
 	retained  []*run
 
-	queue     []*job
-	active    *job
-	busy      bool
-	busyUntil time.Time
-	began     time.Time
+	queue         []*prefillJob
+	activePrefill *prefillJob
+	busy          bool
+	busyUntil     time.Time
+	workBegan     time.Time
 
 	exports map[string]*export
 	expiry  []*export
@@ -45,15 +45,15 @@
 	cache   *prefixCache
 	actions []action
 
-	slow       float64
+	slowFactor float64
 	linkFactor float64
 
-	orders   []engine.Order
-	fence    uint64
-	counters Counters
-	begun    map[string]int
-	accepted map[string]int
-	prompts  map[uint64]int
+	orders       []engine.Order
+	fence        uint64
+	counters     Counters
+	begunRuns    map[string]int
+	accepted     map[string]int
+	begunPrompts map[uint64]int
 
 	report   engine.Load
 	reportAt time.Time
@@ -63,24 +63,24 @@
 func NewCore(cfg Config, now time.Time) *Core {
 	cfg.Models = slices.Clone(cfg.Models)
 	return &Core{
-		cfg:        cfg,
-		now:        now,
-		runs:       make(map[string]*run),
-		prefills:   make(map[string]*job),
-		exports:    make(map[string]*export),
-		cache:      newPrefixCache(cfg),
-		slow:       1,
-		linkFactor: 1,
-		begun:      make(map[string]int),
-		accepted:   make(map[string]int),
-		prompts:    make(map[uint64]int),
-		report:     engine.Load{FreeCacheTokens: cfg.CacheTokens},
-		reportAt:   now,
+		cfg:          cfg,
+		now:          now,
+		runs:         make(map[string]*run),
+		prefills:     make(map[string]*prefillJob),
+		exports:      make(map[string]*export),
+		cache:        newPrefixCache(cfg),
+		slowFactor:   1,
+		linkFactor:   1,
+		begunRuns:    make(map[string]int),
+		accepted:     make(map[string]int),
+		begunPrompts: make(map[uint64]int),
+		report:       engine.Load{FreeCacheTokens: cfg.CacheTokens},
+		reportAt:     now,
 	}
 }
 
-// Advance handles everything that falls due up to the time to. A time in the
-// past is the present.
+// Advance handles all events due up to the time to. A time in the past is
+// treated as the present.
 func (c *Core) Advance(to time.Time) {
 	for {
 		at, ok := c.NextAt()
@@ -94,26 +94,26 @@
 	c.moveTo(to)
 }
 
-// NextAt returns when the engine next has something to do.
+// NextAt returns the time of the next event, if there is one.
 func (c *Core) NextAt() (time.Time, bool) {
 	var at time.Time
 	var ok bool
-	sooner := func(t time.Time) {
+	consider := func(t time.Time) {
 		if !ok || t.Before(at) {
 			at, ok = t, true
 		}
 	}
 	if c.busy {
-		sooner(c.busyUntil)
+		consider(c.busyUntil)
 	}
 	if len(c.expiry) > 0 {
-		sooner(c.expiry[0].expires)
+		consider(c.expiry[0].expires)
 	}
 	if len(c.retained) > 0 {
-		sooner(c.retained[0].forgetAt)
+		consider(c.retained[0].forgetAt)
 	}
 	for _, r := range c.imports {
-		sooner(c.importDue(r))
+		consider(c.importDue(r))
 	}
 	if ok && at.Before(c.now) {
 		at = c.now
@@ -132,7 +132,7 @@
 
 func (c *Core) handleDue() {
 	if c.busy && !c.busyUntil.After(c.now) {
-		c.finishUnit()
+		c.finishWork()
 	}
 	for len(c.expiry) > 0 && !c.expiry[0].expires.After(c.now) {
 		e := c.expiry[0]
@@ -146,7 +146,8 @@
 	c.finishImports()
 }
 
-// dispatch gives free places to waiting runs and the accelerator its next work.
+// dispatch assigns free decode slots to queued runs and starts the accelerator's
+// next task.
 func (c *Core) dispatch() {
 	c.admit()
 	if c.busy {
@@ -163,24 +164,24 @@
 
 func (c *Core) occupy(d time.Duration) {
 	c.busy = true
-	c.began = c.now
-	c.busyUntil = c.now.Add(time.Duration(float64(d) * c.slow))
+	c.workBegan = c.now
+	c.busyUntil = c.now.Add(time.Duration(float64(d) * c.slowFactor))
 }
 
-func (c *Core) finishUnit() {
+func (c *Core) finishWork() {
 	c.busy = false
-	if c.active != nil {
+	if c.activePrefill != nil {
 		c.finishPrefill()
 		return
 	}
 	c.finishStep()
 }
 
-// SetFactors sets the fault factors: slow multiplies the time of steps and
+// SetFactors sets the fault factors: slow multiplies the duration of steps and
 // prefills that start from now on; link multiplies the rate of the inbound link
-// at once, where zero stalls it.
+// immediately, and zero stalls it.
 func (c *Core) SetFactors(slow, link float64) {
-	c.slow = slow
+	c.slowFactor = slow
 	c.linkFactor = link
 }
 
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1000, 0)
 
-// sim drives a core; claims of its own exports are answered at once.
+// sim drives a core in simulated time.
 type sim struct {
 	*Core
 }
@@ -33,12 +33,12 @@
 	return sim{NewCore(cfg, start)}
 }
 
-func (s sim) at(d time.Duration) { s.Advance(start.Add(d)) }
+func (s sim) advanceTo(d time.Duration) { s.Advance(start.Add(d)) }
 
-func (s sim) since() time.Duration { return s.now.Sub(start) }
+func (s sim) elapsed() time.Duration { return s.now.Sub(start) }
 
-// idle runs until nothing but ended runs and exports is left.
-func (s sim) idle() {
+// runUntilIdle advances until only ended runs and exports are left.
+func (s sim) runUntilIdle() {
 	for s.busy || len(s.imports) > 0 {
 		at, _ := s.NextAt()
 		s.Advance(at)
@@ -54,15 +54,15 @@
 	assert.NilError(t, s.Decode(r))
 }
 
-func (s sim) mustPrefill(t *testing.T, id, prompt string, priority int) *job {
+func (s sim) mustPrefill(t *testing.T, id, prompt string, priority int) *prefillJob {
 	t.Helper()
 	j, err := s.Prefill(engine.PrefillRequest{RunID: id, Model: model, Prompt: prompt, Priority: priority})
 	assert.NilError(t, err)
 	return j
 }
 
-// text has n tokens and no prefix in common with that of another name.
-func text(name byte, n int) string {
+// promptText returns n tokens that share no prefix with the text of another name.
+func promptText(name byte, n int) string {
 	return strings.Repeat(string(name), n*engine.BytesPerToken)
 }
 
@@ -75,14 +75,14 @@
 		for i := range tc.runs {
 			s.mustDecode(t, decodeReq(fmt.Sprint(i), 10))
 		}
-		s.idle()
-		assert.Equal(t, s.since().Truncate(time.Microsecond), tc.want, "%d runs", tc.runs)
+		s.runUntilIdle()
+		assert.Equal(t, s.elapsed().Truncate(time.Microsecond), tc.want, "%d runs", tc.runs)
 		assert.Equal(t, s.counters.DecodeTokens, 10*tc.runs)
 		assert.Equal(t, s.counters.Completed, tc.runs)
 	}
 }
 
-func TestPlacesBoundTheBatch(t *testing.T) {
+func TestDecodeSlotsBoundTheBatch(t *testing.T) {
 	s := newSim(func(c *Config) { c.DecodeSlots = 2; c.MaxWaiting = 1 })
 	s.mustDecode(t, decodeReq("a", 5))
 	s.mustDecode(t, decodeReq("b", 50))
@@ -91,35 +91,35 @@
 	assert.Equal(t, s.loadNow().Running, 2)
 	assert.Equal(t, s.loadNow().Waiting, 1)
 	s.Cancel("a")
-	assert.Equal(t, s.loadNow().Running, 2, "a cancelled run's place goes to the one that waits")
-	s.idle()
+	assert.Equal(t, s.loadNow().Running, 2, "the queued run takes the decode slot of the cancelled run")
+	s.runUntilIdle()
 	assert.Equal(t, s.counters.Completed, 2)
-	assert.Equal(t, s.held, 0)
+	assert.Equal(t, s.slotsUsed, 0)
 }
 
 func TestPrefillQueueByPriority(t *testing.T) {
 	s := newSim(func(c *Config) { c.Role = engine.RolePrefill; c.PrefillRate = 1000 })
-	first := s.mustPrefill(t, "first", text('a', 100), 0)
-	low := s.mustPrefill(t, "low", text('b', 100), 0)
-	high := s.mustPrefill(t, "high", text('c', 100), 9)
-	s.at(150 * time.Millisecond)
+	first := s.mustPrefill(t, "first", promptText('a', 100), 0)
+	low := s.mustPrefill(t, "low", promptText('b', 100), 0)
+	high := s.mustPrefill(t, "high", promptText('c', 100), 9)
+	s.advanceTo(150 * time.Millisecond)
 	assert.Equal(t, first.kv.PromptTokens, 100)
-	s.at(250 * time.Millisecond)
+	s.advanceTo(250 * time.Millisecond)
 	assert.Assert(t, high.kv.Handle != "" && low.kv.Handle == "")
-	s.idle()
-	assert.Equal(t, s.since(), 300*time.Millisecond)
+	s.runUntilIdle()
+	assert.Equal(t, s.elapsed(), 300*time.Millisecond)
 	assert.Equal(t, low.kv.Bytes, 100*s.cfg.KVBytesPerToken)
 }
 
 func TestPrefillStallsDecodeSteps(t *testing.T) {
 	s := newSim(func(c *Config) { c.PrefillRate = 1000 })
 	s.mustDecode(t, decodeReq("a", 1000))
-	s.at(20 * time.Millisecond)
+	s.advanceTo(20 * time.Millisecond)
 	before := s.runs["a"].produced
-	s.mustPrefill(t, "p", text('p', 500), 0)
-	s.at(500 * time.Millisecond)
-	assert.Assert(t, s.runs["a"].produced-before <= 1, "at most the step in progress ends")
-	s.at(600 * time.Millisecond)
+	s.mustPrefill(t, "p", promptText('p', 500), 0)
+	s.advanceTo(500 * time.Millisecond)
+	assert.Assert(t, s.runs["a"].produced-before <= 1, "at most the step in progress completes")
+	s.advanceTo(600 * time.Millisecond)
 	assert.Assert(t, s.runs["a"].produced-before > 3)
 }
 
@@ -131,28 +131,28 @@
 		prompt string
 		cached int
 	}{
-		{"cold", text('a', size), 0},
-		{"whole, but for the last token", text('a', size), size - 1},
-		{"prefix", text('a', size/2) + text('x', 100), size / 2},
-		{"another fills the cache", text('b', size), 0},
-		{"the end of the first was evicted", text('a', size), size - engine.PrefixBlockTokens},
+		{"cold", promptText('a', size), 0},
+		{"all but the last token", promptText('a', size), size - 1},
+		{"prefix", promptText('a', size/2) + promptText('x', 100), size / 2},
+		{"another prompt fills the cache", promptText('b', size), 0},
+		{"the last block of the first prompt was evicted", promptText('a', size), size - engine.PrefixBlockTokens},
 	} {
-		began := s.since()
+		began := s.elapsed()
 		j := s.mustPrefill(t, tc.name, tc.prompt, 0)
-		s.idle()
+		s.runUntilIdle()
 		assert.Equal(t, j.kv.CachedTokens, tc.cached, tc.name)
-		assert.Equal(t, s.since()-began, time.Duration(j.tokens-tc.cached)*time.Millisecond, tc.name)
+		assert.Equal(t, s.elapsed()-began, time.Duration(j.tokens-tc.cached)*time.Millisecond, tc.name)
 	}
 	assert.Assert(t, s.cache.order.Len() <= 20)
 }
 
-func TestCacheEventsAreLateAndHaveGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndHaveGaps(t *testing.T) {
 	events := func() []engine.CacheEvent {
 		s := newSim(func(c *Config) { c.EventLoss = 0.3; c.PrefillRate = 1e12; c.Role = engine.RolePrefill })
-		s.mustPrefill(t, "a", text('a', 100*engine.PrefixBlockTokens), 0)
-		s.at(200 * time.Millisecond)
+		s.mustPrefill(t, "a", promptText('a', 100*engine.PrefixBlockTokens), 0)
+		s.advanceTo(200 * time.Millisecond)
 		assert.Assert(t, cmp.Len(s.CacheEvents(0), 0))
-		s.at(400 * time.Millisecond)
+		s.advanceTo(400 * time.Millisecond)
 		return s.CacheEvents(10)
 	}
 	seen := events()
@@ -163,45 +163,45 @@
 
 func TestLoadReportLags(t *testing.T) {
 	s := newSim(nil)
-	s.at(100 * time.Millisecond)
+	s.advanceTo(100 * time.Millisecond)
 	s.mustDecode(t, decodeReq("a", 1000))
-	s.at(499 * time.Millisecond)
+	s.advanceTo(499 * time.Millisecond)
 	assert.DeepEqual(t, s.Load(), engine.Load{FreeCacheTokens: s.cfg.CacheTokens, AgeMillis: 499})
-	s.at(620 * time.Millisecond)
+	s.advanceTo(620 * time.Millisecond)
 	assert.Equal(t, s.Load().Running, 1)
 	assert.Equal(t, s.Load().AgeMillis, int64(120))
 }
 
-// TestPrefillBooks holds that every token of prefill is accounted for once.
-func TestPrefillBooks(t *testing.T) {
+// TestPrefillTokensAreCountedOnce checks that each prefill token is counted under one outcome.
+func TestPrefillTokensAreCountedOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		end  func(s sim, kv engine.KV)
 		want Counters
 	}{
-		{"expired", func(s sim, _ engine.KV) { s.at(time.Hour) }, Counters{PrefillDone: 100, PrefillExpired: 100}},
+		{"expired", func(s sim, _ engine.KV) { s.advanceTo(time.Hour) }, Counters{PrefillDone: 100, PrefillExpired: 100}},
 		{"released", func(s sim, kv engine.KV) { s.ReleaseKV(kv.Handle) }, Counters{PrefillDone: 100, PrefillReleased: 100}},
-		{"cancelled after its end", func(s sim, _ engine.KV) { s.Cancel("p") }, Counters{PrefillDone: 100, PrefillReleased: 100}},
+		{"cancelled after completion", func(s sim, _ engine.KV) { s.Cancel("p") }, Counters{PrefillDone: 100, PrefillReleased: 100}},
 		{"used", func(s sim, kv engine.KV) { _ = s.Complete(kv.Handle) }, Counters{PrefillDone: 100, PrefillUsed: 100}},
-		{"used, released late", func(s sim, kv engine.KV) {
+		{"used, then released", func(s sim, kv engine.KV) {
 			_ = s.Complete(kv.Handle)
 			s.ReleaseKV(kv.Handle)
 		}, Counters{PrefillDone: 100, PrefillUsed: 100}},
 	} {
 		s := newSim(func(c *Config) { c.Role = engine.RolePrefill })
-		j := s.mustPrefill(t, "p", text('a', 100), 0)
-		s.idle()
+		j := s.mustPrefill(t, "p", promptText('a', 100), 0)
+		s.runUntilIdle()
 		tc.end(s, j.kv)
-		s.at(time.Hour)
+		s.advanceTo(time.Hour)
 		assert.DeepEqual(t, s.counters, tc.want)
 		assert.Assert(t, cmp.Len(s.Exports(), 0), tc.name)
 	}
 }
 
-func TestCancelMidwayDiscardsWhatWasComputed(t *testing.T) {
+func TestCancelMidwayDiscardsComputedTokens(t *testing.T) {
 	s := newSim(func(c *Config) { c.PrefillRate = 1000 })
-	j := s.mustPrefill(t, "p", text('a', 100), 0)
-	s.at(25 * time.Millisecond)
+	j := s.mustPrefill(t, "p", promptText('a', 100), 0)
+	s.advanceTo(25 * time.Millisecond)
 	s.Cancel("p")
 	<-j.done
 	assert.ErrorIs(t, j.err, engine.ErrNotFound)
@@ -214,15 +214,15 @@
 	s := newSim(nil)
 	s.mustDecode(t, decodeReq("a", 2))
 	assert.ErrorIs(t, s.Decode(decodeReq("a", 2)), engine.ErrExists)
-	s.idle()
-	assert.ErrorIs(t, s.Decode(decodeReq("a", 2)), engine.ErrExists, "ended, but still known")
-	s.at(time.Minute)
+	s.runUntilIdle()
+	assert.ErrorIs(t, s.Decode(decodeReq("a", 2)), engine.ErrExists, "ended, but still retained")
+	s.advanceTo(time.Minute)
 	s.mustDecode(t, decodeReq("a", 2))
 	s.Cancel("a")
 	assert.Assert(t, cmp.Len(s.Runs(), 0))
 	assert.ErrorIs(t, s.Decode(decodeReq("a", 2)), engine.ErrExists, "cancelled")
 	assert.Equal(t, s.State().Accepted["a"], 2)
-	assert.Equal(t, s.State().BegunRuns["a"], 1, "the second never got as far as decoding")
+	assert.Equal(t, s.State().BegunRuns["a"], 1, "the second run was cancelled before it began decoding")
 }
 
 func TestFencing(t *testing.T) {
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestNodeKeepsTime(t *testing.T) {
+func TestNodeRunsInRealTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := DefaultConfig()
 		cfg.Models = []string{model}
@@ -249,7 +249,7 @@
 		defer n.Close()
 		prompt := "x [[len=20]]"
 		var kv engine.KV
-		var j *job
+		var j *prefillJob
 		n.Do(func(c *Core) { j, _ = c.Prefill(engine.PrefillRequest{RunID: "p", Model: model, Prompt: prompt}) })
 		<-j.done
 		kv = j.kv
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -12,10 +12,10 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/server"
 )
 
-// PathState is the control endpoint that shows State.
+// PathState is the control endpoint that returns State.
 const PathState = "/control/state"
 
-// Operations, by which fault rules select calls.
+// Operations that fault rules select calls by.
 const (
 	OpInfo        = "info"
 	OpPrefill     = "prefill"
@@ -38,11 +38,12 @@
 	faults *fault.Set
 	mux    *http.ServeMux
 	exit   func()
-	// streams counts the open ones.
+	// streams is the number of open streams.
 	streams atomic.Int64
 }
 
-// NewHandler returns the handler for a node. The node and the faults stay the caller's.
+// NewHandler returns the handler for a node. The caller keeps ownership of the
+// node and the faults.
 func NewHandler(n *Node, faults *fault.Set) *Handler {
 	h := &Handler{node: n, faults: faults, mux: http.NewServeMux(), exit: fault.Exit}
 	h.unary("GET "+engine.PathInfo, OpInfo, read(n, (*Core).Info))
@@ -63,7 +64,7 @@
 	return h
 }
 
-// Streams returns how many streams are open.
+// Streams returns the number of open streams.
 func (h *Handler) Streams() int {
 	return int(h.streams.Load())
 }
@@ -99,13 +100,14 @@
 	read(h.node, func(c *Core) []engine.CacheEvent { return c.CacheEvents(after) })(w, r)
 }
 
-// prefill goes on when its caller leaves, until it is cancelled.
+// prefill starts a prefill that continues after its caller disconnects, until it is
+// cancelled.
 func (h *Handler) prefill(w http.ResponseWriter, r *http.Request) {
 	var req engine.PrefillRequest
 	if !readBody(w, r, &req) {
 		return
 	}
-	var j *job
+	var j *prefillJob
 	var err error
 	h.node.Do(func(c *Core) { j, err = c.Prefill(req) })
 	if err != nil || j == nil {
--- a/standin/engine/node.go
+++ b/standin/engine/node.go
@@ -15,8 +15,8 @@
 
 const peerTimeout = 2 * time.Second
 
-// Node runs a Core in real time and makes the calls to other engines that it
-// wants. It is safe for concurrent use.
+// Node runs a Core in real time and makes the calls to other engines that the core
+// requests. It is safe for concurrent use.
 type Node struct {
 	mu    sync.Mutex
 	core  *Core
@@ -27,7 +27,7 @@
 	stop  context.CancelFunc
 }
 
-// NewNode returns a running engine. Close ends it.
+// NewNode starts an engine, which runs until Close.
 func NewNode(cfg Config) *Node {
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Node{
@@ -39,7 +39,7 @@
 	return n
 }
 
-// Close stops the engine and waits for its calls to others.
+// Close stops the engine and waits for its calls to other engines.
 func (n *Node) Close() {
 	n.stop()
 	n.mu.Lock()
@@ -49,7 +49,7 @@
 	n.peers.CloseIdleConnections()
 }
 
-// Do runs f on the core, brought to the present. f must not block.
+// Do advances the core to the present and runs f on it. f must not block.
 func (n *Node) Do(f func(c *Core)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,8 +102,8 @@
 	return source == n.core.cfg.Source
 }
 
-// post calls another engine. One that can't be reached has lost its KV cache,
-// as far as the importing run can tell.
+// post calls another engine. For the importing run, an unreachable engine is the
+// same as a lost KV cache, so post returns ErrNotFound.
 func (n *Node) post(url string, body, out any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/standin/engine/prefill.go
+++ b/standin/engine/prefill.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// job is one prefill: for export, or of a run that decodes here.
-type job struct {
+// prefillJob is one prefill: for export, or for a run that decodes on this engine.
+type prefillJob struct {
 	id       string
 	owner    string
 	run      *run
@@ -21,30 +21,30 @@
 	tokens   int
 	cached   int
 	priority int
-	// done is closed when kv and err are set; nil for the job of a run.
+	// done is closed once kv and err are set; nil for the job of a run.
 	done chan struct{}
 	kv   engine.KV
 	err  error
 }
 
-func (j *job) end(kv engine.KV, err error) {
+func (j *prefillJob) end(kv engine.KV, err error) {
 	j.kv, j.err = kv, err
 	if j.done != nil {
 		close(j.done)
 	}
 }
 
-// export is a KV cache kept for another engine.
+// export is a KV cache retained for another engine.
 type export struct {
-	kv       engine.KV
-	runID    string
-	text     uint64
-	computed int
-	expires  time.Time
+	kv         engine.KV
+	runID      string
+	promptHash uint64
+	computed   int
+	expires    time.Time
 }
 
 // Prefill queues a prefill for export. It returns ErrInvalid, ErrExists or ErrFull.
-func (c *Core) Prefill(req engine.PrefillRequest) (*job, error) {
+func (c *Core) Prefill(req engine.PrefillRequest) (*prefillJob, error) {
 	switch {
 	case req.RunID == "":
 		return nil, fmt.Errorf("%w: run id", engine.ErrInvalid)
@@ -57,7 +57,7 @@
 	case len(c.queue) >= c.cfg.MaxWaiting:
 		return nil, engine.ErrFull
 	}
-	j := &job{
+	j := &prefillJob{
 		id: req.RunID, owner: req.Owner, model: req.Model, text: req.Prompt, priority: req.Priority,
 		tokens: engine.EstimateTokens(req.Prompt), done: make(chan struct{}),
 	}
@@ -67,17 +67,17 @@
 	return j, nil
 }
 
-func (c *Core) enqueue(j *job) {
+func (c *Core) enqueue(j *prefillJob) {
 	c.queue = append(c.queue, j)
-	slices.SortStableFunc(c.queue, func(a, b *job) int { return cmp.Compare(b.priority, a.priority) })
+	slices.SortStableFunc(c.queue, func(a, b *prefillJob) int { return cmp.Compare(b.priority, a.priority) })
 }
 
-// startPrefill begins the first job of the queue. Its cached prefix costs no
-// time, but the last token of a prompt is always computed.
+// startPrefill starts the first job of the queue. A cached prefix takes no time,
+// but the last token of a prompt is always computed.
 func (c *Core) startPrefill() {
 	j := c.queue[0]
 	c.queue = c.queue[1:]
-	c.active = j
+	c.activePrefill = j
 	j.cached = min(c.cache.lookup(j.model, j.text), max(j.tokens-1, 0))
 	c.occupy(c.prefillTime(j.tokens - j.cached))
 }
@@ -87,29 +87,29 @@
 }
 
 func (c *Core) finishPrefill() {
-	j := c.active
-	c.active = nil
+	j := c.activePrefill
+	c.activePrefill = nil
 	c.counters.PrefillDone += j.tokens - j.cached
 	c.counters.PrefillCached += j.cached
 	c.cache.insert(c.now, j.model, j.text)
 	if j.run != nil {
 		j.run.cached = j.cached
 		j.run.computed = j.tokens - j.cached
-		c.ready(j.run)
+		c.startDecode(j.run)
 		return
 	}
 	delete(c.prefills, j.id)
-	j.end(c.keepExport(j), nil)
+	j.end(c.addExport(j), nil)
 }
 
-func (c *Core) keepExport(j *job) engine.KV {
+func (c *Core) addExport(j *prefillJob) engine.KV {
 	c.nextID++
 	kv := engine.KV{
 		Handle: c.cfg.ID + "-kv-" + strconv.FormatUint(c.nextID, 10), Owner: j.owner, Source: c.cfg.Source,
 		Bytes: int64(j.tokens) * c.cfg.KVBytesPerToken, PromptTokens: j.tokens, CachedTokens: j.cached, TTL: c.cfg.KVTTL,
 	}
 	e := &export{
-		kv: kv, runID: j.id, text: textHash(j.model, j.text), computed: j.tokens - j.cached,
+		kv: kv, runID: j.id, promptHash: textHash(j.model, j.text), computed: j.tokens - j.cached,
 		expires: c.now.Add(c.cfg.KVTTL),
 	}
 	c.exports[kv.Handle] = e
@@ -117,10 +117,10 @@
 	return kv
 }
 
-// dropJob removes the waiting or active job that match selects. The part of an
-// active one that was computed is wasted.
-func (c *Core) dropJob(match func(*job) bool) {
-	if j := c.active; j != nil && match(j) {
+// dropJob removes the queued or active job that match selects. The tokens that an
+// active job has computed count as discarded.
+func (c *Core) dropJob(match func(*prefillJob) bool) {
+	if j := c.activePrefill; j != nil && match(j) {
 		c.abandonActive(j)
 		return
 	}
@@ -133,22 +133,22 @@
 	}
 }
 
-func (c *Core) abandonActive(j *job) {
-	share := 1.0
-	if whole := c.busyUntil.Sub(c.began); whole > 0 {
-		share = float64(c.now.Sub(c.began)) / float64(whole)
+func (c *Core) abandonActive(j *prefillJob) {
+	fraction := 1.0
+	if duration := c.busyUntil.Sub(c.workBegan); duration > 0 {
+		fraction = float64(c.now.Sub(c.workBegan)) / float64(duration)
 	}
-	computed := int(share * float64(j.tokens-j.cached))
+	computed := int(fraction * float64(j.tokens-j.cached))
 	c.counters.PrefillDone += computed
 	c.counters.PrefillDiscarded += computed
-	c.active = nil
+	c.activePrefill = nil
 	c.busy = false
 	if j.run == nil {
 		delete(c.prefills, j.id)
 	}
 }
 
-// Exports lists the KV caches kept for export, with the time that each has left.
+// Exports lists the exported KV caches, each with its remaining time to live.
 func (c *Core) Exports() []engine.KV {
 	out := make([]engine.KV, 0, len(c.exports))
 	for _, e := range c.exportList() {
@@ -163,7 +163,7 @@
 	return slices.SortedFunc(maps.Values(c.exports), func(a, b *export) int { return cmp.Compare(a.kv.Handle, b.kv.Handle) })
 }
 
-// ReleaseKV drops an exported KV cache that was not used.
+// ReleaseKV drops an unused exported KV cache.
 func (c *Core) ReleaseKV(handle string) {
 	if e := c.exports[handle]; e != nil {
 		c.counters.PrefillReleased += e.computed
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// Counters are the engine's books since its start. Prefill work is in tokens
-// computed, so cached tokens are not in it.
+// Counters are the engine's totals since its start. Prefill work is counted in
+// computed tokens, so it excludes cached tokens.
 type Counters struct {
 	Begun        int `json:"begun"`
 	Completed    int `json:"completed"`
@@ -19,11 +19,11 @@
 
 	PrefillDone   int `json:"prefill_done"`
 	PrefillCached int `json:"prefill_cached"`
-	// PrefillUsed was handed over to a decode engine.
+	// PrefillUsed was transferred to a decode engine.
 	PrefillUsed int `json:"prefill_used"`
 	// PrefillDiscarded was cancelled midway, or its run ended before its first token.
 	PrefillDiscarded int `json:"prefill_discarded"`
-	// PrefillExpired was exported and evicted before it was taken whole.
+	// PrefillExpired was exported and evicted before its transfer completed.
 	PrefillExpired int `json:"prefill_expired"`
 	// PrefillReleased was exported and released unused.
 	PrefillReleased int `json:"prefill_released"`
@@ -31,29 +31,29 @@
 	ImportsLost int `json:"imports_lost"`
 }
 
-// State is what the control endpoint shows.
+// State is the answer of the control endpoint.
 type State struct {
 	Info     engine.Info  `json:"info"`
 	Zone     string       `json:"zone"`
 	Counters Counters     `json:"counters"`
 	Runs     []engine.Run `json:"runs"`
 	Exports  []engine.KV  `json:"exports"`
-	// Load is as of now, without the lag.
+	// Load is the current load, without the lag of load reports.
 	Load engine.Load `json:"load"`
-	// Accepted counts the Decode calls taken for each run id, BegunRuns those
-	// whose run got as far as its KV cache and so to decoding.
+	// Accepted counts the accepted Decode calls by run id, BegunRuns those whose
+	// run obtained its KV cache and began decoding.
 	Accepted  map[string]int `json:"accepted"`
 	BegunRuns map[string]int `json:"begun_runs"`
-	// BegunPrompts counts the same by PromptHash, whatever the run ids.
+	// BegunPrompts counts the runs that began decoding by PromptHash, across run ids.
 	BegunPrompts map[uint64]int `json:"begun_prompts"`
 	Orders       []engine.Order `json:"orders"`
 }
 
-// State returns everything at once.
+// State returns a consistent snapshot.
 func (c *Core) State() State {
 	return State{
 		Info: c.Info(), Zone: c.cfg.Zone, Counters: c.counters, Runs: c.Runs(), Exports: c.Exports(), Load: c.loadNow(),
-		Accepted: maps.Clone(c.accepted), BegunRuns: maps.Clone(c.begun), BegunPrompts: maps.Clone(c.prompts), Orders: slices.Clone(c.orders),
+		Accepted: maps.Clone(c.accepted), BegunRuns: maps.Clone(c.begunRuns), BegunPrompts: maps.Clone(c.begunPrompts), Orders: slices.Clone(c.orders),
 	}
 }
 
@@ -68,26 +68,26 @@
 }
 
 func (c *Core) loadNow() engine.Load {
-	l := engine.Load{Running: c.held, Waiting: len(c.admission), FreeCacheTokens: c.cache.freeTokens()}
+	l := engine.Load{Running: c.slotsUsed, Waiting: len(c.admission), FreeCacheTokens: c.cache.freeTokens()}
 	for _, j := range c.queue {
 		l.PrefillTokens += j.tokens
-		if j.run == nil { // a run that waits for its prefill holds a place already
+		if j.run == nil { // a run queued for its prefill has a decode slot already
 			l.Waiting++
 		}
 	}
-	if c.active != nil {
-		l.PrefillTokens += c.active.tokens - c.active.cached
+	if c.activePrefill != nil {
+		l.PrefillTokens += c.activePrefill.tokens - c.activePrefill.cached
 	}
 	return l
 }
 
-// renewReport takes the load report at the last renewal before t. Nothing
-// changes between two events, so the present state is that of the renewal.
+// renewReport takes the load report of the last renewal before t. The state does
+// not change between two events, so the present state is that at the renewal.
 func (c *Core) renewReport(t time.Time) {
 	lag := max(c.cfg.LoadLag, time.Millisecond)
-	if missed := t.Sub(c.reportAt) / lag; missed > 0 {
+	if intervals := t.Sub(c.reportAt) / lag; intervals > 0 {
 		c.report = c.loadNow()
-		c.reportAt = c.reportAt.Add(missed * lag)
+		c.reportAt = c.reportAt.Add(intervals * lag)
 	}
 }
 
@@ -98,13 +98,13 @@
 	return l
 }
 
-// CacheEvents returns the visible events past a sequence number.
+// CacheEvents returns the visible events after a sequence number.
 func (c *Core) CacheEvents(after uint64) []engine.CacheEvent {
 	return c.cache.after(c.now, after)
 }
 
-// Order applies an order. An engine that checks fencing numbers returns
-// ErrFenced for one below the highest seen; another applies whatever comes.
+// Order applies an order. An engine that checks fencing numbers returns ErrFenced
+// for a number below the highest seen; other engines apply every order.
 func (c *Core) Order(o engine.Order) error {
 	if c.cfg.CheckFence && o.Fence < c.fence {
 		return fmt.Errorf("%w: %d is below %d", engine.ErrFenced, o.Fence, c.fence)
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -12,33 +12,33 @@
 type runState uint8
 
 const (
-	stateWaiting  runState = iota // for a place
-	stateClaiming                 // place held, the source is asked for the KV cache
+	stateWaiting  runState = iota // queued for a decode slot
+	stateClaiming                 // has a slot, claiming the KV cache from the source engine
 	stateImporting
-	stateConfirming // transfer done, the source is told
+	stateConfirming // transfer done, confirming it to the source engine
 	statePrefill
 	stateDecode
 	stateDone
 )
 
-// run is one decode request. While it is known, its output is kept in full: the
-// answer is a pure function, so only the positions are stored.
+// run is one decode request. Its whole output is available until the run is
+// forgotten: the answer is a pure function, so only the positions are stored.
 type run struct {
-	seq      uint64
-	req      engine.DecodeRequest
-	state    runState
-	script   script
-	produced int
-	prompt   int
-	cached   int
-	// computed is the prefill work that this run would waste if it ended before its first token.
-	computed  int
-	remaining float64 // bytes to import
-	deadline  time.Time
-	first     bool
-	err       error
-	forgetAt  time.Time
-	changed   chan struct{}
+	seq          uint64
+	req          engine.DecodeRequest
+	state        runState
+	script       script
+	produced     int
+	promptTokens int
+	cached       int
+	// computed is the number of prefill tokens wasted if the run ends before its first token.
+	computed       int
+	remaining      float64 // bytes to import
+	deadline       time.Time
+	firstTokenDone bool
+	err            error
+	forgetAt       time.Time
+	changed        chan struct{}
 }
 
 func (r *run) notify() {
@@ -50,7 +50,7 @@
 	return r.state == stateDone
 }
 
-// Decode takes a run. It returns ErrInvalid, ErrExists or ErrFull.
+// Decode queues a run. It returns ErrInvalid, ErrExists or ErrFull.
 func (c *Core) Decode(req engine.DecodeRequest) error {
 	if err := c.checkDecode(req); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	c.nextID++
 	r := &run{
 		seq: c.nextID, req: req, script: s, produced: req.Position,
-		prompt: engine.EstimateTokens(req.Prompt), changed: make(chan struct{}),
+		promptTokens: engine.EstimateTokens(req.Prompt), changed: make(chan struct{}),
 	}
 	c.runs[req.RunID] = r
 	c.accepted[req.RunID]++
@@ -93,30 +93,30 @@
 	return nil
 }
 
-// admit gives free places to waiting runs, which then fetch or compute their KV cache.
+// admit assigns free decode slots to queued runs, which then fetch or compute their KV cache.
 func (c *Core) admit() {
-	for c.held < c.cfg.DecodeSlots && len(c.admission) > 0 {
+	for c.slotsUsed < c.cfg.DecodeSlots && len(c.admission) > 0 {
 		r := c.admission[0]
 		c.admission = c.admission[1:]
-		c.held++
+		c.slotsUsed++
 		if r.req.Handle != "" {
 			c.beginClaim(r)
 			continue
 		}
 		r.state = statePrefill
 		text := r.req.Prompt + r.req.Prior
-		c.enqueue(&job{
+		c.enqueue(&prefillJob{
 			id: r.req.RunID, owner: r.req.Owner, run: r, model: r.req.Model, text: text, priority: r.req.Priority,
 			tokens: engine.EstimateTokens(text),
 		})
 	}
 }
 
-// ready puts a run that has its KV cache into the batch from the next step on.
-func (c *Core) ready(r *run) {
+// startDecode adds a run that has its KV cache to the batch, starting with the next step.
+func (c *Core) startDecode(r *run) {
 	r.state = stateDecode
-	c.begun[r.req.RunID]++
-	c.prompts[PromptHash(r.req.Model, r.req.Prompt)]++
+	c.begunRuns[r.req.RunID]++
+	c.begunPrompts[PromptHash(r.req.Model, r.req.Prompt)]++
 	c.counters.Begun++
 	if r.produced >= r.script.total {
 		c.endRun(r, nil)
@@ -137,7 +137,7 @@
 			continue
 		}
 		r.produced++
-		r.first = true
+		r.firstTokenDone = true
 		c.counters.DecodeTokens++
 		if r.produced >= r.script.total {
 			c.endRun(r, nil)
@@ -148,17 +148,17 @@
 	c.stepRuns = nil
 }
 
-// endRun frees the place of a run. The run stays known for a while, so that its
-// output can be resumed and its id is refused; it holds no memory.
+// endRun frees the decode slot of a run. The run is retained for a while, so that
+// its output can be resumed and its id is rejected; it uses no KV memory.
 func (c *Core) endRun(r *run, err error) {
 	if r.state == stateWaiting {
 		c.admission = without(c.admission, r)
 	} else {
-		c.held--
+		c.slotsUsed--
 	}
 	c.batch = without(c.batch, r)
 	c.imports = without(c.imports, r)
-	if err != nil && !r.first {
+	if err != nil && !r.firstTokenDone {
 		c.counters.PrefillDiscarded += r.computed
 	}
 	if err == nil {
@@ -171,17 +171,17 @@
 	r.notify()
 }
 
-// Cancel ends the run and the prefill with this id, and drops a KV cache that
-// the prefill has left for export. An unknown id is no error.
+// Cancel ends the run and the prefill with this id, and drops the KV cache that
+// the prefill has exported. An unknown id is no error.
 func (c *Core) Cancel(id string) {
 	if r := c.runs[id]; r != nil && !r.ended() {
-		c.dropJob(func(j *job) bool { return j.run == r })
+		c.dropJob(func(j *prefillJob) bool { return j.run == r })
 		c.counters.Cancelled++
 		c.endRun(r, fmt.Errorf("%w: cancelled", engine.ErrNotFound))
 	}
 	if j := c.prefills[id]; j != nil {
 		c.counters.Cancelled++
-		c.dropJob(func(o *job) bool { return o == j })
+		c.dropJob(func(o *prefillJob) bool { return o == j })
 		j.end(engine.KV{}, fmt.Errorf("%w: cancelled", engine.ErrNotFound))
 	}
 	for _, e := range c.exportList() {
@@ -192,7 +192,7 @@
 	c.dispatch()
 }
 
-// Runs lists what holds memory or waits for it, sorted by id.
+// Runs lists the runs and prefills that use or are queued for memory, sorted by id.
 func (c *Core) Runs() []engine.Run {
 	out := make([]engine.Run, 0, len(c.runs)+len(c.prefills))
 	for _, r := range c.runs {
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -12,8 +12,9 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/fault"
 )
 
-// departedCheck is how often a waiting stream looks whether its reader is gone.
-const departedCheck = 100 * time.Millisecond
+// callerCheckInterval is how often a waiting stream checks whether its caller has
+// disconnected.
+const callerCheckInterval = 100 * time.Millisecond
 
 func (h *Handler) decode(w http.ResponseWriter, r *http.Request) {
 	p := h.faults.Plan(OpDecode)
@@ -48,21 +49,21 @@
 		replyError(w, fmt.Errorf("%w: %v", engine.ErrInvalid, err))
 		return
 	}
-	var known *run
-	h.node.Do(func(c *Core) { known = c.runs[id] })
-	if known == nil {
+	var resumed *run
+	h.node.Do(func(c *Core) { resumed = c.runs[id] })
+	if resumed == nil {
 		replyError(w, fmt.Errorf("%w: run %q", engine.ErrNotFound, id))
 		return
 	}
-	if position < known.req.Position || position > known.script.total {
+	if position < resumed.req.Position || position > resumed.script.total {
 		replyError(w, fmt.Errorf("%w: position outside the run", engine.ErrInvalid))
 		return
 	}
-	h.stream(w, p, known, position)
+	h.stream(w, p, resumed, position)
 }
 
-// view is what a stream sees of a run.
-type view struct {
+// runSnapshot is the state of a run that a stream needs.
+type runSnapshot struct {
 	produced int
 	cached   int
 	claimed  bool
@@ -71,10 +72,10 @@
 	changed  <-chan struct{}
 }
 
-func (h *Handler) look(r *run) (v view) {
-	v = view{ended: true, err: engine.ErrUnavailable}
+func (h *Handler) snapshot(r *run) (v runSnapshot) {
+	v = runSnapshot{ended: true, err: engine.ErrUnavailable}
 	h.node.Do(func(*Core) {
-		v = view{
+		v = runSnapshot{
 			produced: r.produced, cached: r.cached, ended: r.ended(), err: r.err, changed: r.changed,
 			claimed: r.req.Handle == "" || r.state > stateClaiming,
 		}
@@ -82,40 +83,40 @@
 	return v
 }
 
-// stream writes the output of a run from a position on, until it ends or the
-// reader is gone. The status is sent once the run has claimed its KV cache, so
-// that a lost one is a plain 404; one lost during the transfer ends the stream
-// with an error line.
+// stream writes the output of a run from position on, until the run ends or the
+// caller disconnects. The status is sent once the run has claimed its KV cache, so
+// that a lost cache is answered with 404; a cache lost during the transfer ends the
+// stream with an error line.
 func (h *Handler) stream(w http.ResponseWriter, p fault.Plan, r *run, position int) {
 	h.streams.Add(1)
 	defer h.streams.Add(-1)
-	out := &lines{w: w, plan: p, faults: h.faults, exit: h.exit}
-	opened := false
+	out := &streamWriter{w: w, plan: p, faults: h.faults, exit: h.exit}
+	headersSent := false
 	for !httpserver.CallerOf(w).Gone() {
-		v := h.look(r)
-		if !opened && v.claimed {
+		v := h.snapshot(r)
+		if !headersSent && v.claimed {
 			if v.err != nil {
 				replyError(w, v.err)
 				return
 			}
-			opened = true
+			headersSent = true
 			out.open()
 		}
 		for ; position < v.produced && !out.ended; position++ {
 			out.token(position, r.script.token(position))
 		}
 		if v.ended && !out.ended {
-			out.last(r, v)
+			out.finish(r, v)
 		}
 		if out.ended {
 			return
 		}
-		waitChange(v.changed)
+		awaitChange(v.changed)
 	}
 }
 
-func waitChange(changed <-chan struct{}) {
-	t := time.NewTimer(departedCheck)
+func awaitChange(changed <-chan struct{}) {
+	t := time.NewTimer(callerCheckInterval)
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -123,8 +124,8 @@
 	}
 }
 
-// lines writes a stream, line by line, under the faults of its plan.
-type lines struct {
+// streamWriter writes the lines of a stream and applies the faults of its plan.
+type streamWriter struct {
 	w      http.ResponseWriter
 	plan   fault.Plan
 	faults *fault.Set
@@ -133,12 +134,12 @@
 	ended  bool
 }
 
-func (l *lines) open() {
+func (l *streamWriter) open() {
 	if l.plan.LoseAnswer {
 		l.abort()
 		return
 	}
-	if l.broken() {
+	if l.applyFault() {
 		return
 	}
 	l.w.Header().Set("Content-Type", "application/x-ndjson")
@@ -146,8 +147,9 @@
 	l.flush()
 }
 
-// broken applies the fault that is due after the tokens sent so far.
-func (l *lines) broken() bool {
+// applyFault applies the fault due after the tokens sent so far and returns whether
+// the stream has ended.
+func (l *streamWriter) applyFault() bool {
 	switch l.sent {
 	case l.plan.DieAfter:
 		l.exit()
@@ -155,24 +157,24 @@
 	case l.plan.CutAfter:
 		l.abort()
 	case l.plan.SilentAfter:
-		l.faults.Hold(l.w)
+		l.faults.Block(l.w)
 		l.abort()
 	}
 	return l.ended
 }
 
-func (l *lines) abort() {
+func (l *streamWriter) abort() {
 	httpserver.Abort(l.w)
 	l.ended = true
 }
 
-func (l *lines) token(position int, text string) {
+func (l *streamWriter) token(position int, text string) {
 	l.write(engine.StreamLine{StreamEvent: engine.StreamEvent{Position: position, Token: text}})
 	l.sent++
-	l.broken()
+	l.applyFault()
 }
 
-func (l *lines) last(r *run, v view) {
+func (l *streamWriter) finish(r *run, v runSnapshot) {
 	l.ended = true
 	if v.err != nil {
 		_, body := engine.EncodeError(v.err)
@@ -181,20 +183,20 @@
 	}
 	l.write(engine.StreamLine{StreamEvent: engine.StreamEvent{
 		Position: r.script.total, Done: true, Total: r.script.total, FinishReason: r.script.finish,
-		PromptTokens: r.prompt, CachedTokens: v.cached,
+		PromptTokens: r.promptTokens, CachedTokens: v.cached,
 	}})
 }
 
-func (l *lines) write(line engine.StreamLine) {
+func (l *streamWriter) write(line engine.StreamLine) {
 	data, err := json.Marshal(line)
 	if err != nil {
-		panic(fmt.Sprintf("stream line not encodable: %v", err))
+		panic(fmt.Sprintf("can't encode stream line: %v", err))
 	}
 	_, _ = l.w.Write(append(data, '\n'))
 	l.flush()
 }
 
-func (l *lines) flush() {
+func (l *streamWriter) flush() {
 	if f, ok := l.w.(http.Flusher); ok {
 		f.Flush()
 	}
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscusspur/hibiscusspur/engine"
 )
 
-// Claim asks the exporting engine for a KV cache before its transfer. The text
-// hashes say which prompt the importing engine wants it for.
+// Claim requests a KV cache from the exporting engine before its transfer. The
+// text hashes identify the prompt for which the importing engine needs it.
 type Claim struct {
 	Handle string   `json:"handle"`
 	Texts  []uint64 `json:"texts"`
@@ -31,8 +31,8 @@
 	actionComplete
 )
 
-// action is a call to another engine that the core wants made. The answer comes
-// back through Claimed or Confirmed.
+// action is a call to another engine that the core requests. The answer is passed
+// to Claimed or Confirmed.
 type action struct {
 	kind   actionKind
 	runID  string
@@ -41,7 +41,7 @@
 	claim  Claim
 }
 
-// takeActions returns the calls wanted since the last time.
+// takeActions returns the calls requested since it was last called.
 func (c *Core) takeActions() []action {
 	out := c.actions
 	c.actions = nil
@@ -50,10 +50,10 @@
 
 func (c *Core) beginClaim(r *run) {
 	r.state = stateClaiming
-	c.want(actionClaim, r)
+	c.requestAction(actionClaim, r)
 }
 
-func (c *Core) want(kind actionKind, r *run) {
+func (c *Core) requestAction(kind actionKind, r *run) {
 	texts := []uint64{textHash(r.req.Model, r.req.Prompt)}
 	if r.req.Prior != "" {
 		texts = append(texts, textHash(r.req.Model, r.req.Prompt+r.req.Prior))
@@ -61,14 +61,14 @@
 	c.actions = append(c.actions, action{kind, r.req.RunID, r.seq, r.req.Source, Claim{r.req.Handle, texts}})
 }
 
-// Claimed begins the transfer of a claimed KV cache, or ends the run with err.
+// Claimed starts the transfer of a claimed KV cache, or ends the run with err.
 func (c *Core) Claimed(runID string, reply ClaimReply, err error) {
 	r := c.runs[runID]
 	if r == nil || r.state != stateClaiming {
 		return
 	}
 	if err != nil {
-		c.refuse(r, err)
+		c.rejectRun(r, err)
 		return
 	}
 	r.cached = reply.Cached
@@ -85,8 +85,8 @@
 	c.dispatch()
 }
 
-// refuse ends a run that was not taken after all; its id is free again.
-func (c *Core) refuse(r *run, err error) {
+// rejectRun ends a run whose claim failed and frees its id.
+func (c *Core) rejectRun(r *run, err error) {
 	c.endRun(r, err)
 	c.retained = without(c.retained, r)
 	delete(c.runs, r.req.RunID)
@@ -96,23 +96,23 @@
 	c.dispatch()
 }
 
-// Confirmed puts an imported run into the batch, or ends it with err.
+// Confirmed adds an imported run to the batch, or ends it with err.
 func (c *Core) Confirmed(runID string, err error) {
 	r := c.runs[runID]
 	if r == nil || r.state != stateConfirming {
 		return
 	}
 	if err != nil {
-		r.computed = 0 // the exporter counts what it evicted
+		r.computed = 0 // counted by the exporting engine as evicted
 		c.endRun(r, err)
 	} else {
-		c.ready(r)
+		c.startDecode(r)
 	}
 	c.dispatch()
 }
 
-// shareRate is what each of the concurrent imports gets of the link.
-func (c *Core) shareRate() float64 {
+// importRate is each concurrent import's equal share of the link rate.
+func (c *Core) importRate() float64 {
 	return c.cfg.LinkRate * c.linkFactor / float64(len(c.imports))
 }
 
@@ -120,7 +120,7 @@
 	seconds := math.Inf(1)
 	if r.remaining <= 0 {
 		seconds = 0
-	} else if rate := c.shareRate(); rate > 0 {
+	} else if rate := c.importRate(); rate > 0 {
 		seconds = r.remaining / rate
 	}
 	left := r.deadline.Sub(c.now)
@@ -134,14 +134,14 @@
 	if len(c.imports) == 0 {
 		return
 	}
-	moved := c.shareRate() * d.Seconds()
+	transferred := c.importRate() * d.Seconds()
 	for _, r := range c.imports {
-		r.remaining -= min(moved, r.remaining)
+		r.remaining -= min(transferred, r.remaining)
 	}
 }
 
 // finishImports ends the transfers that are complete, and those whose KV cache
-// the exporter has evicted meanwhile.
+// the exporting engine has evicted in the meantime.
 func (c *Core) finishImports() {
 	for i := 0; i < len(c.imports); {
 		r := c.imports[i]
@@ -149,7 +149,7 @@
 		case r.remaining < 1:
 			c.imports = without(c.imports, r)
 			r.state = stateConfirming
-			c.want(actionComplete, r)
+			c.requestAction(actionComplete, r)
 		case !r.deadline.After(c.now):
 			r.computed = 0
 			c.counters.ImportsLost++
@@ -160,15 +160,15 @@
 	}
 }
 
-// Claim answers an importing engine. The KV cache stays until it is completed or
-// expires; a claim does not extend its life.
+// Claim answers an importing engine. The KV cache is retained until its transfer is
+// completed or it expires; a claim does not extend its time to live.
 func (c *Core) Claim(cl Claim) (ClaimReply, error) {
 	e := c.exports[cl.Handle]
 	if e == nil {
 		return ClaimReply{}, fmt.Errorf("%w: KV handle %q", engine.ErrNotFound, cl.Handle)
 	}
 	for _, t := range cl.Texts {
-		if t == e.text {
+		if t == e.promptHash {
 			return ClaimReply{
 				Bytes: e.kv.Bytes, Tokens: e.kv.PromptTokens, Cached: e.kv.CachedTokens,
 				Computed: e.computed, TTL: e.expires.Sub(c.now),
@@ -178,7 +178,7 @@
 	return ClaimReply{}, fmt.Errorf("%w: KV handle %q belongs to another prompt", engine.ErrInvalid, cl.Handle)
 }
 
-// Complete drops a KV cache that was transferred whole.
+// Complete drops a KV cache whose transfer is complete.
 func (c *Core) Complete(handle string) error {
 	e := c.exports[handle]
 	if e == nil {
--- a/standin/engine/transfer_test.go
+++ b/standin/engine/transfer_test.go
@@ -18,8 +18,8 @@
 	return r
 }
 
-// linked is a decode engine with a link of a gigabyte a second.
-func linked() sim {
+// newDecodeSim returns a decode engine with a link of a gigabyte per second.
+func newDecodeSim() sim {
 	return newSim(func(c *Config) { c.Role = engine.RoleDecode; c.LinkRate = gigabyte })
 }
 
@@ -29,8 +29,8 @@
 	s.Claimed(id, ClaimReply{Bytes: bytes, TTL: ttl, Computed: 7}, nil)
 }
 
-// arrived confirms the transfers that have ended and returns their run ids.
-func (s sim) arrived() []string {
+// confirmTransfers confirms the completed transfers and returns their run ids.
+func (s sim) confirmTransfers() []string {
 	out := []string{}
 	for _, a := range s.takeActions() {
 		if a.kind == actionComplete {
@@ -42,19 +42,19 @@
 }
 
 func TestImportsShareTheLink(t *testing.T) {
-	s := linked()
+	s := newDecodeSim()
 	s.beginImport(t, "a", gigabyte/10, time.Minute)
-	s.at(50 * time.Millisecond)
+	s.advanceTo(50 * time.Millisecond)
 	s.beginImport(t, "b", gigabyte/10, time.Minute)
-	s.at(149 * time.Millisecond)
-	assert.DeepEqual(t, s.arrived(), []string{})
-	s.at(151 * time.Millisecond)
-	assert.DeepEqual(t, s.arrived(), []string{"a"})
-	s.at(199 * time.Millisecond)
-	assert.DeepEqual(t, s.arrived(), []string{})
-	s.at(201 * time.Millisecond)
-	assert.DeepEqual(t, s.arrived(), []string{"b"})
-	s.at(time.Second)
+	s.advanceTo(149 * time.Millisecond)
+	assert.DeepEqual(t, s.confirmTransfers(), []string{})
+	s.advanceTo(151 * time.Millisecond)
+	assert.DeepEqual(t, s.confirmTransfers(), []string{"a"})
+	s.advanceTo(199 * time.Millisecond)
+	assert.DeepEqual(t, s.confirmTransfers(), []string{})
+	s.advanceTo(201 * time.Millisecond)
+	assert.DeepEqual(t, s.confirmTransfers(), []string{"b"})
+	s.advanceTo(time.Second)
 	assert.Equal(t, s.counters.Completed, 2)
 }
 
@@ -64,7 +64,7 @@
 		do   func(s sim)
 		want error
 	}{
-		{"refused by the source", func(s sim) { s.Claimed("a", ClaimReply{}, engine.ErrNotFound) }, engine.ErrNotFound},
+		{"rejected by the source engine", func(s sim) { s.Claimed("a", ClaimReply{}, engine.ErrNotFound) }, engine.ErrNotFound},
 		{"evicted during the transfer", func(s sim) {
 			s.Claimed("a", ClaimReply{Bytes: gigabyte, TTL: 800 * time.Millisecond}, nil)
 		}, engine.ErrNotFound},
@@ -72,9 +72,9 @@
 			s.SetFactors(1, 0)
 			s.Claimed("a", ClaimReply{Bytes: 1000, TTL: 800 * time.Millisecond}, nil)
 		}, engine.ErrNotFound},
-		{"evicted before it was confirmed", func(s sim) {
+		{"evicted before the confirmation", func(s sim) {
 			s.Claimed("a", ClaimReply{Bytes: 1000, TTL: time.Second}, nil)
-			s.at(time.Millisecond)
+			s.advanceTo(time.Millisecond)
 			s.Confirmed("a", engine.ErrNotFound)
 		}, engine.ErrNotFound},
 		{"cancelled", func(s sim) {
@@ -86,21 +86,21 @@
 			s.Claimed("a", ClaimReply{Bytes: 1000, TTL: time.Second}, nil)
 		}, engine.ErrNotFound},
 	} {
-		s := linked()
+		s := newDecodeSim()
 		s.mustDecode(t, importReq("a"))
 		r := s.runs["a"]
 		tc.do(s)
-		s.at(time.Second)
+		s.advanceTo(time.Second)
 		assert.Assert(t, r.ended(), tc.name)
 		assert.ErrorIs(t, r.err, tc.want, tc.name)
-		assert.Equal(t, s.held, 0, tc.name)
+		assert.Equal(t, s.slotsUsed, 0, tc.name)
 		assert.Assert(t, cmp.Len(s.imports, 0), tc.name)
 		assert.Equal(t, s.counters.Begun, 0, tc.name)
 	}
 }
 
 func TestRefusedClaimFreesTheRunID(t *testing.T) {
-	s := linked()
+	s := newDecodeSim()
 	s.mustDecode(t, importReq("a"))
 	s.Claimed("a", ClaimReply{}, engine.ErrNotFound)
 	s.mustDecode(t, importReq("a"))
@@ -110,7 +110,7 @@
 func TestClaimChecksThePrompt(t *testing.T) {
 	s := newSim(func(c *Config) { c.Role = engine.RolePrefill })
 	j := s.mustPrefill(t, "p", "prompt so far", 0)
-	s.idle()
+	s.runUntilIdle()
 	h := j.kv.Handle
 	for _, tc := range []struct {
 		name  string
@@ -126,7 +126,7 @@
 		_, err := s.Claim(tc.claim)
 		assert.Assert(t, cmp.ErrorIs(err, tc.want), tc.name)
 	}
-	s.at(time.Hour)
+	s.advanceTo(time.Hour)
 	_, err := s.Claim(Claim{h, []uint64{textHash(model, "prompt so far")}})
 	assert.ErrorIs(t, err, engine.ErrNotFound)
 }
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault holds the fault switches that the stand-ins share.
+// Package fault is the fault injection that the stand-ins share.
 package fault
 
 import (
@@ -12,27 +12,27 @@
 	"github.com/hibiscusspur/hibiscusspur/event"
 )
 
-// Kind is what a fault does.
+// Kind is the effect of a fault.
 type Kind string
 
 // Kinds of faults.
 const (
-	// Refuse answers 503 at once; nothing is done.
+	// Refuse answers 503 at once; the call has no effect.
 	Refuse Kind = "refuse"
-	// Delay waits before doing anything.
+	// Delay waits before the call is handled.
 	Delay Kind = "delay"
-	// Hang does nothing and never answers, while the connection stays open.
+	// Hang never answers and the call has no effect; the connection stays open.
 	Hang Kind = "hang"
-	// LoseAnswer does what was asked and closes the connection without an answer.
+	// LoseAnswer executes the call and closes the connection without an answer.
 	LoseAnswer Kind = "lose_answer"
-	// Silent does what was asked and never answers, while the connection stays
-	// open; a stream goes silent after AfterTokens tokens.
+	// Silent executes the call and never answers, while the connection stays
+	// open; a stream sends nothing more after AfterTokens tokens.
 	Silent Kind = "silent"
 	// Cut closes the connection of a stream after AfterTokens tokens.
 	Cut Kind = "cut"
-	// Die ends the process after AfterTokens tokens of a stream. On a call that
-	// is no stream it does so before anything is done when AfterTokens is zero,
-	// else after it was done and before the answer.
+	// Die ends the process after AfterTokens tokens of a stream. On a unary call
+	// it ends the process before the call is handled if AfterTokens is zero,
+	// otherwise after the call is handled and before it is answered.
 	Die Kind = "die"
 	// Slow multiplies processing times by Factor.
 	Slow Kind = "slow"
@@ -42,21 +42,21 @@
 
 var kinds = []Kind{Refuse, Delay, Hang, LoseAnswer, Silent, Cut, Die, Slow, Link}
 
-// AnyOp is the operation that stands for all.
+// AnyOp matches every operation.
 const AnyOp = "*"
 
-// Rule switches one fault on.
+// Rule describes one fault to inject.
 type Rule struct {
 	Kind Kind `json:"kind"`
-	// Op is the operation that the fault applies to; empty or "*" is every one.
+	// Op is the operation that the fault applies to; empty or "*" matches all.
 	Op string `json:"op,omitempty"`
-	// Count is how many calls the fault hits before it ends; zero is no limit.
+	// Count is how many calls the fault hits before it is removed; zero means no limit.
 	Count int `json:"count,omitempty"`
-	// AfterTokens is the number of tokens a stream gives first.
+	// AfterTokens is the number of tokens that a stream sends before the fault.
 	AfterTokens int `json:"after_tokens,omitempty"`
-	// DelayMillis is the length of a delay.
+	// DelayMillis is the duration of a Delay.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
-	// Factor is that of Slow and Link.
+	// Factor is the multiplier of Slow and Link.
 	Factor float64 `json:"factor,omitempty"`
 }
 
@@ -64,7 +64,8 @@
 	return r.Op == "" || r.Op == AnyOp || r.Op == op
 }
 
-// Plan is what the faults do to one call. A token count below zero is none.
+// Plan is the combined effect of the faults on one call. A negative token count
+// means that the fault does not apply.
 type Plan struct {
 	Refuse      bool
 	Delay       time.Duration
@@ -76,7 +77,7 @@
 	DieAfter    int
 }
 
-// Set is the faults of one process. It is safe for concurrent use.
+// Set is the active faults of one process. It is safe for concurrent use.
 type Set struct {
 	mu      sync.Mutex
 	rules   []Rule
@@ -84,12 +85,12 @@
 	log     *log.Logger
 }
 
-// NewSet returns a set without faults, which logs each change to l.
+// NewSet returns an empty set that logs each change to l.
 func NewSet(l *log.Logger) *Set {
 	return &Set{cleared: make(chan struct{}), log: l}
 }
 
-// Add switches a fault on.
+// Add activates a fault.
 func (s *Set) Add(r Rule) error {
 	if !slices.Contains(kinds, r.Kind) {
 		return fmt.Errorf("unknown fault kind %q", r.Kind)
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// Clear switches all faults off and releases the calls that hang.
+// Clear removes all faults and releases the calls that they block.
 func (s *Set) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,14 +115,14 @@
 	event.FaultSet.Log(s.log).Str("kind", "none").Msg("")
 }
 
-// Rules lists the faults that are on.
+// Rules lists the active faults.
 func (s *Set) Rules() []Rule {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Rule{}, s.rules...)
 }
 
-// Factor returns the product of the factors of a kind, 1 when there are none.
+// Factor returns the product of the factors of a kind, or 1 if there are none.
 func (s *Set) Factor(k Kind) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,24 +135,25 @@
 	return f
 }
 
-// Plan returns what the faults do to a call of op, and counts it for their limits.
+// Plan returns the effect of the faults on a call of op, and counts the call
+// against their limits.
 func (s *Set) Plan(op string) Plan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := Plan{CutAfter: -1, SilentAfter: -1, DieAfter: -1}
-	kept := s.rules[:0:0]
+	remaining := s.rules[:0:0]
 	for _, r := range s.rules {
 		if !r.matches(op) || r.Kind == Slow || r.Kind == Link {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		p.apply(r)
 		if r.Count != 1 {
 			r.Count = max(r.Count-1, 0)
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 		}
 	}
-	s.rules = kept
+	s.rules = remaining
 	return p
 }
 
@@ -175,7 +177,7 @@
 	}
 }
 
-func (s *Set) released() <-chan struct{} {
+func (s *Set) clearSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cleared
--- a/standin/fault/http.go
+++ b/standin/fault/http.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// Path is where the switches of a stand-in are: GET lists the rules, POST
-	// adds one, DELETE clears them all.
+	// Path is the control endpoint of a stand-in's faults: GET lists the rules,
+	// POST adds one, DELETE clears all.
 	Path = "/control/faults"
 
-	exitCode      = 137
-	departedCheck = 50 * time.Millisecond
+	exitCode            = 137
+	callerCheckInterval = 50 * time.Millisecond
 )
 
-// Exit ends the process as a kill would.
+// Exit ends the process with the exit code of a killed process.
 func Exit() {
 	os.Exit(exitCode)
 }
 
-// Unary wraps the handler of a call that is no stream with the faults of op.
+// Unary applies the faults of op to the handler of a unary call.
 func (s *Set) Unary(op string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p := s.Plan(op)
@@ -43,14 +43,14 @@
 			Exit()
 		}
 		if p.Silent {
-			s.Hold(w)
+			s.Block(w)
 		}
 		httpserver.Abort(w)
 	}
 }
 
-// Before applies the faults that come before a call is handled. It returns
-// false when the call was ended by one.
+// Before applies the faults that take effect before a call is handled. It
+// returns false if a fault has ended the call.
 func (s *Set) Before(w http.ResponseWriter, p Plan) bool {
 	if p.Refuse {
 		server.Reply(w, http.StatusServiceUnavailable, refusal{"unavailable", "fault: refuse"})
@@ -60,17 +60,17 @@
 		time.Sleep(p.Delay)
 	}
 	if p.Hang {
-		s.Hold(w)
+		s.Block(w)
 		httpserver.Abort(w)
 		return false
 	}
 	return true
 }
 
-// Hold blocks until the caller's connection is closed or the faults are cleared.
-func (s *Set) Hold(w http.ResponseWriter) {
-	released := s.released()
-	t := time.NewTicker(departedCheck)
+// Block waits until the caller's connection is closed or the faults are cleared.
+func (s *Set) Block(w http.ResponseWriter) {
+	released := s.clearSignal()
+	t := time.NewTicker(callerCheckInterval)
 	defer t.Stop()
 	for !httpserver.CallerOf(w).Gone() {
 		select {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Control returns the handler for Path. After a change it calls changed.
+// Control returns the handler for Path. It calls changed after each change.
 func (s *Set) Control(changed func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method {
@@ -110,7 +110,7 @@
 	Message string `json:"message"`
 }
 
-// discard swallows a response.
+// discard is a ResponseWriter that drops the response.
 type discard struct {
 	header http.Header
 }
--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -12,26 +12,26 @@
 	port "github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// counted counts the bytes that a connection carries both ways, without the
-// headers of TCP and IP.
-type counted struct {
+// countingConn counts the bytes that a connection carries in both directions,
+// without TCP and IP headers.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// benchTable serves a table without limits that holds one row of 100 bytes.
+// benchTable serves a table without limits that has one row of 100 bytes.
 func benchTable(b *testing.B) (port.Table, *atomic.Int64) {
 	s, err := Start(Options{Listen: "127.0.0.1:0"})
 	assert.NilError(b, err)
@@ -39,7 +39,7 @@
 	var bytes atomic.Int64
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
-		return counted{c, &bytes}, err
+		return countingConn{c, &bytes}, err
 	}
 	hc := &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64}}
 	b.Cleanup(hc.CloseIdleConnections)
@@ -50,7 +50,7 @@
 	return tb, &bytes
 }
 
-// BenchmarkHeadPoll reads one row again and again on one connection.
+// BenchmarkHeadPoll reads one row repeatedly on one connection.
 func BenchmarkHeadPoll(b *testing.B) {
 	tb, bytes := benchTable(b)
 	for b.Loop() {
--- a/standin/platform/call.go
+++ b/standin/platform/call.go
@@ -13,11 +13,12 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// goneInterval is how often a held call looks whether its caller has left.
-const goneInterval = 20 * time.Millisecond
+// callerCheckInterval is how often a blocked call checks whether its caller has
+// disconnected.
+const callerCheckInterval = 20 * time.Millisecond
 
 // handler serves one call of a port and returns the body of its answer: a
-// []byte goes out as it is, nil as an empty body, anything else as JSON.
+// []byte is sent as it is, nil as an empty body, anything else as JSON.
 type handler func(r *http.Request) (any, error)
 
 // serve wraps h with the counters, faults, limit and latency of a port.
@@ -26,7 +27,7 @@
 		c := s.counters[p]
 		c.called(write)
 		fault := s.faults.next(p, write)
-		if !s.before(w, c, fault) {
+		if !s.beforeEffect(w, c, fault) {
 			return
 		}
 		if !s.admit(p, write) {
@@ -35,14 +36,15 @@
 			return
 		}
 		answer, err := h(r)
-		if s.after(w, c, fault) {
+		if s.afterEffect(w, c, fault) {
 			s.reply(w, c, answer, err)
 		}
 	}
 }
 
-// before applies a fault ahead of the effect. It returns false when the call is over.
-func (s *Server) before(w http.ResponseWriter, c *portCounters, f *active) bool {
+// beforeEffect applies a fault before the call takes effect. It returns false if the
+// fault has ended the call.
+func (s *Server) beforeEffect(w http.ResponseWriter, c *portCounters, f *activeFault) bool {
 	if f == nil {
 		return true
 	}
@@ -56,36 +58,37 @@
 		return true
 	case Hang:
 		c.lost.Inc(1)
-		s.hold(w, f.cleared)
+		s.hang(w, f.cleared)
 		return false
 	case Silence:
 		c.lost.Inc(1)
-		s.hold(w, nil)
+		s.hang(w, nil)
 		return false
 	default:
 		return true
 	}
 }
 
-// after applies a fault behind the effect. It returns false when no answer is to be sent.
-func (s *Server) after(w http.ResponseWriter, c *portCounters, f *active) bool {
+// afterEffect applies a fault after the call has taken effect. It returns false if
+// no answer is to be sent.
+func (s *Server) afterEffect(w http.ResponseWriter, c *portCounters, f *activeFault) bool {
 	if f == nil || (f.Kind != LoseAnswer && f.Kind != HangAfter) {
 		return true
 	}
 	c.lost.Inc(1)
 	if f.Kind == HangAfter {
-		s.hold(w, f.cleared)
+		s.hang(w, f.cleared)
 		return false
 	}
 	httpserver.Abort(w)
 	return false
 }
 
-// hold keeps a call unanswered until its caller leaves, the server stops or
-// cleared closes, and closes the connection then. Later calls on the connection
-// wait behind it.
-func (s *Server) hold(w http.ResponseWriter, cleared <-chan struct{}) {
-	ticker := time.NewTicker(goneInterval)
+// hang leaves a call unanswered until its caller disconnects, the server stops or
+// cleared is closed, and then closes the connection. Later calls on the connection
+// are queued behind it.
+func (s *Server) hang(w http.ResponseWriter, cleared <-chan struct{}) {
+	ticker := time.NewTicker(callerCheckInterval)
 	defer ticker.Stop()
 	defer httpserver.Abort(w)
 	for caller := httpserver.CallerOf(w); !caller.Gone(); {
@@ -99,8 +102,8 @@
 	}
 }
 
-// admit waits for the limit and the latency of a call. It returns false when
-// the limit's queue is full.
+// admit waits for the rate limit and the latency of a call. It returns false if the
+// limit's queue is full.
 func (s *Server) admit(p memory.Port, write bool) bool {
 	l, latency := s.reads, s.opts.ReadLatency
 	if write {
@@ -116,7 +119,7 @@
 	return ok
 }
 
-// sleep returns early when the server stops.
+// sleep waits for d, or until the server stops.
 func (s *Server) sleep(d time.Duration) {
 	if d <= 0 {
 		return
--- a/standin/platform/client.go
+++ b/standin/platform/client.go
@@ -16,7 +16,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// Control is a client of the control interface of a stand-in.
+// Control is a client of a stand-in's control interface.
 type Control struct {
 	base string
 	hc   *http.Client
@@ -31,14 +31,14 @@
 	return &Control{base: baseURL, hc: hc}
 }
 
-// SetFault puts a fault in force and returns it with its ID.
+// SetFault activates a fault and returns it with its ID.
 func (c *Control) SetFault(ctx context.Context, f Fault) (Fault, error) {
 	var set Fault
 	err := c.sendJSON(ctx, PathFault, f, &set)
 	return set, err
 }
 
-// ClearFault ends the fault with an ID, or all when id is zero.
+// ClearFault removes the fault with an ID, or all faults if id is zero.
 func (c *Control) ClearFault(ctx context.Context, id int) error {
 	q := url.Values{"id": {strconv.Itoa(id)}}
 	return c.send(ctx, http.MethodDelete, PathFault, q, nil, nil)
@@ -56,12 +56,12 @@
 	return c.sendJSON(ctx, PathVM, vm, nil)
 }
 
-// RemoveVM takes a VM from the list.
+// RemoveVM removes a VM from the list.
 func (c *Control) RemoveVM(ctx context.Context, id string) error {
 	return c.send(ctx, http.MethodDelete, PathVM, url.Values{"id": {id}}, nil, nil)
 }
 
-// SetVMLag changes how long the list of VMs hides a change.
+// SetVMLag sets the delay until the list of VMs shows a change.
 func (c *Control) SetVMLag(ctx context.Context, lag time.Duration) error {
 	return c.sendJSON(ctx, PathVMLag, VMLag{Seconds: lag.Seconds()}, nil)
 }
@@ -80,7 +80,7 @@
 	return c.send(ctx, http.MethodPost, path, nil, body, answer)
 }
 
-// send decodes the answer into answer unless that is nil.
+// send makes a call and decodes its answer into answer, unless that is nil.
 func (c *Control) send(ctx context.Context, method, path string, q url.Values, body []byte, answer any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path+"?"+q.Encode(), bytes.NewReader(body))
 	if err != nil {
--- a/standin/platform/control.go
+++ b/standin/platform/control.go
@@ -9,9 +9,9 @@
 	port "github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// Paths of the control interface, which faults and limits do not touch.
+// Paths of the control interface, which is exempt from faults and limits.
 const (
-	PathFault    = "/control/fault"    // GET, POST Fault, DELETE ?id= (0 or none: all)
+	PathFault    = "/control/fault"    // GET, POST Fault, DELETE ?id= (0 or empty: all)
 	PathCounters = "/control/counters" // GET
 	PathVM       = "/control/vm"       // POST VM, DELETE ?id=
 	PathVMLag    = "/control/vm-lag"   // POST VMLag
@@ -20,7 +20,7 @@
 
 // VMLag is the body of a call to PathVMLag.
 type VMLag struct {
-	// Seconds is how long the list hides a change.
+	// Seconds is the delay until the list shows a change.
 	Seconds float64 `json:"seconds"`
 }
 
@@ -85,7 +85,7 @@
 	return nil, nil
 }
 
-// putModel stores the body, or a pattern of size bytes when size is given.
+// putModel stores the body, or a pattern of size bytes if size is given.
 func (s *Server) putModel(r *http.Request) (any, error) {
 	q := r.URL.Query()
 	model, version := q.Get(port.ParamModel), q.Get(port.ParamVersion)
--- a/standin/platform/counters.go
+++ b/standin/platform/counters.go
@@ -6,19 +6,19 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// ports lists the ports in the order of reports.
+// ports lists the ports in the order in which they are reported.
 var ports = []memory.Port{memory.PortTable, memory.PortObjects, memory.PortVMs, memory.PortWeights}
 
-// PortCounters counts the calls of one port since the start.
+// PortCounters are the call counts of one port since the start.
 type PortCounters struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
-	// Limited counts calls refused over a limit, Refused those refused by a fault.
+	// Limited counts calls rejected by a rate limit, Refused those rejected by a fault.
 	Limited int64 `json:"limited"`
 	Refused int64 `json:"refused"`
-	// Conflicts counts commits whose check failed.
+	// Conflicts counts commits whose precondition failed.
 	Conflicts int64 `json:"conflicts"`
-	// Lost counts calls that got no answer by a fault.
+	// Lost counts calls left unanswered because of a fault.
 	Lost int64 `json:"lost"`
 	// BytesOut counts the bytes of answer bodies.
 	BytesOut int64 `json:"bytes_out"`
--- a/standin/platform/fault.go
+++ b/standin/platform/fault.go
@@ -9,27 +9,27 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// Kind names a fault.
+// Kind is the effect of a fault.
 type Kind string
 
 // Kinds of faults.
 const (
 	// Refuse answers 503 before any effect.
 	Refuse Kind = "refuse"
-	// Delay holds the call for Fault.Delay and then serves it.
+	// Delay waits for Fault.Delay and then serves the call.
 	Delay Kind = "delay"
-	// Hang holds the call without effect until the fault is cleared, then closes its connection.
+	// Hang blocks the call without effect until the fault is cleared, then closes its connection.
 	Hang Kind = "hang"
 	// LoseAnswer lets the call take effect and closes the connection without an answer.
 	LoseAnswer Kind = "lose_answer"
-	// HangAfter lets the call take effect and then holds it as Hang does.
+	// HangAfter lets the call take effect and then blocks it as Hang does.
 	HangAfter Kind = "hang_after"
-	// Silence never answers again on the connection of the call, also after the
-	// fault is cleared; other connections work.
+	// Silence never answers again on the call's connection, even after the fault is
+	// cleared; other connections are not affected.
 	Silence Kind = "silence"
 )
 
-// Side selects calls by what they do.
+// Side selects read or write calls.
 type Side string
 
 // Sides. The empty side selects all calls.
@@ -38,7 +38,7 @@
 	Writes Side = "write"
 )
 
-// Fault is a fault of one port. The latest fault that selects a call applies to it.
+// Fault is a fault of one port or of all ports. The latest fault that selects a call applies to it.
 type Fault struct {
 	ID int `json:"id"`
 	// Port is empty for all ports.
@@ -72,35 +72,35 @@
 	return f.Side == "" || (f.Side == Writes) == write
 }
 
-// active is a fault in force.
-type active struct {
+// activeFault is a fault that is switched on.
+type activeFault struct {
 	Fault
 	left    int
 	cleared chan struct{}
 }
 
-// switchboard keeps the faults in force. It is safe for concurrent use.
-type switchboard struct {
+// faultSet is the set of active faults. It is safe for concurrent use.
+type faultSet struct {
 	mu     sync.Mutex
 	lastID int
-	faults []*active
-	// spent are faults whose count is used up but which may still hold calls.
-	spent []*active
+	faults []*activeFault
+	// exhausted are faults whose count is used up but which may still block calls.
+	exhausted []*activeFault
 }
 
-func newSwitchboard() *switchboard { return &switchboard{} }
+func newFaultSet() *faultSet { return &faultSet{} }
 
-func (b *switchboard) set(f Fault) Fault {
+func (b *faultSet) set(f Fault) Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lastID++
 	f.ID = b.lastID
-	b.faults = append(b.faults, &active{Fault: f, left: f.Count, cleared: make(chan struct{})})
+	b.faults = append(b.faults, &activeFault{Fault: f, left: f.Count, cleared: make(chan struct{})})
 	return f
 }
 
-// next returns the fault that hits a call, nil if none does, and counts the hit.
-func (b *switchboard) next(p memory.Port, write bool) *active {
+// next returns the fault that applies to a call, nil if none does, and counts the hit.
+func (b *faultSet) next(p memory.Port, write bool) *activeFault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := len(b.faults) - 1; i >= 0; i-- {
@@ -116,25 +116,25 @@
 	return nil
 }
 
-func (b *switchboard) countHit(i int) {
+func (b *faultSet) countHit(i int) {
 	a := b.faults[i]
 	a.left--
 	if a.left == 0 {
 		b.faults = slices.Delete(b.faults, i, i+1)
-		b.spent = append(b.spent, a)
+		b.exhausted = append(b.exhausted, a)
 	}
 }
 
-// clear ends the fault with an ID, or all when id is zero.
-func (b *switchboard) clear(id int) {
+// clear removes the fault with an ID, or all faults if id is zero.
+func (b *faultSet) clear(id int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = clearFrom(b.faults, id)
-	b.spent = clearFrom(b.spent, id)
+	b.exhausted = clearFrom(b.exhausted, id)
 }
 
-func clearFrom(faults []*active, id int) []*active {
-	return slices.DeleteFunc(faults, func(a *active) bool {
+func clearFrom(faults []*activeFault, id int) []*activeFault {
+	return slices.DeleteFunc(faults, func(a *activeFault) bool {
 		if id != 0 && a.ID != id {
 			return false
 		}
@@ -143,7 +143,7 @@
 	})
 }
 
-func (b *switchboard) list() []Fault {
+func (b *faultSet) list() []Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Fault, 0, len(b.faults))
@@ -155,7 +155,7 @@
 	return list
 }
 
-// SetFault puts a fault in force and returns it with its ID.
+// SetFault activates a fault and returns it with its ID.
 func (s *Server) SetFault(f Fault) (Fault, error) {
 	if err := f.validate(); err != nil {
 		return Fault{}, err
@@ -163,6 +163,6 @@
 	return s.faults.set(f), nil
 }
 
-// ClearFault ends the fault with an ID, or all faults when id is zero. Calls
-// held by it end.
+// ClearFault removes the fault with an ID, or all faults if id is zero, and ends the
+// calls that it blocks.
 func (s *Server) ClearFault(id int) { s.faults.clear(id) }
--- a/standin/platform/limiter.go
+++ b/standin/platform/limiter.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// burstTime is how much unused allowance of a limit may be saved up, but at
-// least one token.
-const burstTime = 100 * time.Millisecond
+// maxBurstTime is the burst of a limit, as the time in which its tokens accrue. The
+// burst is at least one token.
+const maxBurstTime = 100 * time.Millisecond
 
-// limiter is a token bucket with a bounded queue. Calls are let through in the
-// order in which they ask. A nil limiter lets everything through.
+// limiter is a token bucket with a bounded queue. Calls are admitted in order of
+// arrival. A nil limiter admits all calls.
 type limiter struct {
-	mu     sync.Mutex
-	perSec float64
-	queue  time.Duration
-	// next is when the allowance given out so far has been earned.
+	mu      sync.Mutex
+	perSec  float64
+	maxWait time.Duration
+	// next is the time at which all tokens reserved so far have accrued.
 	next time.Time
 }
 
-// newLimiter returns nil for a rate of zero.
+// newLimiter returns a limiter, or nil if the rate is zero.
 func newLimiter(perSec float64, queue time.Duration) *limiter {
 	if perSec <= 0 {
 		return nil
 	}
-	return &limiter{perSec: perSec, queue: queue}
+	return &limiter{perSec: perSec, maxWait: queue}
 }
 
-// reserve takes n tokens at the time now. It returns how long to wait before
-// going on, or false and takes nothing when that would exceed the queue's bound.
+// reserve reserves n tokens at the time now. It returns how long to wait before
+// continuing; if that exceeds maxWait, it reserves nothing and returns false.
 func (l *limiter) reserve(now time.Time, n int) (time.Duration, bool) {
 	if l == nil {
 		return 0, true
@@ -36,20 +36,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next := l.next
-	oldest := now.Add(-max(burstTime, l.cost(1)))
+	oldest := now.Add(-max(maxBurstTime, l.cost(1)))
 	if next.Before(oldest) {
 		next = oldest
 	}
 	next = next.Add(l.cost(n))
 	wait := next.Sub(now)
-	if wait > l.queue {
+	if wait > l.maxWait {
 		return 0, false
 	}
 	l.next = next
 	return max(wait, 0), true
 }
 
-// cost is the time in which n tokens are earned.
+// cost is the time in which n tokens accrue.
 func (l *limiter) cost(n int) time.Duration {
 	return time.Duration(float64(n) / l.perSec * float64(time.Second))
 }
--- a/standin/platform/limiter_test.go
+++ b/standin/platform/limiter_test.go
@@ -10,7 +10,7 @@
 func TestLimiter(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	ms := time.Millisecond
-	l := newLimiter(100, 20*ms) // a token each 10 ms, ten saved up at most
+	l := newLimiter(100, 20*ms) // one token per 10 ms, with a burst of ten
 	steps := []struct {
 		at   time.Duration
 		n    int
--- a/standin/platform/ports.go
+++ b/standin/platform/ports.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// weightChunk is the share of the weight limit that a reader takes at once.
-	weightChunk = 64 << 10
-	// weightQueueTime bounds the wait for one chunk among many readers.
-	weightQueueTime = time.Hour
+	// weightChunkBytes is how much of the weight limit a reader reserves at a time.
+	weightChunkBytes = 64 << 10
+	// maxWeightWait bounds the wait for one chunk when there are many readers.
+	maxWeightWait = time.Hour
 )
 
 func (s *Server) routePorts(mux *http.ServeMux) {
@@ -81,13 +81,13 @@
 	return port.VMsAnswer{VMs: list, Age: age}, err
 }
 
-// openWeights streams a model version under the shared limit. A fault behind
-// the effect loses the answer after the first chunk.
+// openWeights streams a model version under the shared limit. A fault that applies
+// after the effect ends the answer after the first chunk.
 func (s *Server) openWeights(w http.ResponseWriter, r *http.Request) {
 	c := s.counters[memory.PortWeights]
 	c.called(false)
 	fault := s.faults.next(memory.PortWeights, false)
-	if !s.before(w, c, fault) {
+	if !s.beforeEffect(w, c, fault) {
 		return
 	}
 	stream, err := s.store.Weights().Open(s.ctx, r.FormValue(port.ParamModel), r.FormValue(port.ParamVersion))
@@ -96,7 +96,7 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(stream.(memory.Stream).Size(), 10))
-	buf := make([]byte, weightChunk)
+	buf := make([]byte, weightChunkBytes)
 	for {
 		n, err := stream.Read(buf)
 		if n == 0 || err != nil || httpserver.CallerOf(w).Gone() {
@@ -109,7 +109,7 @@
 		}
 		w.(http.Flusher).Flush()
 		c.bytesOut.Inc(int64(n))
-		if !s.after(w, c, fault) {
+		if !s.afterEffect(w, c, fault) {
 			return
 		}
 	}
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -1,6 +1,6 @@
-// Package platform is the stand-in of the platform: it serves the ports of
-// package platform over HTTP from memory, with the limits of the real one and
-// with faults that are switched over HTTP.
+// Package platform is a stand-in for the platform: it serves the ports of package
+// store over HTTP from memory, with the rate limits of the real platform and with
+// faults that are injected over HTTP.
 package platform
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// Options of a Server. Rates of zero set no limit.
+// Options configures a Server. A rate of zero means no limit.
 type Options struct {
-	// Listen is the TCP address, such as 127.0.0.1:7001. Port 0 takes a free one.
+	// Listen is the TCP address, such as 127.0.0.1:7001. Port 0 selects a free port.
 	Listen string
 	// ReadsPerSecond and WritesPerSecond are shared by the table and the object store.
 	ReadsPerSecond, WritesPerSecond float64
-	// QueueTime bounds the wait for a limit; a call that would wait longer gets 503.
+	// QueueTime bounds the wait for a rate limit; a call that would wait longer is answered 503.
 	QueueTime time.Duration
 	// ReadLatency and WriteLatency are added to each call.
 	ReadLatency, WriteLatency time.Duration
-	// VMLag is how long the list of VMs hides a change.
+	// VMLag is the delay until the list of VMs shows a change.
 	VMLag time.Duration
 	// WeightBytesPerSecond is shared by all readers of weights.
 	WeightBytesPerSecond float64
@@ -35,7 +35,7 @@
 	opts     Options
 	store    *memory.Platform
 	http     *httpserver.Server
-	faults   *switchboard
+	faults   *faultSet
 	reads    *limiter
 	writes   *limiter
 	weights  *limiter
@@ -45,15 +45,15 @@
 	stopOnce sync.Once
 }
 
-// Start listens and serves until Stop.
+// Start starts a server, which runs until Stop.
 func Start(o Options) (*Server, error) {
 	s := &Server{
 		opts:     o,
 		store:    memory.New(memory.Options{VMLag: o.VMLag}),
-		faults:   newSwitchboard(),
+		faults:   newFaultSet(),
 		reads:    newLimiter(o.ReadsPerSecond, o.QueueTime),
 		writes:   newLimiter(o.WritesPerSecond, o.QueueTime),
-		weights:  newLimiter(o.WeightBytesPerSecond, weightQueueTime),
+		weights:  newLimiter(o.WeightBytesPerSecond, maxWeightWait),
 		counters: newCounters(),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -68,13 +68,13 @@
 // Addr is the address that the server listens on.
 func (s *Server) Addr() string { return s.http.Addr() }
 
-// URL is the base URL for the clients of package platform.
+// URL is the base URL for the HTTP clients of package store.
 func (s *Server) URL() string { return "http://" + s.Addr() }
 
-// Store is the content of the stand-in.
+// Store is the in-memory data of the stand-in.
 func (s *Server) Store() *memory.Platform { return s.store }
 
-// Stop ends all calls and closes all connections. It may be called again.
+// Stop ends all calls and closes all connections. It may be called more than once.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		s.cancel()
--- a/standin/platform/server_test.go
+++ b/standin/platform/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/hibiscusspur/hibiscusspur/store/storetest"
 )
 
-// patience is the timeout of clients whose verdict must not depend on time.
-var patience = port.Timeout(time.Minute)
+// longTimeout is the timeout of clients in tests whose result must not depend on timing.
+var longTimeout = port.Timeout(time.Minute)
 
 func start(t *testing.T, o Options) (*Server, *http.Client) {
 	t.Helper()
@@ -35,25 +35,25 @@
 	t.Run("table", func(t *testing.T) {
 		storetest.TestTable(t, func(t *testing.T) port.Table {
 			s, hc := start(t, Options{})
-			return port.NewHTTPTable(s.URL(), hc, patience)
+			return port.NewHTTPTable(s.URL(), hc, longTimeout)
 		})
 	})
 	t.Run("objects", func(t *testing.T) {
 		storetest.TestObjects(t, func(t *testing.T) port.Objects {
 			s, hc := start(t, Options{})
-			return port.NewHTTPObjects(s.URL(), hc, patience)
+			return port.NewHTTPObjects(s.URL(), hc, longTimeout)
 		})
 	})
 	t.Run("vms", func(t *testing.T) { storetest.TestVMs(t, vmList) })
 	t.Run("weights", func(t *testing.T) { storetest.TestWeights(t, weightStore) })
-	t.Run("faults", func(t *testing.T) { storetest.TestFaults(t, faulty) })
+	t.Run("faults", func(t *testing.T) { storetest.TestFaults(t, faultyPlatform) })
 }
 
 func vmList(t *testing.T) storetest.VMList {
 	s, hc := start(t, Options{})
 	c := NewControl(s.URL(), hc)
 	return storetest.VMList{
-		VMs:    port.NewHTTPVMs(s.URL(), hc, patience),
+		VMs:    port.NewHTTPVMs(s.URL(), hc, longTimeout),
 		Set:    func(vm port.VM) error { return c.SetVM(t.Context(), vm) },
 		Remove: func(id string) error { return c.RemoveVM(t.Context(), id) },
 		SetLag: func(d time.Duration) error { return c.SetVMLag(t.Context(), d) },
@@ -64,14 +64,14 @@
 	s, hc := start(t, Options{})
 	c := NewControl(s.URL(), hc)
 	return storetest.WeightStore{
-		Weights: port.NewHTTPWeights(s.URL(), hc, patience),
+		Weights: port.NewHTTPWeights(s.URL(), hc, longTimeout),
 		Put: func(model, version string, body []byte) error {
 			return c.PutWeights(t.Context(), model, version, body)
 		},
 	}
 }
 
-func faulty(t *testing.T) storetest.Faulty {
+func faultyPlatform(t *testing.T) storetest.Faulty {
 	s, hc := start(t, Options{})
 	s.Store().SetPatternWeights(storetest.SeedModel, storetest.SeedVersion, storetest.SeedWeightBytes)
 	c := NewControl(s.URL(), hc)
@@ -82,10 +82,10 @@
 		storetest.HangAfter:  HangAfter,
 	}
 	return storetest.Faulty{
-		Table:   port.NewHTTPTable(s.URL(), hc, patience),
-		Objects: port.NewHTTPObjects(s.URL(), hc, patience),
-		VMs:     port.NewHTTPVMs(s.URL(), hc, patience),
-		Weights: port.NewHTTPWeights(s.URL(), hc, patience),
+		Table:   port.NewHTTPTable(s.URL(), hc, longTimeout),
+		Objects: port.NewHTTPObjects(s.URL(), hc, longTimeout),
+		VMs:     port.NewHTTPVMs(s.URL(), hc, longTimeout),
+		Weights: port.NewHTTPWeights(s.URL(), hc, longTimeout),
 		Inject: func(p memory.Port, write bool, f storetest.Fault) {
 			side := Reads
 			if write {
@@ -95,47 +95,47 @@
 			assert.NilError(t, err)
 		},
 		Clear:     func() { assert.NilError(t, c.ClearFault(t.Context(), 0)) },
-		AwaitHeld: func() { awaitHeld(t, s) },
+		AwaitHeld: func() { awaitLostCall(t, s) },
 	}
 }
 
-// awaitHeld waits until a call of any port is lost to a fault.
-func awaitHeld(t *testing.T, s *Server) {
+// awaitLostCall waits until a call of any port is lost to a fault.
+func awaitLostCall(t *testing.T, s *Server) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, c := range s.Counters() {
 			if c.Lost > 0 {
 				return poll.Success()
 			}
 		}
-		return poll.Continue("no call held")
+		return poll.Continue("no call lost to a fault yet")
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(time.Millisecond))
 }
 
-// TestSilentConnection: the connection of the call stays silent after the fault
-// is over, and the next call works on a new one.
-func TestSilentConnection(t *testing.T) {
+// TestUnresponsiveConnection: the call's connection stays unresponsive after the fault
+// is cleared, and the next call succeeds on a new connection.
+func TestUnresponsiveConnection(t *testing.T) {
 	s, hc := start(t, Options{})
-	tb := port.NewHTTPTable(s.URL(), hc, patience)
+	tb := port.NewHTTPTable(s.URL(), hc, longTimeout)
 	_, err := tb.List(t.Context(), "", "", 1)
 	assert.NilError(t, err)
 	_, err = s.SetFault(Fault{Kind: Silence, Count: 1})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
+	committed := make(chan error, 1)
 	go func() {
-		ended <- tb.Commit(ctx, port.Txn{Writes: []port.Write{{Key: "k"}}})
+		committed <- tb.Commit(ctx, port.Txn{Writes: []port.Write{{Key: "k"}}})
 	}()
-	awaitHeld(t, s)
+	awaitLostCall(t, s)
 	s.ClearFault(0)
 	_, err = tb.Get(t.Context(), "k")
 	assert.ErrorIs(t, err, port.ErrNotFound)
 	select {
-	case err := <-ended:
-		t.Fatalf("the silent connection ended: %v", err)
+	case err := <-committed:
+		t.Fatalf("the call on the unresponsive connection ended: %v", err)
 	default:
 	}
 	cancel()
-	assert.ErrorIs(t, <-ended, port.ErrIndeterminate)
+	assert.ErrorIs(t, <-committed, port.ErrIndeterminate)
 }
 
 func TestCallTimeout(t *testing.T) {
@@ -152,18 +152,18 @@
 
 func TestStoppedServer(t *testing.T) {
 	s, hc := start(t, Options{})
-	tb := port.NewHTTPTable(s.URL(), hc, patience)
+	tb := port.NewHTTPTable(s.URL(), hc, longTimeout)
 	s.Stop()
 	hc.CloseIdleConnections()
 	err := tb.Commit(t.Context(), port.Txn{Writes: []port.Write{{Key: "k"}}})
 	assert.ErrorIs(t, err, port.ErrUnavailable)
 }
 
-// TestLimit: what exceeds a limit is refused without effect.
+// TestLimit: calls above a rate limit are rejected without effect.
 func TestLimit(t *testing.T) {
 	s, hc := start(t, Options{WritesPerSecond: 1e-4, ReadsPerSecond: 1e-4})
-	tb := port.NewHTTPTable(s.URL(), hc, patience)
-	ob := port.NewHTTPObjects(s.URL(), hc, patience)
+	tb := port.NewHTTPTable(s.URL(), hc, longTimeout)
+	ob := port.NewHTTPObjects(s.URL(), hc, longTimeout)
 	assert.NilError(t, tb.Commit(t.Context(), port.Txn{Writes: []port.Write{{Key: "a"}}}))
 	assert.ErrorIs(t, ob.Put(t.Context(), "a", nil), port.ErrUnavailable)
 	_, err := tb.Get(t.Context(), "a")
@@ -184,7 +184,7 @@
 	}
 	_, err := c.SetFault(t.Context(), Fault{Port: memory.PortTable, Side: Reads, Kind: Refuse, Count: 2})
 	assert.NilError(t, err)
-	tb := port.NewHTTPTable(s.URL(), hc, patience)
+	tb := port.NewHTTPTable(s.URL(), hc, longTimeout)
 	assert.NilError(t, tb.Commit(t.Context(), port.Txn{Writes: []port.Write{{Key: "a"}}}))
 	for _, want := range []bool{false, false, true} {
 		_, err := tb.Get(t.Context(), "a")
@@ -196,7 +196,7 @@
 	assert.DeepEqual(t, counters[memory.PortTable], want)
 }
 
-// TestStopAfterStart: a server that never had a call stops as well, and twice.
+// TestStopAfterStart: a server that has served no call can be stopped, and stopped again.
 func TestStopAfterStart(t *testing.T) {
 	for range 50 {
 		s, _ := start(t, Options{})
@@ -205,12 +205,12 @@
 	}
 }
 
-// TestClosingCallers: callers that end their connection after each call do not
-// take away the connections of others.
+// TestClosingCallers: callers that close their connection after each call do not
+// close the connections of others.
 func TestClosingCallers(t *testing.T) {
 	s, _ := start(t, Options{})
 	closing := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	tb := port.NewHTTPTable(s.URL(), closing, patience)
+	tb := port.NewHTTPTable(s.URL(), closing, longTimeout)
 	txn := port.Txn{Writes: []port.Write{{Key: "k"}}}
 	var wg sync.WaitGroup
 	errs := make(chan error, 8*100)
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,4 +1,4 @@
-// Package server runs the HTTP server of the stand-ins, and writes their replies.
+// Package server runs the HTTP server of the stand-ins and writes their replies.
 package server
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	// A stream blocks its handler's goroutine for its whole life, a held call too.
+	// A stream or a blocked call occupies its handler's goroutine until it ends.
 	maxInProgress = 16 << 10
 	maxBody       = 64 << 20
-	idle          = 10 * time.Minute
+	idleTimeout   = 10 * time.Minute
 	pollers       = 1 // see awaitPoller
 	startTimeout  = 10 * time.Second
 	readyPath     = "/ready"
 )
 
-// Start listens on addr and serves h. A port of zero is replaced by a free one.
+// Start listens on addr and serves h. Port 0 selects a free port.
 func Start(addr string, h http.Handler) (*httpserver.Server, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+readyPath, func(http.ResponseWriter, *http.Request) {})
@@ -33,7 +33,7 @@
 		Pollers:       pollers,
 		MaxInProgress: maxInProgress,
 		MaxBody:       maxBody,
-		Idle:          idle,
+		Idle:          idleTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -45,9 +45,10 @@
 	return s, nil
 }
 
-// awaitPoller makes a call to the server. The poller of nbio v1.6.8 clears its
-// stop flag when its goroutine begins, so a Close that comes earlier is forgotten
-// and blocks for good. With one poller, an answer proves that it runs.
+// awaitPoller makes a call to the server to ensure that its poller is running.
+// The poller of nbio v1.6.8 clears its stop flag when its goroutine starts, so an
+// earlier Close is lost and blocks forever. With one poller, an answer proves that
+// it runs.
 func awaitPoller(addr string) error {
 	hc := &http.Client{Transport: &http.Transport{}, Timeout: startTimeout}
 	defer hc.CloseIdleConnections()
@@ -62,7 +63,7 @@
 func Reply(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("reply not encodable: %v", err))
+		panic(fmt.Sprintf("can't encode reply: %v", err))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service: it answers at once or after
-// a set time, counts every call by the id that it carries, and has fault switches.
+// Package service is a stand-in for a plain service: it answers immediately or after
+// a configured time, counts calls by the id that they carry, and can inject faults.
 package service
 
 import (
@@ -15,31 +15,31 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/server"
 )
 
-// PathState is the control endpoint that shows State.
+// PathState is the control endpoint that returns State.
 const PathState = "/control/state"
 
-// DefaultIDHeader is the request header that names a call.
+// DefaultIDHeader is the default request header for the id of a call.
 const DefaultIDHeader = "Idempotency-Key"
 
-// Operations, by which fault rules select calls.
+// Operations that fault rules select calls by.
 const (
 	OpStatus  = "status"
 	OpReceipt = "receipt"
 	OpOther   = "other"
 )
 
-// Config sets the stand-in.
+// Config configures the stand-in.
 type Config struct {
-	// ID is shown in each answer.
+	// ID is included in each answer.
 	ID string
-	// IDHeader is the request header by which calls are counted.
+	// IDHeader is the request header with the id by which calls are counted.
 	IDHeader string
-	// Work is how long each call takes.
+	// Work is the processing time of a call.
 	Work time.Duration
 }
 
-// Answer is the body of every answer. It repeats what the call carried, so that
-// an answer to another call can be told.
+// Answer is the body of every answer. It echoes the properties of the call, so that
+// an answer to a different call can be detected.
 type Answer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -47,15 +47,15 @@
 	ID      string `json:"id"`
 	// Body is a hash of the request body.
 	Body string `json:"body"`
-	// Call is how many calls with this id there have been, this one included.
+	// Call is the number of calls with this id so far, including this one.
 	Call int `json:"call"`
 }
 
-// State is what the control endpoint shows.
+// State is the answer of the control endpoint.
 type State struct {
-	// Total counts the calls that were done, by operation.
+	// Total counts the executed calls by operation.
 	Total map[string]int `json:"total"`
-	// Calls counts the calls that were done, by id; those without an id are under "".
+	// Calls counts the executed calls by id; calls without an id are counted under "".
 	Calls map[string]int `json:"calls"`
 }
 
@@ -69,7 +69,7 @@
 	calls map[string]int
 }
 
-// New returns a service whose faults are the caller's.
+// New returns a service that injects faults; the caller keeps ownership of them.
 func New(cfg Config, faults *fault.Set) *Service {
 	s := &Service{cfg: cfg, mux: http.NewServeMux(), total: make(map[string]int), calls: make(map[string]int)}
 	s.mux.HandleFunc("GET /status/{id}", faults.Unary(OpStatus, s.handler(OpStatus)))
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -21,7 +21,7 @@
 	return w
 }
 
-// TestCallsAreCountedWhenDone holds which faults let a call be done.
+// TestCallsAreCountedWhenDone checks which faults let a call be executed.
 func TestCallsAreCountedWhenDone(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/standin/site/crash.go
+++ b/standin/site/crash.go
@@ -2,49 +2,49 @@
 
 import "strings"
 
-// CrashOn has the server crash as soon as it begins to run a request whose body begins so, which reading its prompt
-// is not. Then onEnd is called, unless it is nil.
-func (s *Server) CrashOn(body string, onEnd func(*Server)) {
+// CrashOn makes the server crash as soon as it begins to run a request whose body starts with bodyPrefix; a prefill
+// does not count as running. After the crash it calls afterCrash, unless that is nil.
+func (s *Server) CrashOn(bodyPrefix string, afterCrash func(*Server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deadly, s.onEnd = body, onEnd
+	s.crashPrefix, s.afterCrash = bodyPrefix, afterCrash
 }
 
-// BeforeCrash has f called when the server begins to crash, before anything of it ends.
+// BeforeCrash makes the server call f when it begins to crash, before any connection or listener closes.
 func (s *Server) BeforeCrash(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onCrash = f
+	s.beforeCrash = f
 }
 
-func (s *Server) endsUnder(c Call) bool {
+func (s *Server) crashesOn(c Call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.deadly != "" && strings.HasPrefix(c.Body, s.deadly) && c.Kind != Prefill
+	return s.crashPrefix != "" && strings.HasPrefix(c.Body, s.crashPrefix) && c.Kind != Prefill
 }
 
-// Crash ends the server with all that it runs: its connections break, and nothing listens at its address any
-// more. It does not wait for its handlers, one of which may call it.
+// Crash terminates the server and its requests: it breaks its connections and closes its listener. It does not wait
+// for handlers, because a handler may call it.
 func (s *Server) Crash() {
 	s.mu.Lock()
-	onCrash, again := s.onCrash, s.crashed
+	beforeCrash, crashed := s.beforeCrash, s.crashed
 	s.crashed = true
 	s.mu.Unlock()
-	if again {
+	if crashed {
 		return
 	}
-	if onCrash != nil {
-		onCrash()
+	if beforeCrash != nil {
+		beforeCrash()
 	}
-	// The listener of a server that has crashed already is closed.
+	// The listener may be closed already, so the error is ignored.
 	_ = s.Listener.Close()
 	go func() {
 		s.CloseClientConnections()
 		s.mu.Lock()
-		onEnd := s.onEnd
+		afterCrash := s.afterCrash
 		s.mu.Unlock()
-		if onEnd != nil {
-			onEnd(s)
+		if afterCrash != nil {
+			afterCrash(s)
 		}
 	}()
 }
--- a/standin/site/entry.go
+++ b/standin/site/entry.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Entry is what a backend server writes about itself into the store.
+// Entry is the entry that a backend server writes about itself to the store.
 type Entry struct {
 	Service    string  `json:"service"`
 	Addr       string  `json:"addr"`
@@ -13,11 +13,11 @@
 	Seq        int64   `json:"seq"`
 	ColdLeftMs float64 `json:"cold_left_ms"`
 	Stage      string  `json:"stage,omitempty"`
-	// Born is left out of platforms that don't tell it.
+	// Born is omitted on platforms that don't report it.
 	Born int64 `json:"born,omitempty"`
 }
 
-// Encode is the value of the entry's row.
+// Encode returns the value of the entry's row.
 func (e Entry) Encode() []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return data
 }
 
-// Entry is what the server writes about itself.
+// Entry returns the server's entry.
 func (s *Server) Entry(service, state string) Entry {
 	return Entry{
 		Service: service, Addr: s.Addr(), Zone: "z1", Version: "v1", Slots: 6, State: state,
@@ -34,17 +34,17 @@
 	}
 }
 
-// Born is when the server started, in Unix milliseconds; zero if it does not tell it.
+// Born is the start time of the server in Unix milliseconds; zero if it does not report it.
 func (s *Server) Born() int64 { return s.born.Load() }
 
-// Restart starts the server again under its name: it knows nothing of before. Its connections
-// are closed unless it went dark, in which case they stay silent.
-func (s *Server) Restart(born int64, dark bool) {
+// Restart simulates a restart of the server under its name, which loses its earlier state. Its connections
+// are closed, unless it was unresponsive; then they stay open and silent.
+func (s *Server) Restart(born int64, unresponsive bool) {
 	s.mu.Lock()
-	s.hold, s.orders = 0, 0
+	s.reservations, s.orders = 0, 0
 	s.mu.Unlock()
 	s.born.Store(born)
-	if !dark {
+	if !unresponsive {
 		s.CloseClientConnections()
 	}
 }
--- a/standin/site/log.go
+++ b/standin/site/log.go
@@ -10,9 +10,9 @@
 // Call is one request that reached a server.
 type Call struct {
 	Server, Kind, Path, ID string
-	// Born is that of the server that it reached.
+	// Born is the start time of the server incarnation that received the call.
 	Born int64
-	// Tokens and Hold are those of a reservation, KVFrom and LastEvent of a run.
+	// Tokens and Hold are set for a reservation, KVFrom and LastEvent for a run.
 	Tokens    int
 	Hold      string
 	KVFrom    string
@@ -35,44 +35,44 @@
 	Report  = "report"
 )
 
-// Log is the calls of several servers in order. It is safe for concurrent use.
+// Log records the calls of several servers in order. It is safe for concurrent use.
 type Log struct {
-	mu    sync.Mutex
-	calls []Call
-	left  []Call
-	wake  chan struct{}
-	watch func(Call)
+	mu        sync.Mutex
+	calls     []Call
+	abandoned []Call
+	wake      chan struct{}
+	watcher   func(Call)
 }
 
 // NewLog returns an empty log.
 func NewLog() *Log { return &Log{wake: make(chan struct{})} }
 
-// Watch has f called with each call from now on, in order.
+// Watch makes the log call f with each later call, in order.
 func (l *Log) Watch(f func(Call)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch = f
+	l.watcher = f
 }
 
 func (l *Log) add(list *[]Call, c Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.watch != nil && list == &l.calls {
-		l.watch(c)
+	if l.watcher != nil && list == &l.calls {
+		l.watcher(c)
 	}
 	*list = append(*list, c)
 	close(l.wake)
 	l.wake = make(chan struct{})
 }
 
-// Calls returns the calls so far.
+// Calls returns the recorded calls.
 func (l *Log) Calls() []Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Call(nil), l.calls...)
 }
 
-// Kinds returns the kinds of the calls so far, with the names of their servers.
+// Kinds lists the kind and the server of each recorded call.
 func (l *Log) Kinds() string {
 	var out []string
 	for _, c := range l.Calls() {
@@ -81,14 +81,15 @@
 	return strings.Join(out, ", ")
 }
 
-// Wait blocks until a call satisfies match, or a request whose caller left does.
-func (l *Log) Wait(t testing.TB, left bool, match func(Call) bool) Call {
+// Wait blocks until a call satisfies match; if abandoned is set, only requests whose caller has disconnected are
+// considered.
+func (l *Log) Wait(t testing.TB, abandoned bool, match func(Call) bool) Call {
 	t.Helper()
 	for {
 		l.mu.Lock()
 		list, wake := l.calls, l.wake
-		if left {
-			list = l.left
+		if abandoned {
+			list = l.abandoned
 		}
 		l.mu.Unlock()
 		for _, c := range list {
@@ -99,7 +100,7 @@
 		select {
 		case <-wake:
 		case <-t.Context().Done():
-			t.Fatal("the call did not come")
+			t.Fatal("no call matched before the test ended")
 		}
 	}
 }
--- a/standin/site/names.go
+++ b/standin/site/names.go
@@ -1,8 +1,8 @@
 package site
 
-// Headers that the platform's clients and servers send, spelled here a second time on
-// purpose: tests hold the adapter to what the platform says, not to the adapter's own
-// constants.
+// Headers that the platform's clients and servers send. They are deliberately defined a
+// second time here, so that tests check the adapter against the platform's protocol and
+// not against the adapter's own constants.
 const (
 	RequestID     = "Hibiscusspur-Request-Id"
 	Deadline      = "Hibiscusspur-Deadline-Ms"
@@ -22,5 +22,5 @@
 	retryAfter    = "Retry-After"
 )
 
-// ReadyPath is what the balancer asks a gateway.
+// ReadyPath is the gateway's readiness endpoint, which the load balancer polls.
 const ReadyPath = "/api/ready"
--- a/standin/site/server.go
+++ b/standin/site/server.go
@@ -15,34 +15,34 @@
 // Behaviour is how a backend server answers one request.
 type Behaviour int
 
-// Behaviours of backend servers.
+// Behaviours of backend servers. Answer serves the request.
 const (
 	Answer Behaviour = iota
-	// Fail answers 500, Shed refuses with proof that nothing ran.
+	// Fail answers 500, Shed rejects the request and states that it was not run.
 	Fail
 	Shed
 	// Reset runs the request and closes the connection without an answer.
 	Reset
 	// NeverAnswer runs the request and never answers.
 	NeverAnswer
-	// Unstamped answers without the server's mark.
+	// Unstamped answers without the Stamp header.
 	Unstamped
-	// CutBody breaks off in the middle of the body.
+	// CutBody closes the connection in the middle of the body.
 	CutBody
-	// FailKVFetch refuses to fetch a KV cache.
+	// FailKVFetch rejects requests that need a KV cache to be fetched.
 	FailKVFetch
 	// CutStream closes the connection after two events, StallStream sends nothing more after two.
 	CutStream
 	StallStream
 )
 
-// Events is the number of events of a whole stream.
+// Events is the number of events of a complete stream.
 const Events = 5
 
 // Server is a backend server: a plain service or a model engine.
 type Server struct {
 	*httptest.Server
-	// ID is the instance.
+	// ID is the instance name.
 	ID  string
 	log *Log
 
@@ -52,36 +52,37 @@
 	next []Behaviour
 	then Behaviour
 	full bool
-	// stopping is set once it refuses reservations and closes its connections, being about to stop.
+	// stopping is set once the server rejects reservations and closes their connections because it is about to stop.
 	stopping bool
-	// limit is what its answers name as the requests a second that it takes; empty if they name none.
+	// limit is the rate limit in requests per second that answers report; empty if they report none.
 	limit string
-	// sparing has it name its limit in answers of success to requests alone.
-	sparing bool
-	// leaving has its answers say that it leaves, rest is what its refusals ask for in seconds; empty if nothing.
-	leaving bool
-	rest    string
-	// hold and orders count since the last start.
-	hold, orders int
-	// deadly begins the body of requests under which the server ends, onEnd is called when it has.
-	deadly string
-	onEnd  func(*Server)
-	// onCrash is called when it begins to crash, crashed is set then.
-	onCrash func()
-	crashed bool
+	// limitOnSuccessOnly restricts the limit to successful answers to requests.
+	limitOnSuccessOnly bool
+	// leaving makes answers report that the server is leaving. retryAfter is the cooldown in seconds that rejections
+	// ask for; empty if none.
+	leaving    bool
+	retryAfter string
+	// reservations and orders are counts since the last start.
+	reservations, orders int
+	// crashPrefix is the body prefix of requests that crash the server; afterCrash is called after the crash.
+	crashPrefix string
+	afterCrash  func(*Server)
+	// beforeCrash is called when the server begins to crash, and crashed is set then.
+	beforeCrash func()
+	crashed     bool
 }
 
-// NewServer starts a server that ends with the test.
+// NewServer starts a server that is closed at the end of the test.
 func NewServer(t testing.TB, id string, l *Log) *Server {
 	s := &Server{ID: id, log: l}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/hold-take", s.takeHold)
-	mux.HandleFunc("DELETE /api/hold-drop/{id}", s.note(Drop))
-	mux.HandleFunc("DELETE /api/kv-handle/{id}", s.note(Free))
+	mux.HandleFunc("POST /api/hold-take", s.reserve)
+	mux.HandleFunc("DELETE /api/hold-drop/{id}", s.record(Drop))
+	mux.HandleFunc("DELETE /api/kv-handle/{id}", s.record(Free))
 	mux.HandleFunc("POST /api/order", s.order)
 	mux.HandleFunc("GET /api/report", s.report)
 	mux.HandleFunc("/", s.request)
-	s.Server = httptest.NewServer(s.says(mux))
+	s.Server = httptest.NewServer(s.withHeaders(mux))
 	t.Cleanup(func() {
 		s.CloseClientConnections()
 		s.Close()
@@ -89,79 +90,79 @@
 	return s
 }
 
-// Addr is "ip:port".
+// Addr returns the address as "ip:port".
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-// Behave sets how the next requests are answered, one each, and how all after them.
+// Behave sets the behaviours of the next requests, one each, and the behaviour of all requests after them.
 func (s *Server) Behave(then Behaviour, next ...Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.then, s.next = then, next
 }
 
-// SetFull makes the server refuse reservations.
+// SetFull makes the server reject reservations.
 func (s *Server) SetFull(full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.full = full
 }
 
-// Stop makes the server refuse reservations and close the connections on which they come: it takes nothing new.
+// Stop makes the server reject reservations and close the connections on which they arrive: it accepts no new work.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.full, s.stopping = true, true
 }
 
-// SetLimit has all answers name the requests a second that the server takes; empty ends it.
+// SetLimit makes all answers report a rate limit in requests per second; an empty limit stops that.
 func (s *Server) SetLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// NameLimitOnSuccessOnly has the server name its limit in answers of success to requests alone: not in refusals, failures and answers
-// to other calls.
+// NameLimitOnSuccessOnly restricts the limit to successful answers to requests: rejections, failures and answers to
+// other calls don't report it.
 func (s *Server) NameLimitOnSuccessOnly() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sparing = true
+	s.limitOnSuccessOnly = true
 }
 
-// SetLeaving has all answers say that the server leaves.
+// SetLeaving makes all answers report that the server is leaving.
 func (s *Server) SetLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// SetRetryAfter has all refusals ask for so many seconds of rest; empty ends it.
+// SetRetryAfter makes all rejections ask for a cooldown in seconds; an empty value stops that.
 func (s *Server) SetRetryAfter(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rest = seconds
+	s.retryAfter = seconds
 }
 
-// refuse answers 503.
+// refuse rejects a request with status 503.
 func (s *Server) refuse(w http.ResponseWriter) {
 	s.mu.Lock()
-	rest := s.rest
-	if s.sparing {
+	seconds := s.retryAfter
+	if s.limitOnSuccessOnly {
 		w.Header().Del(limitHeader)
 	}
 	s.mu.Unlock()
-	if rest != "" {
-		w.Header().Set(retryAfter, rest)
+	if seconds != "" {
+		w.Header().Set(retryAfter, seconds)
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// says puts what the server says of itself into each answer.
-func (s *Server) says(h http.Handler) http.Handler {
+// withHeaders adds the server's limit and leaving headers to each answer.
+func (s *Server) withHeaders(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		limit, leaving := s.limit, s.leaving
-		if s.sparing && strings.HasPrefix(r.URL.Path, "/api/") {
+		if s.limitOnSuccessOnly && strings.HasPrefix(r.URL.Path, "/api/") {
 			limit = ""
 		}
 		s.mu.Unlock()
@@ -175,7 +176,7 @@
 	})
 }
 
-func (s *Server) behaviour() Behaviour {
+func (s *Server) nextBehaviour() Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.next) == 0 {
@@ -186,13 +187,13 @@
 	return b
 }
 
-func (s *Server) note(kind string) http.HandlerFunc {
+func (s *Server) record(kind string) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		s.log.add(&s.log.calls, Call{Server: s.ID, Kind: kind, Path: r.PathValue("id"), Header: r.Header})
 	}
 }
 
-func (s *Server) takeHold(w http.ResponseWriter, r *http.Request) {
+func (s *Server) reserve(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Tokens int `json:"tokens"`
 	}
@@ -202,8 +203,8 @@
 	}
 	s.mu.Lock()
 	full, stopping := s.full, s.stopping
-	s.hold++
-	id := fmt.Sprint(s.ID, "-hold-", s.hold)
+	s.reservations++
+	id := fmt.Sprint(s.ID, "-hold-", s.reservations)
 	s.mu.Unlock()
 	s.log.add(&s.log.calls, Call{Server: s.ID, Kind: Hold, Tokens: body.Tokens, Hold: id})
 	if stopping {
@@ -225,7 +226,7 @@
 	s.mu.Lock()
 	s.orders++
 	s.mu.Unlock()
-	switch s.behaviour() {
+	switch s.nextBehaviour() {
 	case Shed:
 		w.WriteHeader(http.StatusConflict)
 	case Reset:
@@ -269,19 +270,19 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	b := s.behaviour()
+	b := s.nextBehaviour()
 	c.Refused = b == Shed || b == FailKVFetch && c.KVFrom != ""
 	s.log.add(&s.log.calls, c)
 	s.active.Add(1)
 	defer s.active.Add(-1)
-	if s.endsUnder(c) {
+	if s.crashesOn(c) {
 		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
 	s.answer(w, r, c, b)
 }
 
-// Active is the number of requests that the server works on.
+// Active returns the number of requests in progress.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, c Call, b Behaviour) {
@@ -294,7 +295,7 @@
 		panic(http.ErrAbortHandler)
 	case b == NeverAnswer:
 		<-r.Context().Done()
-		s.log.add(&s.log.left, c)
+		s.log.add(&s.log.abandoned, c)
 		return
 	}
 	if b != Unstamped {
@@ -303,7 +304,7 @@
 	switch {
 	case b == Fail:
 		s.mu.Lock()
-		if s.sparing {
+		if s.limitOnSuccessOnly {
 			w.Header().Del(limitHeader)
 		}
 		s.mu.Unlock()
@@ -323,11 +324,11 @@
 
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, c Call, b Behaviour) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	first := 1
-	if _, err := fmt.Sscan(c.LastEvent, &first); err == nil {
-		first++
+	firstEvent := 1
+	if _, err := fmt.Sscan(c.LastEvent, &firstEvent); err == nil {
+		firstEvent++
 	}
-	for i := first; i <= Events; i++ {
+	for i := firstEvent; i <= Events; i++ {
 		if i > 2 && b == CutStream {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: par", i)
 			w.(http.Flusher).Flush()
@@ -335,7 +336,7 @@
 		}
 		if i > 2 && b == StallStream {
 			<-r.Context().Done()
-			s.log.add(&s.log.left, c)
+			s.log.add(&s.log.abandoned, c)
 			return
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: token %d\n\n", i, i)
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -1,6 +1,6 @@
-// Package site is a stand-in of the users' platform, as far as tests without it need
-// one: its store and its backend servers, speaking its protocol over HTTP on loopback,
-// with faults that tests switch.
+// Package site is a stand-in for the users' platform in tests that run without it: its
+// store and its backend servers, which speak the platform's protocol over HTTP on
+// loopback and have faults that tests inject.
 package site
 
 import (
@@ -25,7 +25,7 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// StoreFault makes the store misbehave.
+// StoreFault is an injected fault of the store.
 type StoreFault int
 
 // Faults of the store.
@@ -34,15 +34,15 @@
 	// Unavailable answers 503 and TooManyRequests 429; the call has no effect.
 	Unavailable
 	TooManyRequests
-	// LoseAnswer does what was asked and closes the connection without an answer.
+	// LoseAnswer executes the call and closes the connection without an answer.
 	LoseAnswer
 	// Compacted answers 410 to feeds.
 	Compacted
-	// CorruptAnswer answers 200 with bytes that are no JSON.
+	// CorruptAnswer answers 200 with a body that is not valid JSON.
 	CorruptAnswer
 )
 
-// Store is the platform's store. It is safe for concurrent use.
+// Store is a stand-in for the platform's store. It is safe for concurrent use.
 type Store struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -54,29 +54,29 @@
 	changed chan struct{}
 }
 
-// NewStore starts a store that ends with the test.
+// NewStore starts a store that is closed at the end of the test.
 func NewStore(t testing.TB) *Store {
 	s := &Store{rows: map[string]Row{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/rows-tx", s.tx)
 	mux.HandleFunc("GET /api/rows-get", s.get)
 	mux.HandleFunc("GET /api/rows-feed", s.feed)
-	s.Server = httptest.NewServer(s.faulty(mux))
+	s.Server = httptest.NewServer(s.injectFaults(mux))
 	t.Cleanup(s.Close)
 	return s
 }
 
-// Addr is "ip:port".
+// Addr returns the address as "ip:port".
 func (s *Store) Addr() string { return s.Listener.Addr().String() }
 
-// SetFault switches a fault.
+// SetFault sets the active fault; NoFault clears it.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls is the number of calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	s.apply(Row{Table: table, Key: key, Value: value, Deleted: value == nil})
 }
 
-// FirstKey is the first key of a table; empty if it has no rows.
+// FirstKey returns the first key of a table; empty if the table has no rows.
 func (s *Store) FirstKey(table string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	return first
 }
 
-// Count is the number of rows of a table.
+// Count returns the number of rows of a table.
 func (s *Store) Count(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	return n
 }
 
-func (s *Store) faulty(next http.Handler) http.Handler {
+func (s *Store) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		fault := s.fault
@@ -139,15 +139,15 @@
 	})
 }
 
-func name(table, part, key string) string { return table + "\x00" + part + "\x00" + key }
+func rowKey(table, part, key string) string { return table + "\x00" + part + "\x00" + key }
 
-// apply writes a row under the present version. The caller holds mu.
+// apply writes a row with the current version. The caller holds mu.
 func (s *Store) apply(r Row) {
 	r.Ver = s.ver
 	if r.Deleted {
-		delete(s.rows, name(r.Table, r.Part, r.Key))
+		delete(s.rows, rowKey(r.Table, r.Part, r.Key))
 	} else {
-		s.rows[name(r.Table, r.Part, r.Key)] = r
+		s.rows[rowKey(r.Table, r.Part, r.Key)] = r
 	}
 	s.history = append(s.history, r)
 	close(s.changed)
@@ -169,7 +169,7 @@
 	var have []Row
 	conflict := false
 	for _, e := range body.Expected {
-		row, ok := s.rows[name(e.Table, e.Part, e.Key)]
+		row, ok := s.rows[rowKey(e.Table, e.Part, e.Key)]
 		if ok {
 			have = append(have, row)
 		}
@@ -251,6 +251,6 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has left reads nothing; the test sees that at its side.
+	// A disconnected caller reads no answer, which the test observes on the client side.
 	_ = json.NewEncoder(w).Encode(body)
 }
