--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	minAnswer    = 16
-	answerSpread = 112
-	tokenLetters = 3
+	minAnswerTokens   = 16
+	answerTokensRange = 112
+	tokenLetters      = 3
 )
 
 var lengthMarker = regexp.MustCompile(`\[\[len=(\d{1,6})\]\]`)
@@ -34,7 +34,7 @@
 	return out
 }
 
-// script is the answer to one prompt, generated token by token.
+// script is the predetermined answer to one prompt, generated token by token.
 type script struct {
 	seed   uint64
 	total  int
@@ -43,7 +43,7 @@
 
 func newScript(model, prompt string, maxTokens int) script {
 	s := script{seed: textHash(model, prompt), finish: FinishStop}
-	s.total = minAnswer + int(s.seed%answerSpread)
+	s.total = minAnswerTokens + int(s.seed%answerTokensRange)
 	if m := lengthMarker.FindStringSubmatch(prompt); m != nil {
 		s.total, _ = strconv.Atoi(m[1])
 	}
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -24,16 +24,16 @@
 	now    time.Time
 	nextID uint64
 
-	runs      map[string]*run
-	prefills  map[string]*prefillJob
-	admission []*run
-	slotsUsed int
-	batch     []*run
-	stepRuns  []*run
-	imports   []*run
-	retained  []*run
-
-	queue         []*prefillJob
+	runs        map[string]*run
+	prefills    map[string]*prefillJob
+	decodeQueue []*run
+	slotsUsed   int
+	batch       []*run
+	stepRuns    []*run
+	imports     []*run
+	retained    []*run
+
+	prefillQueue  []*prefillJob
 	activePrefill *prefillJob
 	busy          bool
 	busyUntil     time.Time
@@ -153,7 +153,7 @@
 	if c.busy {
 		return
 	}
-	if len(c.queue) > 0 {
+	if len(c.prefillQueue) > 0 {
 		c.startPrefill()
 		return
 	}
--- a/standin/engine/node.go
+++ b/standin/engine/node.go
@@ -18,13 +18,13 @@
 // Node runs a Core in real time and makes the calls to other engines that the core
 // requests. It is safe for concurrent use.
 type Node struct {
-	mu    sync.Mutex
-	core  *Core
-	timer *time.Timer
-	peers *http.Client
-	wg    sync.WaitGroup
-	ctx   context.Context
-	stop  context.CancelFunc
+	mu         sync.Mutex
+	core       *Core
+	timer      *time.Timer
+	httpClient *http.Client
+	wg         sync.WaitGroup
+	ctx        context.Context
+	stop       context.CancelFunc
 }
 
 // NewNode starts an engine, which runs until Close.
@@ -32,7 +32,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Node{
 		core: NewCore(cfg, time.Now()), ctx: ctx, stop: stop,
-		peers: &http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
+		httpClient: &http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
 	}
 	n.timer = time.AfterFunc(time.Hour, func() { n.Do(func(*Core) {}) })
 	n.timer.Stop()
@@ -46,7 +46,7 @@
 	n.timer.Stop()
 	n.mu.Unlock()
 	n.wg.Wait()
-	n.peers.CloseIdleConnections()
+	n.httpClient.CloseIdleConnections()
 }
 
 // Do advances the core to the present and runs f on it. f must not block.
@@ -113,7 +113,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %v", engine.ErrInvalid, err)
 	}
-	resp, err := n.peers.Do(req)
+	resp, err := n.httpClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("%w: source engine: %v", engine.ErrNotFound, err)
 	}
--- a/standin/engine/prefill.go
+++ b/standin/engine/prefill.go
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("%w: model %q is not loaded", engine.ErrInvalid, req.Model)
 	case c.prefills[req.RunID] != nil:
 		return nil, engine.ErrExists
-	case len(c.queue) >= c.cfg.MaxWaiting:
+	case len(c.prefillQueue) >= c.cfg.MaxWaiting:
 		return nil, engine.ErrFull
 	}
 	j := &prefillJob{
@@ -68,15 +68,15 @@
 }
 
 func (c *Core) enqueue(j *prefillJob) {
-	c.queue = append(c.queue, j)
-	slices.SortStableFunc(c.queue, func(a, b *prefillJob) int { return cmp.Compare(b.priority, a.priority) })
+	c.prefillQueue = append(c.prefillQueue, j)
+	slices.SortStableFunc(c.prefillQueue, func(a, b *prefillJob) int { return cmp.Compare(b.priority, a.priority) })
 }
 
 // startPrefill starts the first job of the queue. A cached prefix takes no time,
 // but the last token of a prompt is always computed.
 func (c *Core) startPrefill() {
-	j := c.queue[0]
-	c.queue = c.queue[1:]
+	j := c.prefillQueue[0]
+	c.prefillQueue = c.prefillQueue[1:]
 	c.activePrefill = j
 	j.cached = min(c.cache.lookup(j.model, j.text), max(j.tokens-1, 0))
 	c.occupy(c.prefillTime(j.tokens - j.cached))
@@ -124,9 +124,9 @@
 		c.abandonActive(j)
 		return
 	}
-	if i := slices.IndexFunc(c.queue, match); i >= 0 {
-		j := c.queue[i]
-		c.queue = slices.Delete(c.queue, i, i+1)
+	if i := slices.IndexFunc(c.prefillQueue, match); i >= 0 {
+		j := c.prefillQueue[i]
+		c.prefillQueue = slices.Delete(c.prefillQueue, i, i+1)
 		if j.run == nil {
 			delete(c.prefills, j.id)
 		}
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -68,8 +68,8 @@
 }
 
 func (c *Core) loadNow() engine.Load {
-	l := engine.Load{Running: c.slotsUsed, Waiting: len(c.admission), FreeCacheTokens: c.cache.freeTokens()}
-	for _, j := range c.queue {
+	l := engine.Load{Running: c.slotsUsed, Waiting: len(c.decodeQueue), FreeCacheTokens: c.cache.freeTokens()}
+	for _, j := range c.prefillQueue {
 		l.PrefillTokens += j.tokens
 		if j.run == nil { // a run queued for its prefill has a decode slot already
 			l.Waiting++
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -12,7 +12,7 @@
 type runState uint8
 
 const (
-	stateWaiting  runState = iota // queued for a decode slot
+	stateQueued   runState = iota // queued for a decode slot
 	stateClaiming                 // has a slot, claiming the KV cache from the source engine
 	stateImporting
 	stateConfirming // transfer done, confirming it to the source engine
@@ -69,8 +69,8 @@
 	}
 	c.runs[req.RunID] = r
 	c.accepted[req.RunID]++
-	c.admission = append(c.admission, r)
-	slices.SortStableFunc(c.admission, func(a, b *run) int {
+	c.decodeQueue = append(c.decodeQueue, r)
+	slices.SortStableFunc(c.decodeQueue, func(a, b *run) int {
 		return cmp.Compare(b.req.Priority, a.req.Priority)
 	})
 	c.dispatch()
@@ -87,7 +87,7 @@
 		return fmt.Errorf("%w: model %q is not loaded", engine.ErrInvalid, req.Model)
 	case c.runs[req.RunID] != nil:
 		return engine.ErrExists
-	case len(c.admission) >= c.cfg.MaxWaiting:
+	case len(c.decodeQueue) >= c.cfg.MaxWaiting:
 		return engine.ErrFull
 	}
 	return nil
@@ -95,9 +95,9 @@
 
 // admit assigns free decode slots to queued runs, which then fetch or compute their KV cache.
 func (c *Core) admit() {
-	for c.slotsUsed < c.cfg.DecodeSlots && len(c.admission) > 0 {
-		r := c.admission[0]
-		c.admission = c.admission[1:]
+	for c.slotsUsed < c.cfg.DecodeSlots && len(c.decodeQueue) > 0 {
+		r := c.decodeQueue[0]
+		c.decodeQueue = c.decodeQueue[1:]
 		c.slotsUsed++
 		if r.req.Handle != "" {
 			c.beginClaim(r)
@@ -151,8 +151,8 @@
 // endRun frees the decode slot of a run. The run is retained for a while, so that
 // its output can be resumed and its id is rejected; it uses no KV memory.
 func (c *Core) endRun(r *run, err error) {
-	if r.state == stateWaiting {
-		c.admission = without(c.admission, r)
+	if r.state == stateQueued {
+		c.decodeQueue = without(c.decodeQueue, r)
 	} else {
 		c.slotsUsed--
 	}
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -106,7 +106,7 @@
 			out.token(position, r.script.token(position))
 		}
 		if v.ended && !out.ended {
-			out.finish(r, v)
+			out.writeEnd(r, v)
 		}
 		if out.ended {
 			return
@@ -174,7 +174,7 @@
 	l.applyFault()
 }
 
-func (l *streamWriter) finish(r *run, v runSnapshot) {
+func (l *streamWriter) writeEnd(r *run, v runSnapshot) {
 	l.ended = true
 	if v.err != nil {
 		_, body := engine.EncodeError(v.err)
--- a/standin/platform/call.go
+++ b/standin/platform/call.go
@@ -25,7 +25,7 @@
 func (s *Server) serve(p memory.Port, write bool, h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := s.counters[p]
-		c.called(write)
+		c.countCall(write)
 		fault := s.faults.next(p, write)
 		if !s.beforeEffect(w, c, fault) {
 			return
--- a/standin/platform/counters.go
+++ b/standin/platform/counters.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func (c *portCounters) called(write bool) {
+func (c *portCounters) countCall(write bool) {
 	if write {
 		c.writes.Inc(1)
 		return
--- a/standin/platform/fault.go
+++ b/standin/platform/fault.go
@@ -75,8 +75,8 @@
 // activeFault is a fault that is switched on.
 type activeFault struct {
 	Fault
-	left    int
-	cleared chan struct{}
+	remaining int
+	cleared   chan struct{}
 }
 
 // faultSet is the set of active faults. It is safe for concurrent use.
@@ -95,7 +95,7 @@
 	defer b.mu.Unlock()
 	b.lastID++
 	f.ID = b.lastID
-	b.faults = append(b.faults, &activeFault{Fault: f, left: f.Count, cleared: make(chan struct{})})
+	b.faults = append(b.faults, &activeFault{Fault: f, remaining: f.Count, cleared: make(chan struct{})})
 	return f
 }
 
@@ -118,8 +118,8 @@
 
 func (b *faultSet) countHit(i int) {
 	a := b.faults[i]
-	a.left--
-	if a.left == 0 {
+	a.remaining--
+	if a.remaining == 0 {
 		b.faults = slices.Delete(b.faults, i, i+1)
 		b.exhausted = append(b.exhausted, a)
 	}
@@ -149,7 +149,7 @@
 	list := make([]Fault, 0, len(b.faults))
 	for _, a := range b.faults {
 		f := a.Fault
-		f.Count = a.left
+		f.Count = a.remaining
 		list = append(list, f)
 	}
 	return list
--- a/standin/platform/limiter.go
+++ b/standin/platform/limiter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxBurstTime is the burst of a limit, as the time in which its tokens accrue. The
-// burst is at least one token.
+// maxBurstTime is the time for which unused tokens of a limit accumulate; the burst
+// is at least one token.
 const maxBurstTime = 100 * time.Millisecond
 
 // limiter is a token bucket with a bounded queue. Calls are admitted in order of
--- a/standin/platform/ports.go
+++ b/standin/platform/ports.go
@@ -85,7 +85,7 @@
 // after the effect ends the answer after the first chunk.
 func (s *Server) openWeights(w http.ResponseWriter, r *http.Request) {
 	c := s.counters[memory.PortWeights]
-	c.called(false)
+	c.countCall(false)
 	fault := s.faults.next(memory.PortWeights, false)
 	if !s.beforeEffect(w, c, fault) {
 		return
--- a/standin/site/crash.go
+++ b/standin/site/crash.go
@@ -36,7 +36,7 @@
 	if beforeCrash != nil {
 		beforeCrash()
 	}
-	// The listener may be closed already, so the error is ignored.
+	// The listener of a server that crashed before is closed already, so the error is ignored.
 	_ = s.Listener.Close()
 	go func() {
 		s.CloseClientConnections()
--- a/standin/site/server.go
+++ b/standin/site/server.go
@@ -48,10 +48,10 @@
 
 	active, born atomic.Int64
 
-	mu   sync.Mutex
-	next []Behaviour
-	then Behaviour
-	full bool
+	mu               sync.Mutex
+	nextBehaviours   []Behaviour
+	defaultBehaviour Behaviour
+	full             bool
 	// stopping is set once the server rejects reservations and closes their connections because it is about to stop.
 	stopping bool
 	// limit is the rate limit in requests per second that answers report; empty if they report none.
@@ -94,10 +94,10 @@
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
 // Behave sets the behaviours of the next requests, one each, and the behaviour of all requests after them.
-func (s *Server) Behave(then Behaviour, next ...Behaviour) {
+func (s *Server) Behave(defaultBehaviour Behaviour, nextBehaviours ...Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.then, s.next = then, next
+	s.defaultBehaviour, s.nextBehaviours = defaultBehaviour, nextBehaviours
 }
 
 // SetFull makes the server reject reservations.
@@ -179,11 +179,11 @@
 func (s *Server) nextBehaviour() Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.next) == 0 {
-		return s.then
+	if len(s.nextBehaviours) == 0 {
+		return s.defaultBehaviour
 	}
-	b := s.next[0]
-	s.next = s.next[1:]
+	b := s.nextBehaviours[0]
+	s.nextBehaviours = s.nextBehaviours[1:]
 	return b
 }
 
