--- a/entry/service.go
+++ b/entry/service.go
@@ -109,7 +109,7 @@
 	s.http, err = httpserver.Start(httpserver.Options{
 		Name: "callers", Addr: s.settings.Listen, Handler: s.handler(),
 		MaxBody: s.settings.Bounds.BodyBytes + 1, MaxInProgress: s.settings.Bounds.InProgress, MaxWriteBuffer: s.settings.Bounds.WriteBuffer,
-		Refusal: s.earlyRefusal,
+		Rejection: s.earlyRefusal,
 	})
 	if err != nil {
 		return err
--- a/metrics/catalogue.go
+++ b/metrics/catalogue.go
@@ -10,13 +10,13 @@
 	Timer   Type = "timer"
 )
 
-// Metric describes one metric, or one family when the name ends in a dot.
+// Metric describes one metric, or a family of metrics if the name ends in a dot.
 type Metric struct {
 	Name string
 	Type Type
 }
 
-// All lists every metric and family in the order of docs/METRICS.md.
+// All lists every metric and family of metrics in the order of docs/METRICS.md.
 func All() []Metric {
 	return []Metric{
 		{RefusedPrefix, Counter},
@@ -28,7 +28,7 @@
 		{OrdersGiven, Counter},
 		{OrdersFailed, Counter},
 		{OrphansSwept, Counter},
-		{PlacesUsed, Gauge},
+		{DecodeSlotsUsed, Gauge},
 		{LinkBytesSent, Gauge},
 		{LinkBytesReceived, Gauge},
 		{ConfigRevision, Gauge},
@@ -37,8 +37,8 @@
 		{FirstEventTime, Timer},
 		{ReservationsRefused, Counter},
 		{ReservationsYielded, Counter},
-		{Returners, Counter},
-		{ReturnersRefused, Counter},
+		{ClientRetries, Counter},
+		{ClientRetriesRejected, Counter},
 		{UpstreamDials, Gauge},
 		{MechanismsOff, Gauge},
 		{PeerExchanges, Counter},
@@ -47,15 +47,15 @@
 		{Fetches, Counter},
 		{FetchesFailed, Counter},
 		{EntryUnreadablePrefix, Counter},
-		{StartsEnded, Counter},
-		{ServersEnded, Counter},
-		{RequestsBroken, Counter},
-		{RequestsHeld, Gauge},
+		{ServerRestarts, Counter},
+		{ServersTerminated, Counter},
+		{RequestsInterrupted, Counter},
+		{RequestsQuarantined, Gauge},
 		{Holds, Counter},
 		{ConfigProofAge, Gauge},
-		{QuotaSilent, Gauge},
+		{QuotaReservedPeers, Gauge},
 		{ServersLimited, Gauge},
-		{SendsHeldBack, Counter},
-		{RestsAsked, Counter},
+		{SendsWithheld, Counter},
+		{CooldownsRequested, Counter},
 	}
 }
--- a/outcome/reason.go
+++ b/outcome/reason.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// Reason is a stable code shown to callers and counted in metrics.
+// Reason is a stable code that is sent to callers and counted in metrics.
 type Reason string
 
-// Reasons for which a request ends other than completed. docs/OPERATIONS.md
-// says what each means for the person on call.
+// Reasons for which a request does not complete. docs/OPERATIONS.md explains each
+// to the operator on call.
 const (
 	BadRequest         Reason = "bad_request"
 	MethodNotAllowed   Reason = "method_not_allowed"
@@ -22,7 +22,7 @@
 	TicketLost         Reason = "ticket_lost"
 	StoreUnavailable   Reason = "store_unavailable"
 	NoBackend          Reason = "no_backend"
-	NoPlace            Reason = "no_decode_place"
+	NoDecodeSlot       Reason = "no_decode_place"
 	Overloaded         Reason = "backend_overloaded"
 	LinkBusy           Reason = "link_busy"
 	PrefillBacklog     Reason = "prefill_backlog"
@@ -33,7 +33,7 @@
 	Draining           Reason = "draining"
 	ReservationLapsed  Reason = "reservation_lapsed"
 	LeaseLapsed        Reason = "lease_lapsed"
-	FencedOff          Reason = "fenced"
+	Fenced             Reason = "fenced"
 	KVLost             Reason = "kv_lost"
 	EngineError        Reason = "engine_error"
 	EngineLost         Reason = "engine_lost"
@@ -48,24 +48,24 @@
 	Quarantined        Reason = "quarantined"
 	ConfigUnproved     Reason = "config_unproved"
 	ServerLimited      Reason = "server_limited"
-	ServerResting      Reason = "server_resting"
+	ServerCooldown     Reason = "server_resting"
 )
 
-// All lists every reason, for metrics registration and for the tests that hold
-// the documentation to the code.
+// All lists every reason, for the registration of metrics and for the test that
+// compares the documentation with the code.
 func All() []Reason {
 	return []Reason{
 		BadRequest, MethodNotAllowed, HeadersTooLarge, BodyTooLarge, PromptTooLong, Unauthenticated, ModelNotInContract, NotFound,
-		RateLimited, ConcurrencyLimited, KeyInUse, TicketLost, StoreUnavailable, NoBackend, NoPlace, Overloaded,
+		RateLimited, ConcurrencyLimited, KeyInUse, TicketLost, StoreUnavailable, NoBackend, NoDecodeSlot, Overloaded,
 		LinkBusy, PrefillBacklog, TargetUnreachable, ShareExceeded, StaleRevision, Leaving, Draining,
-		ReservationLapsed, LeaseLapsed, FencedOff, KVLost, EngineError, EngineLost, LinkDown,
+		ReservationLapsed, LeaseLapsed, Fenced, KVLost, EngineError, EngineLost, LinkDown,
 		SidecarRestarted, CallerGone, CallerStalled, DeadlineExceeded, RetryBudgetSpent,
-		AnswerIncomplete, Duplicate, Quarantined, ConfigUnproved, ServerLimited, ServerResting,
+		AnswerIncomplete, Duplicate, Quarantined, ConfigUnproved, ServerLimited, ServerCooldown,
 	}
 }
 
-// HTTPStatus returns the status of the response that carries r. Refusals that
-// may be repeated later are 429 (the customer's own limit) or 503 (the system's).
+// HTTPStatus returns the status of the response that carries r. Rejections that
+// may be retried later are 429 (the customer's own limit) or 503 (the system's).
 func (r Reason) HTTPStatus() int {
 	switch r {
 	case BadRequest:
@@ -93,11 +93,11 @@
 	}
 }
 
-// Retryable reports whether another backend server may succeed where this
-// reason ended an attempt, provided that the attempt did not run or may be repeated.
+// Retryable reports whether an attempt at another backend server may succeed after one
+// failed for this reason, provided that the failed one did not run or may be repeated.
 func (r Reason) Retryable() bool {
 	switch r {
-	case NoBackend, NoPlace, Overloaded, ServerLimited, ServerResting, LinkBusy, PrefillBacklog, Leaving, Draining, ReservationLapsed, LeaseLapsed,
+	case NoBackend, NoDecodeSlot, Overloaded, ServerLimited, ServerCooldown, LinkBusy, PrefillBacklog, Leaving, Draining, ReservationLapsed, LeaseLapsed,
 		KVLost, EngineError, EngineLost, LinkDown, SidecarRestarted, StaleRevision, ShareExceeded:
 		return true
 	default:
--- a/standin/platform/server_test.go
+++ b/standin/platform/server_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func faultyPlatform(t *testing.T) storetest.Faulty {
+func faultyPlatform(t *testing.T) storetest.FaultyPlatform {
 	s, hc := start(t, Options{})
 	s.Store().SetPatternWeights(storetest.SeedModel, storetest.SeedVersion, storetest.SeedWeightBytes)
 	c := NewControl(s.URL(), hc)
@@ -81,7 +81,7 @@
 		storetest.Hang:       Hang,
 		storetest.HangAfter:  HangAfter,
 	}
-	return storetest.Faulty{
+	return storetest.FaultyPlatform{
 		Table:   port.NewHTTPTable(s.URL(), hc, longTimeout),
 		Objects: port.NewHTTPObjects(s.URL(), hc, longTimeout),
 		VMs:     port.NewHTTPVMs(s.URL(), hc, longTimeout),
@@ -94,8 +94,8 @@
 			_, err := c.SetFault(t.Context(), Fault{Port: p, Side: side, Kind: kinds[f]})
 			assert.NilError(t, err)
 		},
-		Clear:     func() { assert.NilError(t, c.ClearFault(t.Context(), 0)) },
-		AwaitHeld: func() { awaitLostCall(t, s) },
+		Clear:        func() { assert.NilError(t, c.ClearFault(t.Context(), 0)) },
+		AwaitBlocked: func() { awaitLostCall(t, s) },
 	}
 }
 
--- a/store/storetest/faults.go
+++ b/store/storetest/faults.go
@@ -12,73 +12,74 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// Fault is a failure that every implementation has to report alike.
+// Fault is a failure that every implementation must report in the same way.
 type Fault string
 
 // Faults of TestFaults.
 const (
-	// Refuse ends the call before its effect.
+	// Refuse fails the call before its effect.
 	Refuse Fault = "refuse"
-	// LoseAnswer loses the answer after the effect.
+	// LoseAnswer drops the response after the effect.
 	LoseAnswer Fault = "lose answer"
-	// Hang holds the call before its effect until its context ends.
+	// Hang blocks the call before its effect until its context ends.
 	Hang Fault = "hang"
-	// HangAfter holds the call after its effect until its context ends.
+	// HangAfter blocks the call after its effect until its context ends.
 	HangAfter Fault = "hang after"
 )
 
-// Faulty is a platform with the means to make it fail.
-type Faulty struct {
+// FaultyPlatform is a platform with functions that inject faults.
+type FaultyPlatform struct {
 	Table   store.Table
 	Objects store.Objects
 	VMs     store.VMs
 	Weights store.Weights
-	// Inject puts f in force for the reads or the writes of a port until Clear.
+	// Inject applies f to the reads or the writes of a port until Clear.
 	Inject func(p memory.Port, write bool, f Fault)
 	Clear  func()
-	// AwaitHeld returns once a call is held by Hang or HangAfter.
-	AwaitHeld func()
+	// AwaitBlocked returns once a call is blocked by Hang or HangAfter.
+	AwaitBlocked func()
 }
 
-// faultedCall is a call under test. done tells whether a write took effect.
+// faultedCall is a call under test. tookEffect reports whether a write took effect;
+// it is nil for a read.
 type faultedCall struct {
-	name string
-	port memory.Port
-	call func(context.Context, Faulty) error
-	done func(context.Context, Faulty) (bool, error)
+	name       string
+	port       memory.Port
+	call       func(context.Context, FaultyPlatform) error
+	tookEffect func(context.Context, FaultyPlatform) (bool, error)
 }
 
-// seedKey is a row and an object that TestFaults finds in place.
+// seedKey is the key of a row and an object that TestFaults writes before each fault.
 const seedKey = "seed"
 
-// SeedWeights are the model and version that fresh of TestFaults has to store,
-// larger than SeedWeightBytes.
+// The model version that fresh of TestFaults has to store, and the size of its
+// weights.
 const (
 	SeedModel       = "seed"
 	SeedVersion     = "1"
 	SeedWeightBytes = 200_000
 )
 
-// TestFaults runs each call of each port under each fault. fresh returns a
-// platform that holds nothing but the weights named above.
-func TestFaults(t *testing.T, fresh func(t *testing.T) Faulty) {
+// TestFaults runs each call of each port under each fault. fresh returns a platform
+// that holds only the weights of SeedModel and SeedVersion.
+func TestFaults(t *testing.T, fresh func(t *testing.T) FaultyPlatform) {
 	cases := []struct {
 		fault Fault
-		// effect tells whether a write takes effect.
+		// effect is whether a write takes effect.
 		effect bool
 		read   []error
 		write  []error
 	}{
-		{Refuse, false, errs(store.ErrUnavailable), errs(store.ErrUnavailable)},
-		{LoseAnswer, true, errs(store.ErrUnavailable), errs(store.ErrIndeterminate)},
-		{Hang, false, errs(store.ErrUnavailable), errs(store.ErrUnavailable, store.ErrIndeterminate)},
-		{HangAfter, true, errs(store.ErrUnavailable), errs(store.ErrIndeterminate)},
+		{Refuse, false, errorList(store.ErrUnavailable), errorList(store.ErrUnavailable)},
+		{LoseAnswer, true, errorList(store.ErrUnavailable), errorList(store.ErrIndeterminate)},
+		{Hang, false, errorList(store.ErrUnavailable), errorList(store.ErrUnavailable, store.ErrIndeterminate)},
+		{HangAfter, true, errorList(store.ErrUnavailable), errorList(store.ErrIndeterminate)},
 	}
 	for _, c := range cases {
 		for _, call := range faultedCalls() {
 			t.Run(string(c.fault)+"/"+call.name, func(t *testing.T) {
 				want := c.read
-				if call.done != nil {
+				if call.tookEffect != nil {
 					want = c.write
 				}
 				runFaulted(t, fresh(t), call, c.fault, want, c.effect)
@@ -87,18 +88,18 @@
 	}
 }
 
-func errs(list ...error) []error { return list }
+func errorList(list ...error) []error { return list }
 
-func runFaulted(t *testing.T, f Faulty, call faultedCall, fault Fault, want []error, effect bool) {
+func runFaulted(t *testing.T, f FaultyPlatform, call faultedCall, fault Fault, want []error, effect bool) {
 	commit(t, f.Table, put(seedKey, "1"))
 	assert.NilError(t, f.Objects.Put(t.Context(), seedKey, []byte("1")))
-	write := call.done != nil
+	write := call.tookEffect != nil
 	f.Inject(call.port, write, fault)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if fault == Hang || fault == HangAfter {
 		go func() {
-			f.AwaitHeld()
+			f.AwaitBlocked()
 			cancel()
 		}()
 	}
@@ -106,7 +107,7 @@
 	assert.Assert(t, isOneOf(err, want), "got %v, want one of %v", err, want)
 	f.Clear()
 	if write {
-		done, err := call.done(t.Context(), f)
+		done, err := call.tookEffect(t.Context(), f)
 		assert.NilError(t, err)
 		assert.Equal(t, done, effect)
 	}
@@ -115,7 +116,7 @@
 
 func isOneOf(err error, want []error) bool {
 	kinds := 0
-	for _, kind := range errs(store.ErrUnavailable, store.ErrIndeterminate, store.ErrInvalid, store.ErrNotFound) {
+	for _, kind := range errorList(store.ErrUnavailable, store.ErrIndeterminate, store.ErrInvalid, store.ErrNotFound) {
 		if errors.Is(err, kind) {
 			kinds++
 		}
@@ -130,46 +131,46 @@
 
 func faultedCalls() []faultedCall {
 	return []faultedCall{
-		{"table get", memory.PortTable, func(ctx context.Context, f Faulty) error {
+		{"table get", memory.PortTable, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Table.Get(ctx, seedKey)
 			return err
 		}, nil},
-		{"table list", memory.PortTable, func(ctx context.Context, f Faulty) error {
+		{"table list", memory.PortTable, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Table.List(ctx, "", "", 10)
 			return err
 		}, nil},
-		{"table commit", memory.PortTable, func(ctx context.Context, f Faulty) error {
+		{"table commit", memory.PortTable, func(ctx context.Context, f FaultyPlatform) error {
 			return f.Table.Commit(ctx, store.Txn{Writes: []store.Write{put("new", "1")}})
-		}, func(ctx context.Context, f Faulty) (bool, error) {
+		}, func(ctx context.Context, f FaultyPlatform) (bool, error) {
 			_, err := f.Table.Get(ctx, "new")
 			return found(err)
 		}},
-		{"objects get", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects get", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Objects.Get(ctx, seedKey)
 			return err
 		}, nil},
-		{"objects list", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects list", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			_, err := f.Objects.List(ctx, "")
 			return err
 		}, nil},
-		{"objects put", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects put", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			return f.Objects.Put(ctx, "new", nil)
-		}, func(ctx context.Context, f Faulty) (bool, error) {
+		}, func(ctx context.Context, f FaultyPlatform) (bool, error) {
 			_, err := f.Objects.Get(ctx, "new")
 			return found(err)
 		}},
-		{"objects delete", memory.PortObjects, func(ctx context.Context, f Faulty) error {
+		{"objects delete", memory.PortObjects, func(ctx context.Context, f FaultyPlatform) error {
 			return f.Objects.Delete(ctx, seedKey)
-		}, func(ctx context.Context, f Faulty) (bool, error) {
+		}, func(ctx context.Context, f FaultyPlatform) (bool, error) {
 			_, err := f.Objects.Get(ctx, seedKey)
 			there, err := found(err)
 			return !there, err
 		}},
-		{"vms list", memory.PortVMs, func(ctx context.Context, f Faulty) error {
+		{"vms list", memory.PortVMs, func(ctx context.Context, f FaultyPlatform) error {
 			_, _, err := f.VMs.List(ctx)
 			return err
 		}, nil},
-		{"weights", memory.PortWeights, func(ctx context.Context, f Faulty) error {
+		{"weights", memory.PortWeights, func(ctx context.Context, f FaultyPlatform) error {
 			r, err := f.Weights.Open(ctx, SeedModel, SeedVersion)
 			if err != nil {
 				return err
