--- a/standin/engine/transfer_test.go
+++ b/standin/engine/transfer_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestRefusedClaimFreesTheRunID(t *testing.T) {
+func TestRejectedClaimFreesTheRunID(t *testing.T) {
 	s := newDecodeSim()
 	s.mustDecode(t, importReq("a"))
 	s.Claimed("a", ClaimReply{}, engine.ErrNotFound)
--- a/standin/platform/limiter.go
+++ b/standin/platform/limiter.go
@@ -20,11 +20,11 @@
 }
 
 // newLimiter returns a limiter, or nil if the rate is zero.
-func newLimiter(perSec float64, queue time.Duration) *limiter {
+func newLimiter(perSec float64, maxWait time.Duration) *limiter {
 	if perSec <= 0 {
 		return nil
 	}
-	return &limiter{perSec: perSec, maxWait: queue}
+	return &limiter{perSec: perSec, maxWait: maxWait}
 }
 
 // reserve reserves n tokens at the time now. It returns how long to wait before
--- a/standin/site/entry.go
+++ b/standin/site/entry.go
@@ -38,7 +38,7 @@
 func (s *Server) Born() int64 { return s.born.Load() }
 
 // Restart simulates a restart of the server under its name, which loses its earlier state. Its connections
-// are closed, unless it was unresponsive; then they stay open and silent.
+// are closed, unless it became unresponsive: then they stay open, without any data.
 func (s *Server) Restart(born int64, unresponsive bool) {
 	s.mu.Lock()
 	s.reservations, s.orders = 0, 0
--- a/standin/site/server.go
+++ b/standin/site/server.go
@@ -143,8 +143,8 @@
 	s.retryAfter = seconds
 }
 
-// refuse rejects a request with status 503.
-func (s *Server) refuse(w http.ResponseWriter) {
+// reject answers 503, with Retry-After if a cooldown is set.
+func (s *Server) reject(w http.ResponseWriter) {
 	s.mu.Lock()
 	seconds := s.retryAfter
 	if s.limitOnSuccessOnly {
@@ -211,7 +211,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if full {
-		s.refuse(w)
+		s.reject(w)
 		return
 	}
 	reply(w, http.StatusOK, map[string]string{"hold": id})
@@ -289,7 +289,7 @@
 	switch {
 	case c.Refused:
 		w.Header().Set(notRun, "1")
-		s.refuse(w)
+		s.reject(w)
 		return
 	case b == Reset:
 		panic(http.ErrAbortHandler)
