--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestNodeRunsInRealTime(t *testing.T) {
+func TestNodeAdvancesByTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := DefaultConfig()
 		cfg.Models = []string{model}
--- a/standin/fault/http.go
+++ b/standin/fault/http.go
@@ -53,7 +53,7 @@
 // returns false if a fault has ended the call.
 func (s *Set) Before(w http.ResponseWriter, p Plan) bool {
 	if p.Refuse {
-		server.Reply(w, http.StatusServiceUnavailable, refusal{"unavailable", "fault: refuse"})
+		server.Reply(w, http.StatusServiceUnavailable, errorBody{"unavailable", "fault: refuse"})
 		return false
 	}
 	if p.Delay > 0 {
@@ -88,11 +88,11 @@
 		case http.MethodPost:
 			var rule Rule
 			if err := json.NewDecoder(r.Body).Decode(&rule); err != nil {
-				server.Reply(w, http.StatusBadRequest, refusal{"invalid", err.Error()})
+				server.Reply(w, http.StatusBadRequest, errorBody{"invalid", err.Error()})
 				return
 			}
 			if err := s.Add(rule); err != nil {
-				server.Reply(w, http.StatusBadRequest, refusal{"invalid", err.Error()})
+				server.Reply(w, http.StatusBadRequest, errorBody{"invalid", err.Error()})
 				return
 			}
 		case http.MethodDelete:
@@ -105,7 +105,7 @@
 	}
 }
 
-type refusal struct {
+type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
