--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -59,7 +59,7 @@
 
 // newCluster starts one engine of each stage.
 func newCluster(t *testing.T) *cluster {
-	cl := &cluster{t: t, store: site.NewStore(t), calls: site.NewLog(), behaviour: site.Silent}
+	cl := &cluster{t: t, store: site.NewStore(t), calls: site.NewLog(), behaviour: site.StallStream}
 	e := site.NewServer(t, "pre", cl.calls).Entry("llm", "ready")
 	e.Stage = "prefill"
 	cl.store.Put("servers", "pre", e.Encode())
@@ -76,7 +76,7 @@
 	cl.started++
 	s := site.NewServer(cl.t, fmt.Sprint("dec-", cl.started), cl.calls)
 	s.Behave(cl.behaviour)
-	s.EndUnder(crashingBody, cl.replaceCrashed)
+	s.CrashOn(crashingBody, cl.replaceCrashed)
 	cl.current = s
 	e := s.Entry("llm", "ready")
 	e.Stage, e.Slots = "decode", 48
@@ -270,7 +270,7 @@
 	cl := newCluster(t)
 	gateways := startGateways(t, cl.store)
 	cl.crashUntilQuarantined(gateways)
-	cl.store.Set(site.Busy)
+	cl.store.SetFault(site.Unavailable)
 	p := start(t, cl.store, "g4", gateways[0].settings.ControlAddr)
 	p.waitReady(t, http.StatusOK)
 	waitUntil(t, "the request is quarantined", func() bool { return p.gauge(t, metrics.RequestsQuarantined) == 1 })
@@ -286,7 +286,7 @@
 	var key string
 	waitUntil(t, "the quarantine is persisted", func() bool { key = cl.store.FirstKey(holdback.TableName); return key != "" })
 	cl.mu.Lock()
-	cl.current.EndUnder("", nil)
+	cl.current.CrashOn("", nil)
 	cl.mu.Unlock()
 	cl.answerOthers()
 	cl.store.Put(holdback.TableName, key, nil)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -166,7 +166,7 @@
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
 	first.waitReady(t, http.StatusOK)
-	store.Set(site.Busy)
+	store.SetFault(site.Unavailable)
 	second := start(t, store, "g2", first.settings.ControlAddr)
 	second.waitReady(t, http.StatusOK)
 	_, body := second.get(t, "/a/1")
@@ -183,8 +183,8 @@
 	store.Put("op", "config", []byte(strings.ReplaceAll(string(manifest(3, "one")), "30000", "4000")))
 	p := start(t, store, "g1")
 	p.waitReady(t, http.StatusOK)
-	a.Behave(site.Mute)
-	b.Behave(site.Mute)
+	a.Behave(site.NeverAnswer)
+	b.Behave(site.NeverAnswer)
 	answered := make(chan string, 1)
 	go func() {
 		_, body := p.get(t, "/a/1")
@@ -206,7 +206,7 @@
 	store.Put("op", "config", manifest(3, "one"))
 	first := start(t, store, "g1")
 	first.waitReady(t, http.StatusOK)
-	store.Set(site.Busy)
+	store.SetFault(site.Unavailable)
 	second := start(t, store, "g2")
 	second.waitReady(t, http.StatusServiceUnavailable)
 	settings := second.settings
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -34,7 +34,7 @@
 	}
 	// Its entry, renewed as ready, does not make it usable again.
 	store.Put("servers", "a", entry(leaving, "one", "ready"))
-	store.Set(site.Busy)
+	store.SetFault(site.Unavailable)
 	before := len(calls.Calls())
 	for range 200 {
 		for _, p := range gateways {
--- a/proofs/gateway_announcements_test.go
+++ b/proofs/gateway_announcements_test.go
@@ -126,12 +126,12 @@
 		server: s.ID, after: cooldownGrace, span: cooldown - cooldownGrace,
 		maxRequests: soakClients + soakGateways*cooldownSlack + unawareRequests,
 	})
-	s.SetRest(cooldownText)
+	s.SetRetryAfter(cooldownText)
 	s.Behave(site.Shed)
 	return s.ID, func() {
 		end()
 		s.Behave(site.Answer)
-		s.SetRest("")
+		s.SetRetryAfter("")
 	}
 }
 
--- a/standin/fault/http.go
+++ b/standin/fault/http.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// Path is where the switches of a stand-in are: GET lists the rules, POST
-	// adds one, DELETE clears them all.
+	// Path is the control endpoint of a stand-in's faults: GET lists the rules,
+	// POST adds one, DELETE clears all.
 	Path = "/control/faults"
 
-	exitCode      = 137
-	departedCheck = 50 * time.Millisecond
+	exitCode            = 137
+	callerCheckInterval = 50 * time.Millisecond
 )
 
-// Exit ends the process as a kill would.
+// Exit ends the process with the exit code of a killed process.
 func Exit() {
 	os.Exit(exitCode)
 }
 
-// Unary wraps the handler of a call that is no stream with the faults of op.
+// Unary applies the faults of op to the handler of a unary call.
 func (s *Set) Unary(op string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p := s.Plan(op)
@@ -43,34 +43,34 @@
 			Exit()
 		}
 		if p.Silent {
-			s.Hold(w)
+			s.Block(w)
 		}
 		httpserver.Abort(w)
 	}
 }
 
-// Before applies the faults that come before a call is handled. It returns
-// false when the call was ended by one.
+// Before applies the faults that take effect before a call is handled. It
+// returns false if a fault has ended the call.
 func (s *Set) Before(w http.ResponseWriter, p Plan) bool {
 	if p.Refuse {
-		server.Reply(w, http.StatusServiceUnavailable, refusal{"unavailable", "fault: refuse"})
+		server.Reply(w, http.StatusServiceUnavailable, errorBody{"unavailable", "fault: refuse"})
 		return false
 	}
 	if p.Delay > 0 {
 		time.Sleep(p.Delay)
 	}
 	if p.Hang {
-		s.Hold(w)
+		s.Block(w)
 		httpserver.Abort(w)
 		return false
 	}
 	return true
 }
 
-// Hold blocks until the caller's connection is closed or the faults are cleared.
-func (s *Set) Hold(w http.ResponseWriter) {
-	released := s.released()
-	t := time.NewTicker(departedCheck)
+// Block waits until the caller's connection is closed or the faults are cleared.
+func (s *Set) Block(w http.ResponseWriter) {
+	released := s.clearSignal()
+	t := time.NewTicker(callerCheckInterval)
 	defer t.Stop()
 	for !httpserver.CallerOf(w).Gone() {
 		select {
@@ -81,18 +81,18 @@
 	}
 }
 
-// Control returns the handler for Path. After a change it calls changed.
+// Control returns the handler for Path. It calls changed after each change.
 func (s *Set) Control(changed func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method {
 		case http.MethodPost:
 			var rule Rule
 			if err := json.NewDecoder(r.Body).Decode(&rule); err != nil {
-				server.Reply(w, http.StatusBadRequest, refusal{"invalid", err.Error()})
+				server.Reply(w, http.StatusBadRequest, errorBody{"invalid", err.Error()})
 				return
 			}
 			if err := s.Add(rule); err != nil {
-				server.Reply(w, http.StatusBadRequest, refusal{"invalid", err.Error()})
+				server.Reply(w, http.StatusBadRequest, errorBody{"invalid", err.Error()})
 				return
 			}
 		case http.MethodDelete:
@@ -105,12 +105,12 @@
 	}
 }
 
-type refusal struct {
+type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// discard swallows a response.
+// discard is a ResponseWriter that drops the response.
 type discard struct {
 	header http.Header
 }
