--- a/cmd/hsload/compare.go
+++ b/cmd/hsload/compare.go
@@ -31,7 +31,7 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return c.run(cmd) },
 	}
 	f := cmd.Flags()
-	f.StringVar(&c.size, "size", lab.SizeBrief, "size of the deployments: brief (18 + 3 and 9 + 3 replicas) or small")
+	f.StringVar(&c.size, "size", lab.SizeFull, "size of the deployments: brief (18 + 3 and 9 + 3 replicas) or small")
 	f.Float64SliceVar(&c.Loads, "loads", []float64{0.7, 0.9, 1, 1.2, 1.5}, "loads as parts of the capacity")
 	f.IntVar(&c.seeds, "seeds", 3, "number of seeds, from 1 on")
 	f.DurationVar(&c.Base.Warm, "warm", 12*time.Second, "time before the window that is counted")
--- a/cmd/hsload/demo.go
+++ b/cmd/hsload/demo.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			run.Flows = load.Promised(load.DemoFlows(), promised)
+			run.Flows = load.WithContractTargets(load.DemoFlows(), promised)
 			c := load.NewClient(targets)
 			defer c.Close()
 			rep := run.Summarise("demo", run.Do(cmd.Context(), c), 0, run.Length)
--- a/cmd/hsload/fault.go
+++ b/cmd/hsload/fault.go
@@ -13,7 +13,7 @@
 // faultCmd meets one fault under load, or lists them all.
 func faultCmd() *cobra.Command {
 	e := lab.Experiment{Variant: lab.Variant{Name: "default"}}
-	p := load.Phases{Reach: 8 * time.Second}
+	p := load.Phases{Lookback: 8 * time.Second}
 	var before, during, after time.Duration
 	var size, bin string
 	var out output
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			p.Begin = p.Warm + before + p.Reach
+			p.Begin = p.Warm + before + p.Lookback
 			p.End = p.Begin + during
 			p.Length = p.End + after
 			e.Bin, e.Deployments = binDir(bin), lab.Deployments(size)
@@ -47,7 +47,7 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&size, "size", lab.SizeBrief, "size of the deployments: brief or small")
+	f.StringVar(&size, "size", lab.SizeFull, "size of the deployments: brief or small")
 	f.Float64Var(&e.Load, "load", 0.9, "load as a part of the capacity")
 	f.Uint64Var(&e.Seed, "seed", 1, "seed of all that is offered")
 	f.DurationVar(&p.Warm, "warm", 8*time.Second, "time that is not counted")
--- a/cmd/hsload/run.go
+++ b/cmd/hsload/run.go
@@ -30,7 +30,7 @@
 			e.Bin = binDir(bin)
 			e.Deployments = lab.Deployments(size)
 			if check {
-				e.Check = lab.NewCheck()
+				e.Check = lab.NewChecker()
 			}
 			rep, err := e.Run(cmd.Context())
 			if err != nil {
@@ -61,7 +61,7 @@
 }
 
 // breaches prints what the check has found and returns an error if it is anything.
-func breaches(cmd *cobra.Command, c *lab.Check) error {
+func breaches(cmd *cobra.Command, c *lab.Checker) error {
 	if c == nil {
 		return nil
 	}
--- a/load/lab/check.go
+++ b/load/lab/check.go
@@ -14,19 +14,19 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/service"
 )
 
-// Check watches the requests of an experiment for breaches of what must always
+// Checker watches the requests of an experiment for breaches of what must always
 // hold: answers as their callers see them, calls of plain services by their
 // idempotency keys, and engine memory that is left when all callers have ended.
 // It does not see which request a run in an engine belongs to.
-type Check struct {
+type Checker struct {
 	recorder *invariant.Recorder
 }
 
-// NewCheck returns a check that has seen nothing.
-func NewCheck() *Check { return &Check{recorder: invariant.NewRecorder()} }
+// NewChecker returns a check that has seen nothing.
+func NewChecker() *Checker { return &Checker{recorder: invariant.NewRecorder()} }
 
 // Sent implements load.Observer.
-func (c *Check) Sent(r *load.Request) {
+func (c *Checker) Sent(r *load.Request) {
 	c.recorder.Add(invariant.Event{
 		Kind: invariant.Asked, Request: r.ID, Key: r.ID, Want: strings.Join(r.Answer, ""),
 		Unrepeatable: r.Class.Unrepeatable || isPost(r.Class),
@@ -36,7 +36,7 @@
 func isPost(c *load.Class) bool { return c.Service != nil && c.Service.Method == http.MethodPost }
 
 // Ended implements load.Observer.
-func (c *Check) Ended(r *load.Request, res load.Result) {
+func (c *Checker) Ended(r *load.Request, res load.Result) {
 	e := invariant.Event{Kind: invariant.Answered, Request: r.ID}
 	switch {
 	case res.Verdict.Completed():
@@ -54,7 +54,7 @@
 }
 
 // finish reads the books of the stand-ins when all requests of l have ended.
-func (c *Check) finish(ctx context.Context, l *Lab) error {
+func (c *Checker) finish(ctx context.Context, l *Lab) error {
 	for name, url := range l.ServiceURLs {
 		var s service.State
 		if err := getJSON(ctx, url+service.PathState, &s); err != nil {
@@ -71,7 +71,7 @@
 
 // memory waits as long as engines may hold memory for callers that are gone and
 // records what they hold then.
-func (c *Check) memory(ctx context.Context, l *Lab) error {
+func (c *Checker) memory(ctx context.Context, l *Lab) error {
 	const left = "left"
 	c.recorder.Add(invariant.Event{Kind: invariant.Asked, Request: left})
 	c.recorder.Add(invariant.Event{Kind: invariant.CallerGone, Request: left})
@@ -92,6 +92,6 @@
 }
 
 // Breaches returns what was found.
-func (c *Check) Breaches() []invariant.Breach {
+func (c *Checker) Breaches() []invariant.Breach {
 	return invariant.Check(c.recorder.Events(), invariant.DefaultBounds())
 }
--- a/load/lab/experiment.go
+++ b/load/lab/experiment.go
@@ -21,7 +21,7 @@
 	// Bin is the directory of the programs.
 	Bin string
 	// Check, if set, watches every request.
-	Check *Check
+	Check *Checker
 	// Solo names pools, as model and role, whose engines get a process each.
 	Solo []string
 	// Fault, if set, is called for each deployment when arrivals begin, and
--- a/load/lab/lab_test.go
+++ b/load/lab/lab_test.go
@@ -13,7 +13,7 @@
 
 func TestSizesAreThoseOfToday(t *testing.T) {
 	count := make(map[string]int)
-	for _, d := range Deployments(SizeBrief) {
+	for _, d := range Deployments(SizeFull) {
 		for _, p := range d.Pools {
 			count[p.Model] += p.Count
 			assert.Equal(t, p.Engine.Places, 20)
--- a/load/lab/spec.go
+++ b/load/lab/spec.go
@@ -67,8 +67,8 @@
 
 // Sizes of a lab.
 const (
-	// SizeBrief is that of both deployments today: 18 + 3 and 9 + 3 replicas.
-	SizeBrief = "brief"
+	// SizeFull is that of both deployments today: 18 + 3 and 9 + 3 replicas.
+	SizeFull = "brief"
 	// SizeSmall is for demonstrations and checks.
 	SizeSmall = "small"
 )
--- a/load/mix.go
+++ b/load/mix.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Promised returns a copy of flows whose targets are those of contracts.
-func Promised(flows []Flow, contracts []*contract.Contract) []Flow {
+// WithContractTargets returns a copy of flows whose targets are those of contracts.
+func WithContractTargets(flows []Flow, contracts []*contract.Contract) []Flow {
 	out := make([]Flow, len(flows))
 	for i, f := range flows {
 		c := *f.Class
--- a/load/phases.go
+++ b/load/phases.go
@@ -8,11 +8,11 @@
 )
 
 // Phases divide a run with a fault, in times from its start. Requests that were
-// due up to Reach before the fault may be in progress when it begins, so they
+// due up to Lookback before the fault may be in progress when it begins, so they
 // count as during it.
 type Phases struct {
 	Warm, Begin, End, Length time.Duration
-	Reach                    time.Duration
+	Lookback                    time.Duration
 }
 
 // A class is back when its good share over backWindow is backShare of that before.
@@ -45,7 +45,7 @@
 // ByPhase reports on a run with a fault in the middle.
 func (r *Report) ByPhase(scenario string, p Phases) *FaultReport {
 	out := &FaultReport{Scenario: scenario, Seed: r.Seed, Run: r}
-	hit := p.Begin - p.Reach
+	hit := p.Begin - p.Lookback
 	for _, c := range r.Classes {
 		s := r.Seconds[c.Class]
 		before := share(s, second(p.Warm), second(hit))
--- a/load/phases_test.go
+++ b/load/phases_test.go
@@ -9,7 +9,7 @@
 
 // TestRecovery holds when a class counts as back at its goodput from before.
 func TestRecovery(t *testing.T) {
-	p := Phases{Begin: 4 * time.Second, End: 6 * time.Second, Reach: time.Second}
+	p := Phases{Begin: 4 * time.Second, End: 6 * time.Second, Lookback: time.Second}
 	for _, tc := range []struct {
 		name                string
 		good                []int
