--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Arrival is one request that is due At after the start.
+// Arrival is one request, due at offset At from the start of the run.
 type Arrival struct {
 	At   time.Duration
 	Flow int
-	// Seed decides the content of the request.
+	// Seed determines the content of the request.
 	Seed uint64
 }
 
-// Schedule returns the arrivals of all flows over a length of time, in order.
-// load multiplies the rates. One flow's arrivals do not depend on the others.
+// Schedule returns the arrivals of all flows within length, sorted by time. load
+// multiplies the rates of all flows that are not Fixed. The arrivals of a flow do not
+// depend on the other flows.
 func Schedule(flows []Flow, load float64, length time.Duration, seed uint64) []Arrival {
 	var all []Arrival
 	for i, f := range flows {
@@ -25,8 +26,8 @@
 			rate *= load
 		}
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		due := times(r, rate, f.Burst, length)
-		due = poisson(r, due, rate*(f.Surge.Factor-1), f.Surge.From, min(f.Surge.To, length))
+		due := burstyArrivals(r, rate, f.Burst, length)
+		due = appendPoisson(r, due, rate*(f.Surge.Factor-1), f.Surge.From, min(f.Surge.To, length))
 		for _, at := range due {
 			all = append(all, Arrival{At: at, Flow: i, Seed: r.Uint64()})
 		}
@@ -35,26 +36,27 @@
 	return all
 }
 
-// times draws a Poisson process whose rate changes with the phases of b.
-func times(r *rand.Rand, rate float64, b Burst, length time.Duration) []time.Duration {
+// burstyArrivals draws a Markov-modulated Poisson process that alternates between the
+// phases of b.
+func burstyArrivals(r *rand.Rand, rate float64, b Burst, length time.Duration) []time.Duration {
 	if b.Factor == 0 {
-		return poisson(r, nil, rate, 0, length)
+		return appendPoisson(r, nil, rate, 0, length)
 	}
 	var out []time.Duration
 	high := r.Float64() < b.On.Seconds()/(b.On+b.Off).Seconds()
 	for from := time.Duration(0); from < length; high = !high {
-		mean, factor := b.Off, b.low()
+		mean, factor := b.Off, b.lowFactor()
 		if high {
 			mean, factor = b.On, b.Factor
 		}
 		to := min(from+time.Duration(r.ExpFloat64()*float64(mean)), length)
-		out = poisson(r, out, rate*factor, from, to)
+		out = appendPoisson(r, out, rate*factor, from, to)
 		from = to
 	}
 	return out
 }
 
-func poisson(r *rand.Rand, out []time.Duration, rate float64, from, to time.Duration) []time.Duration {
+func appendPoisson(r *rand.Rand, out []time.Duration, rate float64, from, to time.Duration) []time.Duration {
 	if rate <= 0 {
 		return out
 	}
--- a/load/capacity/capacity_test.go
+++ b/load/capacity/capacity_test.go
@@ -61,8 +61,8 @@
 	assert.Assert(t, o.wants("state") && !o.wants("whole"))
 }
 
-func TestQuietMeasurementsGoTogether(t *testing.T) {
-	all := []measurement{{name: "a"}, {name: "b", quiet: true}, {name: "x"}, {name: "c", quiet: true}, {name: "d"}, {name: "e"}}
+func TestIdleMeasurementsRunTogether(t *testing.T) {
+	all := []measurement{{name: "a"}, {name: "b", idle: true}, {name: "x"}, {name: "c", idle: true}, {name: "d"}, {name: "e"}}
 	var got []string
 	for _, stage := range stages(all, func(name string) bool { return name != "x" }) {
 		var names string
--- a/load/capacity/certs.go
+++ b/load/capacity/certs.go
@@ -15,13 +15,13 @@
 	"github.com/hibiscusspur/hibiscusspur/security"
 )
 
-// peerName is the DNS name in the one certificate that all processes show.
+// peerName is the DNS name in the certificate that all processes present.
 const peerName = "peer.hibiscusspur"
 
-const certLife = time.Hour
+const certValidity = time.Hour
 
-// newCerts writes an authority and a certificate by it to dir, and returns
-// settings for both ends of a link.
+// newCerts writes a certificate authority and a certificate issued by it to dir, and
+// returns TLS settings for both ends of a link.
 func newCerts(dir string) (security.Settings, error) {
 	s := security.Settings{
 		Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"),
@@ -58,14 +58,14 @@
 func certTemplate(serial int64, authority bool) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: peerName}, DNSNames: []string{peerName},
-		NotBefore: time.Now().Add(-certLife), NotAfter: time.Now().Add(certLife),
+		NotBefore: time.Now().Add(-certValidity), NotAfter: time.Now().Add(certValidity),
 		IsCA: authority, BasicConstraintsValid: true,
 		KeyUsage:    x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 }
 
-// newCert signs t with the parent's key, or with its own without a parent.
+// newCert signs t with the parent's key, or self-signs it without a parent.
 func newCert(t, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/load/capacity/change.go
+++ b/load/capacity/change.go
@@ -15,28 +15,28 @@
 
 const (
 	changeEntries = 3
-	changeLimit   = 10 * time.Second
+	changeTimeout = 10 * time.Second
 	// confirmTime is longer than entries take to confirm a revision.
 	confirmTime = 4 * time.Second
 )
 
-// changeCost is what one change took.
+// changeCost is the cost of one change.
 type changeCost struct {
-	// inForce is the time from the commit until the last process had it.
-	inForce time.Duration
-	// linkBytes went over all links, storeBytes to and from the platform.
+	// applyTime is the time from the commit until the last process has applied it.
+	applyTime time.Duration
+	// linkBytes are the bytes on all links, storeBytes those to and from the platform.
 	linkBytes, storeBytes, reads, writes float64
 }
 
-// change measures changes of a contract by the number of processes: with the
-// table in reach of all entries, and of one only.
-func (r *runner) change(ctx context.Context) (Section, error) {
+// changeCosts measures changes of a contract by the number of processes: with the table
+// reachable by all entries, and by only one.
+func (r *runner) changeCosts(ctx context.Context) (Section, error) {
 	s := Section{Title: fmt.Sprintf("one change of a contract, %d entries and N sidecars", changeEntries)}
 	sizes := r.sizes([]int{10, 50, 100, 200}, []int{10, 20, 40, 80})
 	var mu sync.Mutex
 	open, cut := make(map[int][]changeCost), make(map[int][]changeCost)
-	err := each(sizes, func(n int) error {
-		a, b, err := r.changes(ctx, n)
+	err := forEachSize(sizes, func(n int) error {
+		a, b, err := r.changesAt(ctx, n)
 		mu.Lock()
 		defer mu.Unlock()
 		open[n], cut[n] = a, b
@@ -56,22 +56,22 @@
 	var sum changeCost
 	var slowest time.Duration
 	for _, c := range costs {
-		slowest = max(slowest, c.inForce)
-		sum.inForce += c.inForce
+		slowest = max(slowest, c.applyTime)
+		sum.applyTime += c.applyTime
 		sum.linkBytes += c.linkBytes
 		sum.storeBytes += c.storeBytes
 		sum.writes += c.writes
 	}
 	count := float64(len(costs))
-	s.add(prefix+"in force everywhere, mean", "ms", "sidecars", float64(n), float64(sum.inForce.Milliseconds())/count)
+	s.add(prefix+"in force everywhere, mean", "ms", "sidecars", float64(n), float64(sum.applyTime.Milliseconds())/count)
 	s.add(prefix+"in force everywhere, slowest", "ms", "sidecars", float64(n), float64(slowest.Milliseconds()))
 	s.add(prefix+"link bytes of all", "B", "sidecars", float64(n), sum.linkBytes/count)
 	s.add(prefix+"platform bytes of all", "B", "sidecars", float64(n), sum.storeBytes/count)
 	s.add(prefix+"table writes of all", "1", "sidecars", float64(n), sum.writes/count)
 }
 
-func (r *runner) changes(ctx context.Context, n int) (open, cut []changeCost, err error) {
-	l, f, w, err := r.site(ctx, n, 8)
+func (r *runner) changesAt(ctx context.Context, n int) (open, cut []changeCost, err error) {
+	l, f, w, err := r.startDeployment(ctx, n, 8)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -92,8 +92,8 @@
 			return nil, nil, err
 		}
 	}
-	until(ctx, linkTime, func() bool { return f.segs.connections() == n*changeEntries })
-	pause(ctx, settleTime)
+	waitFor(ctx, linkTimeout, func() bool { return f.segs.connections() == n*changeEntries })
+	sleep(ctx, settleTime)
 	if open, err = r.changeSeries(ctx, l, f, w, others); err != nil {
 		return nil, nil, err
 	}
@@ -102,16 +102,16 @@
 	return open, cut, err
 }
 
-func (r *runner) changeSeries(ctx context.Context, l *lab.Lab, f *farm, w *world, others *relay) ([]changeCost, error) {
+func (r *runner) changeSeries(ctx context.Context, l *lab.Lab, f *sidecarFarm, w *relayedPlatform, others *relay) ([]changeCost, error) {
 	count := 5
 	if r.Quick {
 		count = 2
 	}
 	var out []changeCost
 	for i := range count {
-		// The phases of the commits differ from those of the polls.
-		pause(ctx, time.Duration(i)*170*time.Millisecond)
-		c, err := oneChange(ctx, l, f, w, others)
+		// Varies the phase of the commits relative to the polls.
+		sleep(ctx, time.Duration(i)*170*time.Millisecond)
+		c, err := measureChange(ctx, l, f, w, others)
 		if err != nil {
 			return nil, err
 		}
@@ -120,7 +120,7 @@
 	return out, nil
 }
 
-func oneChange(ctx context.Context, l *lab.Lab, f *farm, w *world, others *relay) (changeCost, error) {
+func measureChange(ctx context.Context, l *lab.Lab, f *sidecarFarm, w *relayedPlatform, others *relay) (changeCost, error) {
 	var c changeCost
 	bytes := func() float64 { return float64(f.meter.Sent() + f.meter.Received()) }
 	stored := func() float64 { return float64(w.relay.bytes.Load() + others.bytes.Load()) }
@@ -134,11 +134,11 @@
 		return c, err
 	}
 	start := time.Now()
-	if !until(ctx, changeLimit, func() bool { return inForce(ctx, l, f, w.store.head) }) {
-		return c, merry.Errorf("revision %d is not in force after %s", w.store.head, changeLimit)
+	if !waitFor(ctx, changeTimeout, func() bool { return appliedEverywhere(ctx, l, f, w.store.head) }) {
+		return c, merry.Errorf("revision %d is not applied everywhere after %s", w.store.head, changeTimeout)
 	}
-	c.inForce = time.Since(start)
-	pause(ctx, confirmTime)
+	c.applyTime = time.Since(start)
+	sleep(ctx, confirmTime)
 	b := w.store.calls()
 	c.linkBytes, c.storeBytes = bytes()-links, stored()-relayed
 	c.reads = float64(b.table.Reads - a.table.Reads)
@@ -146,7 +146,7 @@
 	return c, nil
 }
 
-func inForce(ctx context.Context, l *lab.Lab, f *farm, head uint64) bool {
+func appliedEverywhere(ctx context.Context, l *lab.Lab, f *sidecarFarm, head uint64) bool {
 	if f.lowestHead() < head {
 		return false
 	}
--- a/load/capacity/doc.go
+++ b/load/capacity/doc.go
@@ -1,5 +1,5 @@
-// Package capacity measures what one entry and one sidecar spend, on real
-// processes over loopback, at several sizes each, fits a straight line through
-// the figures, and so gives the slopes from which docs/CAPACITY.md works out the
-// size that the system is planned for.
+// Package capacity measures the resource usage of one entry and one sidecar, as real
+// processes on loopback, at several sizes each. Linear regression over the sizes gives the
+// slopes from which docs/CAPACITY.md computes the figures for the planned size of the
+// system.
 package capacity
--- a/load/capacity/farm.go
+++ b/load/capacity/farm.go
@@ -17,29 +17,29 @@
 	"github.com/hibiscusspur/hibiscusspur/sidecar"
 )
 
-// farm is many sidecars in this process, to which entries in processes of their
-// own link.
-type farm struct {
+// sidecarFarm runs many sidecars in this process, to which entries in processes of their
+// own connect.
+type sidecarFarm struct {
 	servers []*sidecar.Server
 	// addrs are the addresses of the servers, in their order.
 	addrs  []string
-	frames *frameBook
+	frames *frameCounter
 	meter  link.Meter
 	segs   segments
 	stop   context.CancelFunc
 }
 
-// unusedService stands for the plain service of a sidecar that gets no work.
-const unusedService = "http://127.0.0.1:1"
+// unusedServiceURL is the plain service of a sidecar that receives no work.
+const unusedServiceURL = "http://127.0.0.1:1"
 
-// newFarm starts n sidecars: beside the engines at the URLs, or else beside plain
-// services that are never called.
-func newFarm(ctx context.Context, n int, engines []string, conf *tls.Config) (*farm, error) {
+// newFarm starts n sidecars: of the engines at the URLs, or else of plain services that
+// are never called.
+func newFarm(ctx context.Context, n int, engines []string, conf *tls.Config) (*sidecarFarm, error) {
 	ctx, stop := context.WithCancel(ctx)
-	f := &farm{frames: newFrameBook(), stop: stop}
+	f := &sidecarFarm{frames: newFrameCounter(), stop: stop}
 	for i := range n {
 		set := sidecar.DefaultSettings()
-		set.ID, set.Zone, set.Service = serverID(i), "zone-a", unusedService
+		set.ID, set.Zone, set.Service = serverID(i), "zone-a", unusedServiceURL
 		if len(engines) > 0 {
 			set.Service, set.Engine = "", engines[i]
 		}
@@ -53,7 +53,7 @@
 
 func serverID(i int) string { return fmt.Sprintf("vm-%05d", i) }
 
-func (f *farm) start(ctx context.Context, set sidecar.Settings, conf *tls.Config) error {
+func (f *sidecarFarm) start(ctx context.Context, set sidecar.Settings, conf *tls.Config) error {
 	var eng engine.Engine
 	info := engine.Info{ID: set.ID}
 	if set.Engine != "" {
@@ -73,11 +73,11 @@
 	}
 	lis = f.meter.Listener(lis)
 	f.addrs = append(f.addrs, lis.Addr().String())
-	go func() { _ = link.Serve(ctx, lis, countedServer{s, f.frames}) }()
+	go func() { _ = link.Serve(ctx, lis, countingServer{s, f.frames}) }()
 	return nil
 }
 
-func (f *farm) close() {
+func (f *sidecarFarm) close() {
 	f.stop()
 	for _, s := range f.servers {
 		s.Close()
@@ -87,9 +87,9 @@
 // serversPerModel keeps every group of servers smaller than an entry's subset.
 const serversPerModel = 8
 
-// backends are n records of active servers. Those beyond the farm's number share
-// the addresses of the first ones.
-func (f *farm) backends(role string, n int) []contract.Backend {
+// backends returns n records of active servers. Those beyond the number of sidecars in the
+// farm share the addresses of the first ones.
+func (f *sidecarFarm) backends(role string, n int) []contract.Backend {
 	var out []contract.Backend
 	for i := range n {
 		out = append(out, contract.Backend{
@@ -100,8 +100,8 @@
 	return out
 }
 
-// lowestHead is the lowest revision that a server has.
-func (f *farm) lowestHead() uint64 {
+// lowestHead returns the lowest revision that a sidecar has applied.
+func (f *sidecarFarm) lowestHead() uint64 {
 	low := f.servers[0].Head()
 	for _, s := range f.servers {
 		low = min(low, s.Head())
@@ -109,21 +109,21 @@
 	return low
 }
 
-// pollPause is how often a condition is looked at.
-const pollPause = 2 * time.Millisecond
+// pollInterval is the interval between checks of a condition.
+const pollInterval = 2 * time.Millisecond
 
-// until waits for a condition.
-func until(ctx context.Context, limit time.Duration, cond func() bool) bool {
+// waitFor waits until a condition holds, for at most limit.
+func waitFor(ctx context.Context, limit time.Duration, cond func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for !cond() {
-		if time.Now().After(deadline) || !pause(ctx, pollPause) {
+		if time.Now().After(deadline) || !sleep(ctx, pollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/load/capacity/fit.go
+++ b/load/capacity/fit.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Fit is a straight line through points by least squares.
+// Fit is a least-squares line through points.
 type Fit struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
@@ -10,8 +10,8 @@
 	Residual float64 `json:"residual"`
 }
 
-// NewFit fits y over x. It needs two different values of x at least; otherwise the
-// line is flat at the mean.
+// NewFit fits y over x. With fewer than two different values of x, the line is flat at the
+// mean.
 func NewFit(x, y []float64) Fit {
 	mx, my := mean(x), mean(y)
 	var sxx, sxy float64
@@ -28,7 +28,7 @@
 	return f
 }
 
-// At is the value of the line at x.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
 func (f Fit) residual(x, y []float64) float64 {
--- a/load/capacity/frames.go
+++ b/load/capacity/frames.go
@@ -17,23 +17,23 @@
 type Frames struct {
 	Kind  string `json:"kind"`
 	Count int64  `json:"count"`
-	// Bytes are those of the encoded frames; Payload are those of them that are
-	// text of prompts and answers or bodies of services.
+	// Bytes is the encoded size of the frames; Payload is the part of it that is text of
+	// prompts and answers or bodies of service calls.
 	Bytes   int64 `json:"bytes"`
 	Payload int64 `json:"payload"`
 }
 
 func (f Frames) mean(total int64) float64 { return float64(total) / float64(max(f.Count, 1)) }
 
-// frameBook counts the frames of all links of a farm. It is safe for concurrent use.
-type frameBook struct {
+// frameCounter counts the frames of all links of a farm. It is safe for concurrent use.
+type frameCounter struct {
 	mu    sync.Mutex
 	kinds map[string]*Frames
 }
 
-func newFrameBook() *frameBook { return &frameBook{kinds: make(map[string]*Frames)} }
+func newFrameCounter() *frameCounter { return &frameCounter{kinds: make(map[string]*Frames)} }
 
-func (b *frameBook) note(kind string, size, payload int) {
+func (b *frameCounter) record(kind string, size, payload int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := b.kinds[kind]
@@ -46,8 +46,8 @@
 	f.Payload += int64(payload)
 }
 
-// list returns the counts since the last call, by kind.
-func (b *frameBook) list() []Frames {
+// takeCounts returns the counts since the last call, sorted by kind.
+func (b *frameCounter) takeCounts() []Frames {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Frames
@@ -59,38 +59,38 @@
 	return out
 }
 
-// countedServer is a sidecar whose frames are counted.
-type countedServer struct {
+// countingServer is a sidecar whose frames are counted.
+type countingServer struct {
 	*sidecar.Server
-	book *frameBook
+	counter *frameCounter
 }
 
 // Session implements wire.DRPCSidecarServer.
-func (s countedServer) Session(stream wire.DRPCSidecar_SessionStream) error {
-	return s.Server.Session(countedStream{stream, s.book})
+func (s countingServer) Session(stream wire.DRPCSidecar_SessionStream) error {
+	return s.Server.Session(countingStream{stream, s.counter})
 }
 
-type countedStream struct {
+type countingStream struct {
 	wire.DRPCSidecar_SessionStream
-	book *frameBook
+	book *frameCounter
 }
 
-// GetStream lets the link flush by itself.
-func (s countedStream) GetStream() drpc.Stream {
+// GetStream exposes the underlying stream, so that the link can flush it.
+func (s countingStream) GetStream() drpc.Stream {
 	return s.DRPCSidecar_SessionStream.(interface{ GetStream() drpc.Stream }).GetStream()
 }
 
 // Send implements wire.DRPCSidecar_SessionStream.
-func (s countedStream) Send(f *wire.SidecarFrame) error {
-	s.book.note(kind("sidecar", f.GetBody()), proto.Size(f), answerBytes(f))
+func (s countingStream) Send(f *wire.SidecarFrame) error {
+	s.book.record(kind("sidecar", f.GetBody()), proto.Size(f), answerBytes(f))
 	return s.DRPCSidecar_SessionStream.Send(f)
 }
 
 // Recv implements wire.DRPCSidecar_SessionStream.
-func (s countedStream) Recv() (*wire.EntryFrame, error) {
+func (s countingStream) Recv() (*wire.EntryFrame, error) {
 	f, err := s.DRPCSidecar_SessionStream.Recv()
 	if err == nil {
-		s.book.note(kind("entry", f.GetBody()), proto.Size(f), promptBytes(f))
+		s.book.record(kind("entry", f.GetBody()), proto.Size(f), promptBytes(f))
 	}
 	return f, err
 }
--- a/load/capacity/rest.go
+++ b/load/capacity/idle.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// settleTime is longer than a link without work keeps the pace of one with work,
-	// and than a daemon keeps the memory that its start took.
-	settleTime = 13 * time.Second
-	linkTime   = 20 * time.Second
-	mega       = 1 << 20
+	// settleTime is longer than an idle link keeps the heartbeat interval of an active
+	// one, and longer than a daemon holds the memory that its start took.
+	settleTime  = 13 * time.Second
+	linkTimeout = 20 * time.Second
+	mebibyte    = 1 << 20
 )
 
-// reading is what a process and its links have spent up to a moment.
-type reading struct {
+// sample is the cumulative usage of a process and its links at a point in time.
+type sample struct {
 	at             time.Time
 	use            usage
 	sent, received float64 // bytes on links, below TLS
@@ -35,9 +35,9 @@
 	storeSegments  float64
 }
 
-// read takes a reading. segs and r may be nil.
-func read(ctx context.Context, pid int, admin string, segs *segments, r *relay) (reading, error) {
-	out := reading{at: time.Now()}
+// takeSample takes a sample. segs and r may be nil.
+func takeSample(ctx context.Context, pid int, admin string, segs *segments, r *relay) (sample, error) {
+	out := sample{at: time.Now()}
 	var err error
 	if out.use, err = readUsage(pid); err != nil {
 		return out, err
@@ -84,8 +84,8 @@
 	return g.Value, nil
 }
 
-// addRest adds what one process spent between two readings, over x.
-func (s *Section) addRest(prefix, over string, x float64, a, b reading) {
+// addIdle adds the usage of one process between two samples, over x.
+func (s *Section) addIdle(prefix, over string, x float64, a, b sample) {
 	t := b.at.Sub(a.at).Seconds()
 	s.add(prefix+"link bytes sent", "B/s", over, x, (b.sent-a.sent)/t)
 	s.add(prefix+"link bytes received", "B/s", over, x, (b.received-a.received)/t)
@@ -97,42 +97,42 @@
 			(b.store-a.store+headerBytes*(b.storeSegments-a.storeSegments))/t)
 	}
 	s.add(prefix+"processor", "% of a core", over, x, 100*(b.use.cpu-a.use.cpu).Seconds()/t)
-	s.add(prefix+"resident memory", "MiB", over, x, b.use.resident/mega)
-	s.add(prefix+"of it anonymous", "MiB", over, x, b.use.anonymous/mega)
+	s.add(prefix+"resident memory", "MiB", over, x, b.use.resident/mebibyte)
+	s.add(prefix+"of it anonymous", "MiB", over, x, b.use.anonymous/mebibyte)
 }
 
-// entryRest measures entries without work by the number of linked sidecars, all
-// sizes at once.
-func (r *runner) entryRest(ctx context.Context, tls bool) (Section, error) {
+// idleEntries measures idle entries by the number of linked sidecars, all sizes
+// concurrently.
+func (r *runner) idleEntries(ctx context.Context, tls bool) (Section, error) {
 	s := Section{Title: "entry at rest"}
 	if tls {
 		s.Title += ", TLS"
 	}
 	sizes := r.sizes([]int{25, 50, 100, 200, 400}, []int{10, 25, 50, 100})
 	var mu sync.Mutex
-	points := make(map[int][2]reading)
-	err := each(sizes, func(n int) error {
-		a, b, err := r.entryAtRest(ctx, n, tls)
+	points := make(map[int][2]sample)
+	err := forEachSize(sizes, func(n int) error {
+		a, b, err := r.idleEntry(ctx, n, tls)
 		mu.Lock()
 		defer mu.Unlock()
-		points[n] = [2]reading{a, b}
+		points[n] = [2]sample{a, b}
 		return err
 	})
 	for _, n := range sizes {
-		s.addRest("", "links", float64(n), points[n][0], points[n][1])
+		s.addIdle("", "links", float64(n), points[n][0], points[n][1])
 	}
 	return s, err
 }
 
-func (r *runner) entryAtRest(ctx context.Context, n int, secure bool) (a, b reading, err error) {
-	l, err := lab.Bare("capacity", r.Bin)
+func (r *runner) idleEntry(ctx context.Context, n int, secure bool) (a, b sample, err error) {
+	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
 		return a, b, err
 	}
 	defer l.Stop()
 	set := entry.DefaultSettings()
 	set.ID, set.Zone = fmt.Sprintf("entry-%d", n), "zone-a"
-	conf, err := r.secure(secure, l.Dir(), &set.TLS)
+	conf, err := r.newTLSConfig(secure, l.Dir(), &set.TLS)
 	if err != nil {
 		return a, b, err
 	}
@@ -141,7 +141,7 @@
 		return a, b, err
 	}
 	defer f.close()
-	w, err := newWorld(ctx, f.backends("service", n), 1)
+	w, err := newRelayedPlatform(ctx, f.backends("service", n), 1)
 	if err != nil {
 		return a, b, err
 	}
@@ -154,72 +154,72 @@
 	if err := l.Await(ctx, at.Admin+"/healthz"); err != nil {
 		return a, b, err
 	}
-	if !until(ctx, linkTime, func() bool { return f.segs.connections() == n && f.lowestHead() == w.store.head }) {
-		return a, b, merry.Errorf("%d of %d links came up", f.segs.connections(), n)
+	if !waitFor(ctx, linkTimeout, func() bool { return f.segs.connections() == n && f.lowestHead() == w.store.head }) {
+		return a, b, merry.Errorf("%d of %d links were established", f.segs.connections(), n)
 	}
-	return r.window(ctx, func() (reading, error) { return read(ctx, at.PID(), at.Admin, &f.segs, w.relay) })
+	return r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, &f.segs, w.relay) })
 }
 
-// window takes a reading after the settling time and another after the window.
-func (r *runner) window(ctx context.Context, read func() (reading, error)) (a, b reading, err error) {
-	pause(ctx, settleTime)
+// sampleWindow takes a sample after the settling time and another after the window.
+func (r *runner) sampleWindow(ctx context.Context, read func() (sample, error)) (a, b sample, err error) {
+	sleep(ctx, settleTime)
 	if a, err = read(); err != nil {
 		return a, b, err
 	}
-	pause(ctx, r.restWindow())
+	sleep(ctx, r.idleWindow())
 	b, err = read()
 	return a, b, err
 }
 
-// world is a platform with a configuration, behind a relay.
-type world struct {
+// relayedPlatform is a platform with a configuration, behind a relay.
+type relayedPlatform struct {
 	store *localStore
 	relay *relay
 }
 
-func newWorld(ctx context.Context, backends []contract.Backend, teams int) (*world, error) {
+func newRelayedPlatform(ctx context.Context, backends []contract.Backend, customers int) (*relayedPlatform, error) {
 	st, err := newStore()
 	if err != nil {
 		return nil, err
 	}
-	w := &world{store: st}
+	w := &relayedPlatform{store: st}
 	if w.relay, err = newRelay(st.server.Addr()); err != nil {
 		st.server.Stop()
 		return nil, err
 	}
-	if err := st.configure(ctx, exampleContracts(teams), backends); err != nil {
+	if err := st.configure(ctx, exampleContracts(customers), backends); err != nil {
 		w.close()
 		return nil, err
 	}
 	return w, nil
 }
 
-func (w *world) close() {
+func (w *relayedPlatform) close() {
 	w.relay.close()
 	w.store.server.Stop()
 }
 
-// sidecarRest measures sidecars without work by the number of linked entries.
-func (r *runner) sidecarRest(ctx context.Context) (Section, error) {
+// idleSidecars measures idle sidecars by the number of linked entries.
+func (r *runner) idleSidecars(ctx context.Context) (Section, error) {
 	s := Section{Title: "sidecar at rest"}
 	sizes := r.sizes([]int{10, 25, 50, 100, 200}, []int{10, 25, 50, 100})
 	var mu sync.Mutex
-	points := make(map[int][2]reading)
-	err := each(sizes, func(n int) error {
-		a, b, err := r.sidecarAtRest(ctx, n)
+	points := make(map[int][2]sample)
+	err := forEachSize(sizes, func(n int) error {
+		a, b, err := r.idleSidecar(ctx, n)
 		mu.Lock()
 		defer mu.Unlock()
-		points[n] = [2]reading{a, b}
+		points[n] = [2]sample{a, b}
 		return err
 	})
 	for _, n := range sizes {
-		s.addRest("", "links", float64(n), points[n][0], points[n][1])
+		s.addIdle("", "links", float64(n), points[n][0], points[n][1])
 	}
 	return s, err
 }
 
-func (r *runner) sidecarAtRest(ctx context.Context, n int) (a, b reading, err error) {
-	l, err := lab.Bare("capacity", r.Bin)
+func (r *runner) idleSidecar(ctx context.Context, n int) (a, b sample, err error) {
+	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
 		return a, b, err
 	}
@@ -240,14 +240,14 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go linkPeers(ctx, at.Address, n, &segs)
-	if !until(ctx, linkTime, func() bool { return segs.connections() >= n }) {
-		return a, b, merry.Errorf("%d of %d links came up", segs.connections(), n)
+	if !waitFor(ctx, linkTimeout, func() bool { return segs.connections() >= n }) {
+		return a, b, merry.Errorf("%d of %d links were established", segs.connections(), n)
 	}
-	return r.window(ctx, func() (reading, error) { return read(ctx, at.PID(), at.Admin, &segs, nil) })
+	return r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, &segs, nil) })
 }
 
-// each runs f for all sizes at once and returns the first error.
-func each(sizes []int, f func(int) error) error {
+// forEachSize runs f for all sizes concurrently and returns the first error.
+func forEachSize(sizes []int, f func(int) error) error {
 	errs := make(chan error, len(sizes))
 	for _, n := range sizes {
 		go func() { errs <- f(n) }()
--- a/load/capacity/load.go
+++ b/load/capacity/load.go
@@ -21,24 +21,25 @@
 	loadKey      = "key-of-measured"
 	promptTokens = 200
 	baseTokens   = 16
-	manyPlaces   = 400
+	manySlots    = 400
 )
 
-// quickEngine decodes one token for each of many runs every 10 ms.
+// quickEngine returns an engine that decodes one token for each of many runs every 10 ms.
 func quickEngine() lab.Engine {
 	return lab.Engine{
-		Places: manyPlaces, StepBase: 10 * time.Millisecond, PrefillRate: 1e6, LinkRate: 1e12,
+		DecodeSlots: manySlots, StepBase: 10 * time.Millisecond, PrefillRate: 1e6, LinkRate: 1e12,
 		KVBytesPerToken: 1024, KVTTL: time.Minute, CacheTokens: 100000, LoadLag: time.Second,
 	}
 }
 
-// loadPoint is one load offered: requests a second and tokens of each answer.
+// loadPoint is one offered load: requests per second and tokens per answer.
 type loadPoint struct {
 	rate, tokens int
 	unrepeatable bool
 }
 
-// loadPoints vary one of the two at a time.
+// loadPoints returns one series of loads that varies the rate and one that varies the
+// tokens.
 func (r *runner) loadPoints(rates []int, rate int) (byRate, byTokens []loadPoint) {
 	for _, x := range rates {
 		byRate = append(byRate, loadPoint{rate: x, tokens: baseTokens})
@@ -52,7 +53,7 @@
 func (p loadPoint) class() *load.Class {
 	return &load.Class{
 		Customer: load.Customer{ID: loadCustomer, Brand: "Measured", Key: loadKey, Share: 1},
-		Name:     p.className(), Model: loadModel, Own: load.Fixed(promptTokens), Answer: load.Fixed(p.tokens),
+		Name:     p.className(), Model: loadModel, Unique: load.Fixed(promptTokens), Answer: load.Fixed(p.tokens),
 		TTFT: 10 * time.Second, TBT: time.Second, Deadline: 30 * time.Second, Unrepeatable: p.unrepeatable,
 	}
 }
@@ -77,18 +78,18 @@
 	return c
 }
 
-// offered is what one load has cost a process.
-type offered struct {
+// loadCost is the cost of one load to a process.
+type loadCost struct {
 	requests, tokens float64
-	a, b             reading
+	a, b             sample
 	frames           []Frames
-	calls            [2]calls
+	calls            [2]platformCalls
 }
 
-// offer loads target for a window, and takes readings before and after it. The
-// process is at rest at both, so that all of the work lies in between.
-func (r *runner) offer(ctx context.Context, p loadPoint, target string, read func() (reading, error)) (offered, error) {
-	var o offered
+// offerLoad offers load to target for a window, and takes samples before and after it. The
+// process is idle at both, so that all of the work lies in between.
+func (r *runner) offerLoad(ctx context.Context, p loadPoint, target string, read func() (sample, error)) (loadCost, error) {
+	var o loadCost
 	c := load.NewClient([]string{target})
 	defer c.Close()
 	length := 8 * time.Second
@@ -117,8 +118,8 @@
 	return o, nil
 }
 
-// addLoad adds the rates of one load over x.
-func (s *Section) addLoad(over string, x float64, o offered) {
+// addLoad adds the resource usage rates of one load over x.
+func (s *Section) addLoad(over string, x float64, o loadCost) {
 	t := o.b.at.Sub(o.a.at).Seconds()
 	s.add("processor", "ms/s", over, x, 1000*(o.b.use.cpu-o.a.use.cpu).Seconds()/t)
 	s.add("link bytes sent", "B/s", over, x, (o.b.sent-o.a.sent)/t)
@@ -126,13 +127,13 @@
 	if o.b.segments > 0 {
 		s.add("TCP segments, both ways", "1/s", over, x, (o.b.segments-o.a.segments)/t)
 	}
-	s.add("resident memory", "MiB", over, x, o.b.use.resident/mega)
+	s.add("resident memory", "MiB", over, x, o.b.use.resident/mebibyte)
 }
 
-// series offers both series of loads and fits what each request and each token
-// costs: the line over the rates at a fixed length gives a request with its
-// tokens, the line over the tokens gives one token.
-func (s *Section) series(byRate, byTokens []loadPoint, one func(loadPoint) (offered, error)) error {
+// measureSeries offers both series of loads and fits the cost of each request and each
+// token: the slope over the rates at a fixed length is the cost of a request with its
+// tokens, the slope over the tokens is the cost of one token.
+func (s *Section) measureSeries(byRate, byTokens []loadPoint, one func(loadPoint) (loadCost, error)) error {
 	for _, p := range byRate {
 		o, err := one(p)
 		if err != nil {
@@ -152,16 +153,16 @@
 	return nil
 }
 
-// loadSite is one entry before engines.
-type loadSite struct {
-	lab   *lab.Lab
-	farm  *farm
-	world *world
+// loadDeployment is one entry in front of engines.
+type loadDeployment struct {
+	lab      *lab.Lab
+	farm     *sidecarFarm
+	platform *relayedPlatform
 }
 
-func (l *loadSite) close() {
-	if l.world != nil {
-		l.world.close()
+func (l *loadDeployment) close() {
+	if l.platform != nil {
+		l.platform.close()
 	}
 	if l.farm != nil {
 		l.farm.close()
@@ -169,21 +170,22 @@
 	l.lab.Stop()
 }
 
-// begin starts engines and, before them, a farm or one sidecar, and an entry.
-func (r *runner) begin(ctx context.Context, engines int, process bool) (*loadSite, error) {
-	l, err := lab.Bare("capacity", r.Bin)
+// startLoadDeployment starts engines, their sidecars as a farm or as processes, and an
+// entry.
+func (r *runner) startLoadDeployment(ctx context.Context, engines int, process bool) (*loadDeployment, error) {
+	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
 		return nil, err
 	}
-	site := &loadSite{lab: l}
-	if err := site.start(ctx, r, engines, process); err != nil {
-		site.close()
+	d := &loadDeployment{lab: l}
+	if err := d.start(ctx, r, engines, process); err != nil {
+		d.close()
 		return nil, err
 	}
-	return site, nil
+	return d, nil
 }
 
-func (l *loadSite) start(ctx context.Context, r *runner, engines int, process bool) error {
+func (l *loadDeployment) start(ctx context.Context, r *runner, engines int, process bool) error {
 	if err := l.lab.StartEngines(lab.Pool{Model: loadModel, Role: string(engine.RoleMixed), Count: engines, Engine: quickEngine()}); err != nil {
 		return err
 	}
@@ -191,20 +193,20 @@
 	if err != nil {
 		return err
 	}
-	if l.world, err = newWorld(ctx, backends, 0); err != nil {
+	if l.platform, err = newRelayedPlatform(ctx, backends, 0); err != nil {
 		return err
 	}
-	if err := l.world.store.configure(ctx, []*contract.Contract{loadContract()}, nil); err != nil {
+	if err := l.platform.store.configure(ctx, []*contract.Contract{loadContract()}, nil); err != nil {
 		return err
 	}
-	if err := r.addEntry(ctx, l.lab, l.world.relay.url()); err != nil {
+	if err := r.addEntry(ctx, l.lab, l.platform.relay.url()); err != nil {
 		return err
 	}
-	return l.warm(ctx)
+	return l.awaitServing(ctx)
 }
 
-// sidecars starts a process for each engine, or a farm.
-func (l *loadSite) sidecars(ctx context.Context, process bool) ([]contract.Backend, error) {
+// sidecars starts a sidecar process for each engine, or a farm.
+func (l *loadDeployment) sidecars(ctx context.Context, process bool) ([]contract.Backend, error) {
 	var out []contract.Backend
 	var urls []string
 	for i, e := range l.lab.Engines {
@@ -238,17 +240,17 @@
 	return out, nil
 }
 
-// warm sends requests until they complete.
-func (l *loadSite) warm(ctx context.Context) error {
+// awaitServing sends requests until one completes.
+func (l *loadDeployment) awaitServing(ctx context.Context) error {
 	c := load.NewClient([]string{l.lab.Targets[0]})
 	defer c.Close()
-	deadline := time.Now().Add(linkTime)
+	deadline := time.Now().Add(linkTimeout)
 	for i := uint64(0); ; i++ {
 		res := c.Do(ctx, load.NewRequest(loadPoint{tokens: 2}.class(), i, "warm"), time.Now())
 		if res.Verdict.Completed() {
 			return nil
 		}
-		if time.Now().After(deadline) || !pause(ctx, 10*pollPause) {
+		if time.Now().After(deadline) || !sleep(ctx, 10*pollInterval) {
 			return merry.Errorf("entry does not serve: %s %s", res.Verdict, res.Reason)
 		}
 	}
--- a/load/capacity/operator.go
+++ b/load/capacity/operator.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// pushServers are the backend servers in use, to which a change is handed at once.
-const pushServers = 8
+// activeServers is the number of active backend servers, to which a change is pushed at
+// once.
+const activeServers = 8
 
-// operator measures one operator's command that changes a contract, by the number
-// of records in the table.
+// operator measures one operator command that changes a contract, by the number of records
+// in the table.
 func (r *runner) operator(ctx context.Context) (Section, error) {
 	s := Section{Title: "operator command, one contract changed"}
-	for _, n := range []int{1125, 2250, 3375, planReplicas + planReplaced} {
-		if err := r.operate(ctx, &s, n); err != nil {
+	for _, n := range []int{1125, 2250, 3375, planReplicas + planReplacedPerDay} {
+		if err := r.measureCommand(ctx, &s, n); err != nil {
 			return s, err
 		}
 	}
 	return s, nil
 }
 
-func (r *runner) operate(ctx context.Context, s *Section, backends int) error {
-	l, f, w, err := r.site(ctx, pushServers, planTeams)
+func (r *runner) measureCommand(ctx context.Context, s *Section, backends int) error {
+	l, f, w, err := r.startDeployment(ctx, activeServers, planCustomers)
 	if err != nil {
 		return err
 	}
@@ -32,7 +33,7 @@
 	defer w.close()
 	all := f.backends("service", backends)
 	for i := range all {
-		all[i].Retired = i >= pushServers
+		all[i].Retired = i >= activeServers
 	}
 	if err := w.store.configure(ctx, nil, all); err != nil {
 		return err
@@ -46,7 +47,7 @@
 		return err
 	}
 	a, bytes, start := w.store.calls(), w.relay.bytes.Load(), time.Now()
-	state, err := l.Operate(ctx, w.relay.url(), "contract", "apply", "-f", file, "--yes")
+	state, err := l.RunOperatorCommand(ctx, w.relay.url(), "contract", "apply", "-f", file, "--yes")
 	if err != nil {
 		return err
 	}
--- a/load/capacity/peer.go
+++ b/load/capacity/peer.go
@@ -15,8 +15,8 @@
 	"github.com/hibiscusspur/hibiscusspur/wire"
 )
 
-// linkPeers links n entries without work to the sidecar at addr, and blocks until
-// ctx ends. Each keeps its link as an entry does, and links again when it breaks.
+// linkPeers links n idle entries to the sidecar at addr, and blocks until ctx is done.
+// Each maintains its link as an entry does, and reconnects when it breaks.
 func linkPeers(ctx context.Context, addr string, n int, segs *segments) {
 	var wg sync.WaitGroup
 	for i := range n {
--- a/load/capacity/plan.go
+++ b/load/capacity/plan.go
@@ -1,11 +1,11 @@
 package capacity
 
-// The size that is planned for, as far as measurements use it.
+// The planned size of the system, as far as measurements use it.
 const (
-	planModels   = 32
-	planTeams    = 340
-	planReplicas = 4500
-	planReplaced = 340 // backend servers replaced a day
-	planNodes    = 410
-	planZones    = 6
+	planModels         = 32
+	planCustomers      = 340
+	planReplicas       = 4500
+	planReplacedPerDay = 340 // backend servers replaced a day
+	planNodes          = 410
+	planZones          = 6
 )
--- a/load/capacity/platform.go
+++ b/load/capacity/platform.go
@@ -17,7 +17,7 @@
 	"github.com/hibiscusspur/hibiscusspur/store"
 )
 
-// localStore is a platform in this process, with one writer of the configuration.
+// localStore is a stand-in platform in this process, with one writer of the configuration.
 type localStore struct {
 	server *standin.Server
 	writer *dissemination.Writer
@@ -46,8 +46,8 @@
 	return err
 }
 
-// recordsPerChange bounds one transaction. The whole size so has more revisions than
-// an entry reads one by one.
+// recordsPerChange bounds one transaction. It gives the planned configuration more
+// revisions than an entry reads one by one.
 const recordsPerChange = 50
 
 // configure writes contracts and backend records, several to a revision.
@@ -82,14 +82,14 @@
 	return s.commit(ctx, changes)
 }
 
-// delta is the whole configuration.
+// delta returns the whole configuration.
 func (s *localStore) delta(ctx context.Context) (dissemination.Delta, error) {
 	state := dissemination.NewState()
 	err := dissemination.NewReader(store.NewHTTPTable(s.url(), nil), state).Poll(ctx)
 	return state.Since(0), err
 }
 
-// listVMs puts n VMs on the platform's list.
+// listVMs adds n VMs to the platform's list.
 func (s *localStore) listVMs(ctx context.Context, n int) error {
 	for i := range n {
 		body, err := json.Marshal(store.VM{ID: serverID(i), Zone: "zone-a", State: store.VMLive})
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// exampleContract is the contract of one of many customers.
+// exampleContract returns the contract of one of many customers.
 func exampleContract(i int, revision int) *contract.Contract {
 	name := fmt.Sprintf("team-%03d", i)
 	c := &contract.Contract{
--- a/load/capacity/platformrest.go
+++ b/load/capacity/platformidle.go
@@ -15,23 +15,23 @@
 	"github.com/hibiscusspur/hibiscusspur/store/memory"
 )
 
-// calls are what a platform has been asked so far.
-type calls struct {
+// platformCalls counts the calls to a platform so far.
+type platformCalls struct {
 	at    time.Time
 	table standin.PortCounters
 	vms   standin.PortCounters
 }
 
-func (s *localStore) calls() calls {
+func (s *localStore) calls() platformCalls {
 	c := s.server.Counters()
-	return calls{time.Now(), c[memory.PortTable], c[memory.PortVMs]}
+	return platformCalls{time.Now(), c[memory.PortTable], c[memory.PortVMs]}
 }
 
-// platformRest counts the calls of entries without work by their number.
-func (r *runner) platformRest(ctx context.Context) (Section, error) {
+// idlePlatformCalls counts the platform calls of idle entries by the number of entries.
+func (r *runner) idlePlatformCalls(ctx context.Context) (Section, error) {
 	s := Section{Title: "calls to the platform at rest"}
 	sizes := r.sizes([]int{1, 2, 4, 8}, []int{1, 2, 3, 4})
-	l, f, w, err := r.site(ctx, 8, 1)
+	l, f, w, err := r.startDeployment(ctx, 8, 1)
 	if err != nil {
 		return s, err
 	}
@@ -44,9 +44,9 @@
 				return s, err
 			}
 		}
-		pause(ctx, settleTime/3)
+		sleep(ctx, settleTime/3)
 		a := w.store.calls()
-		pause(ctx, r.restWindow()/2)
+		sleep(ctx, r.idleWindow()/2)
 		b := w.store.calls()
 		t := b.at.Sub(a.at).Seconds()
 		s.add("table reads", "1/s", "entries", float64(n), float64(b.table.Reads-a.table.Reads)/t)
@@ -56,13 +56,14 @@
 	return s, nil
 }
 
-// site starts a lab, a farm and a platform that knows them.
-func (r *runner) site(ctx context.Context, servers, teams int) (*lab.Lab, *farm, *world, error) {
-	l, err := lab.Bare("capacity", r.Bin)
+// startDeployment starts a lab, a farm and a platform with the backend records of the
+// farm.
+func (r *runner) startDeployment(ctx context.Context, servers, customers int) (*lab.Lab, *sidecarFarm, *relayedPlatform, error) {
+	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	f, w, err := r.farmOf(ctx, servers, teams, nil)
+	f, w, err := r.startFarm(ctx, servers, customers, nil)
 	if err != nil {
 		l.Stop()
 		return nil, nil, nil, err
@@ -70,13 +71,13 @@
 	return l, f, w, nil
 }
 
-// farmOf starts a farm and a platform that knows it.
-func (r *runner) farmOf(ctx context.Context, servers, teams int, conf *tls.Config) (*farm, *world, error) {
+// startFarm starts a farm and a platform with the backend records of the farm.
+func (r *runner) startFarm(ctx context.Context, servers, customers int, conf *tls.Config) (*sidecarFarm, *relayedPlatform, error) {
 	f, err := newFarm(ctx, servers, nil, conf)
 	if err != nil {
 		return nil, nil, err
 	}
-	w, err := newWorld(ctx, f.backends("service", servers), teams)
+	w, err := newRelayedPlatform(ctx, f.backends("service", servers), customers)
 	if err != nil {
 		f.close()
 		return nil, nil, err
@@ -84,7 +85,7 @@
 	return f, w, nil
 }
 
-// addEntry starts one more entry and waits until it knows the configuration.
+// addEntry starts one more entry and waits until it has loaded the configuration.
 func (r *runner) addEntry(ctx context.Context, l *lab.Lab, platform string) error {
 	return startEntry(ctx, l, entry.DefaultSettings(), platform)
 }
@@ -99,15 +100,16 @@
 	return l.Await(ctx, at.Admin+"/healthz")
 }
 
-// vmList measures what the platform's list of VMs costs an entry, by its length.
+// vmList measures the cost of the platform's VM list to an entry, by the length of the
+// list.
 func (r *runner) vmList(ctx context.Context) (Section, error) {
 	s := Section{Title: "list of VMs, one entry"}
 	sizes := r.sizes([]int{0, 1250, 2500, planReplicas + planNodes}, []int{0, 1250, 2500, planReplicas + planNodes})
 	var mu sync.Mutex
-	points := make(map[int][2]reading)
+	points := make(map[int][2]sample)
 	polls := make(map[int]float64)
-	err := each(sizes, func(n int) error {
-		l, f, w, err := r.site(ctx, 4, 1)
+	err := forEachSize(sizes, func(n int) error {
+		l, f, w, err := r.startDeployment(ctx, 4, 1)
 		if err != nil {
 			return err
 		}
@@ -122,11 +124,11 @@
 		}
 		at := l.Entries[0]
 		before := w.store.calls()
-		a, b, err := r.window(ctx, func() (reading, error) { return read(ctx, at.PID(), at.Admin, nil, w.relay) })
+		a, b, err := r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, nil, w.relay) })
 		after := w.store.calls()
 		mu.Lock()
 		defer mu.Unlock()
-		points[n] = [2]reading{a, b}
+		points[n] = [2]sample{a, b}
 		polls[n] = float64(after.vms.Reads-before.vms.Reads) / after.at.Sub(before.at).Seconds()
 		return err
 	})
@@ -140,7 +142,7 @@
 		s.add("platform bytes with headers", "B/s", "VMs", float64(n), bytes)
 		s.add("readings", "1/s", "VMs", float64(n), polls[n])
 		s.add("processor", "% of a core", "VMs", float64(n), 100*(b.use.cpu-a.use.cpu).Seconds()/t)
-		s.add("resident memory", "MiB", "VMs", float64(n), b.use.resident/mega)
+		s.add("resident memory", "MiB", "VMs", float64(n), b.use.resident/mebibyte)
 	}
 	return s, nil
 }
--- a/load/capacity/process.go
+++ b/load/capacity/process.go
@@ -15,10 +15,10 @@
 // clockTicks is the unit of processor times in /proc, USER_HZ, on Linux.
 const clockTicks = 100
 
-// usage is what a process has used and holds.
+// usage is the CPU time and the memory of a process.
 type usage struct {
 	cpu time.Duration
-	// resident and anonymous are in bytes; the latter leaves out the program file.
+	// resident and anonymous are in bytes; the latter excludes the program file.
 	resident, anonymous float64
 }
 
@@ -77,7 +77,8 @@
 	return 0
 }
 
-// loadAverage is that of the machine over the last minute, 0 if it is not known.
+// loadAverage returns the load average of the machine over the last minute, 0 if it is not
+// known.
 func loadAverage() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/load/capacity/relay.go
+++ b/load/capacity/relay.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// relay passes connections on to the platform and counts their bytes, and can be
-// cut as if the platform were out of reach.
+// relay forwards connections to the platform and counts their bytes. It can be cut to make
+// the platform unreachable.
 type relay struct {
 	lis    net.Listener
 	target string
@@ -38,21 +38,21 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-func (r *relay) pass(c net.Conn) {
-	defer r.forget(c)
-	if !r.keep(c) {
+func (r *relay) forward(c net.Conn) {
+	defer r.closeConn(c)
+	if !r.track(c) {
 		return
 	}
 	out, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	defer r.forget(out)
-	if !r.keep(out) {
+	defer r.closeConn(out)
+	if !r.track(out) {
 		return
 	}
 	go r.copy(out, c)
@@ -60,38 +60,38 @@
 }
 
 func (r *relay) copy(to, from net.Conn) {
-	_, _ = io.Copy(counted{to, &r.bytes}, from)
+	_, _ = io.Copy(countingWriter{to, &r.bytes}, from)
 	_ = to.Close()
 }
 
-// counted counts as it writes, since a connection is kept for long.
-type counted struct {
+// countingWriter counts bytes as it writes them, since connections are long-lived.
+type countingWriter struct {
 	io.Writer
 	bytes *atomic.Int64
 }
 
 // Write implements io.Writer.
-func (c counted) Write(p []byte) (int, error) {
+func (c countingWriter) Write(p []byte) (int, error) {
 	n, err := c.Writer.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (r *relay) keep(c net.Conn) bool {
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns[c] = struct{}{}
 	return !r.cut
 }
 
-func (r *relay) forget(c net.Conn) {
+func (r *relay) closeConn(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 }
 
-// setCut ends all connections and refuses new ones, or takes them again.
+// setCut closes all connections and refuses new ones, or accepts connections again.
 func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/load/capacity/report.go
+++ b/load/capacity/report.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 )
 
-// Series is one figure measured at several sizes, with its line.
+// Series is one figure measured at several sizes, with its fitted line.
 type Series struct {
-	// Name says what was measured, Unit in which unit, and Over over what.
+	// Name is the measured quantity, Unit its unit, and Over the quantity of X.
 	Name string    `json:"name"`
 	Unit string    `json:"unit"`
 	Over string    `json:"over"`
@@ -25,10 +25,11 @@
 	Value float64 `json:"value"`
 }
 
-// Section is the outcome of one measurement.
+// Section is the result of one measurement.
 type Section struct {
 	Title string `json:"title"`
-	// Load is the load average of the machine before and after it.
+	// LoadBefore and LoadAfter are the load average of the machine before and after the
+	// measurement.
 	LoadBefore float64   `json:"load_average_before"`
 	LoadAfter  float64   `json:"load_average_after"`
 	Series     []*Series `json:"series,omitempty"`
@@ -36,7 +37,7 @@
 	Frames     []Frames  `json:"frames,omitempty"`
 }
 
-// Report is all that one run has measured.
+// Report holds the results of one run.
 type Report struct {
 	Started  string    `json:"started"`
 	Quick    bool      `json:"quick"`
@@ -44,12 +45,12 @@
 	Sections []Section `json:"sections"`
 }
 
-// add appends a point to the series of that name, unit and scale.
+// add appends a point to the series with that name and x axis.
 func (s *Section) add(name, unit, over string, x, y float64) {
-	for _, have := range s.Series {
-		if have.Name == name && have.Over == over {
-			have.X, have.Y = append(have.X, x), append(have.Y, y)
-			have.Fit = NewFit(have.X, have.Y)
+	for _, series := range s.Series {
+		if series.Name == name && series.Over == over {
+			series.X, series.Y = append(series.X, x), append(series.Y, y)
+			series.Fit = NewFit(series.X, series.Y)
 			return
 		}
 	}
@@ -60,7 +61,7 @@
 	s.Figures = append(s.Figures, Figure{name, unit, value})
 }
 
-// WriteTable prints every section with its raw figures and lines.
+// WriteTable prints every section with its raw figures and fitted lines.
 func (r *Report) WriteTable(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "started %s, %d cores\n", r.Started, r.Cores)
--- a/load/capacity/run.go
+++ b/load/capacity/run.go
@@ -16,42 +16,42 @@
 type Options struct {
 	// Bin is the directory of the programs hibiscusspur and standin.
 	Bin string
-	// Quick takes short windows and small sizes.
+	// Quick uses short windows and small sizes.
 	Quick bool
 	// Only names the measurements to run; none means all.
 	Only []string
-	// Done, if set, is told of each section as it ends; it is called concurrently.
+	// Done, if set, is called concurrently with each section as it completes.
 	Done func(Section)
 }
 
 type runner struct{ Options }
 
-// measurement is one part of a run. Quiet ones are of processes without work, and
-// are taken at the same time.
+// measurement is one part of a run. Idle ones measure processes without work, and run at
+// the same time.
 type measurement struct {
-	name  string
-	quiet bool
-	run   func(context.Context) (Section, error)
+	name string
+	idle bool
+	run  func(context.Context) (Section, error)
 }
 
 func (r *runner) measurements() []measurement {
 	return []measurement{
 		{"state", false, r.state},
-		{"entry-rest", true, func(ctx context.Context) (Section, error) { return r.entryRest(ctx, false) }},
-		{"entry-rest-tls", true, func(ctx context.Context) (Section, error) { return r.entryRest(ctx, true) }},
-		{"sidecar-rest", true, r.sidecarRest},
-		{"platform", true, r.platformRest},
+		{"entry-rest", true, func(ctx context.Context) (Section, error) { return r.idleEntries(ctx, false) }},
+		{"entry-rest-tls", true, func(ctx context.Context) (Section, error) { return r.idleEntries(ctx, true) }},
+		{"sidecar-rest", true, r.idleSidecars},
+		{"platform", true, r.idlePlatformCalls},
 		{"vm-list", true, r.vmList},
 		{"whole", true, func(ctx context.Context) (Section, error) { return r.whole(ctx, false) }},
 		{"whole-tls", true, func(ctx context.Context) (Section, error) { return r.whole(ctx, true) }},
 		{"operator", false, r.operator},
-		{"change", false, r.change},
-		{"entry-load", false, r.entryLoad},
-		{"sidecar-load", false, r.sidecarLoad},
+		{"change", false, r.changeCosts},
+		{"entry-load", false, r.loadedEntry},
+		{"sidecar-load", false, r.loadedSidecar},
 	}
 }
 
-// Names are those of the measurements.
+// Names returns the names of the measurements.
 func Names() []string {
 	var out []string
 	for _, m := range new(runner).measurements() {
@@ -60,13 +60,12 @@
 	return out
 }
 
-// Run takes the measurements. After an error the report holds those that were
-// complete.
+// Run takes the measurements. After an error the report holds those that completed.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r := &runner{o}
 	rep := &Report{Started: time.Now().UTC().Format(time.RFC3339), Quick: o.Quick, Cores: runtime.NumCPU()}
 	for _, stage := range stages(r.measurements(), o.wants) {
-		sections, err := r.take(ctx, stage)
+		sections, err := r.runStage(ctx, stage)
 		rep.Sections = append(rep.Sections, sections...)
 		if err != nil {
 			return rep, err
@@ -75,30 +74,30 @@
 	return rep, nil
 }
 
-// stages groups the wanted measurements: quiet ones in a row go together.
+// stages groups the wanted measurements: consecutive idle ones share a stage.
 func stages(all []measurement, wants func(string) bool) [][]measurement {
 	var out [][]measurement
-	quiet := false
+	idle := false
 	for _, m := range all {
 		if !wants(m.name) {
 			continue
 		}
-		if !quiet || !m.quiet {
+		if !idle || !m.idle {
 			out = append(out, nil)
 		}
 		out[len(out)-1] = append(out[len(out)-1], m)
-		quiet = m.quiet
+		idle = m.idle
 	}
 	return out
 }
 
-// take runs the measurements of one stage, and returns the sections of those that
-// were complete and the first error.
-func (r *runner) take(ctx context.Context, stage []measurement) ([]Section, error) {
+// runStage runs the measurements of one stage, and returns the sections of those that
+// completed, and the first error.
+func (r *runner) runStage(ctx context.Context, stage []measurement) ([]Section, error) {
 	sections, errs := make([]*Section, len(stage)), make([]error, len(stage))
 	var wg sync.WaitGroup
 	for i, m := range stage {
-		wg.Go(func() { sections[i], errs[i] = r.one(ctx, m) })
+		wg.Go(func() { sections[i], errs[i] = r.runOne(ctx, m) })
 	}
 	wg.Wait()
 	var out []Section
@@ -113,7 +112,7 @@
 	return out, first
 }
 
-func (r *runner) one(ctx context.Context, m measurement) (*Section, error) {
+func (r *runner) runOne(ctx context.Context, m measurement) (*Section, error) {
 	before := loadAverage()
 	s, err := m.run(ctx)
 	if err == nil {
@@ -141,7 +140,7 @@
 	return false
 }
 
-// sizes are the full or the quick ones.
+// sizes returns the quick sizes in a quick run, otherwise the full ones.
 func (r *runner) sizes(full, quick []int) []int {
 	if r.Quick {
 		return quick
@@ -149,18 +148,18 @@
 	return full
 }
 
-// restWindow is how long a process without work is watched: whole numbers of
-// heartbeats of idle links.
-func (r *runner) restWindow() time.Duration {
+// idleWindow is how long an idle process is measured: a multiple of the heartbeat interval
+// of idle links.
+func (r *runner) idleWindow() time.Duration {
 	if r.Quick {
 		return 10 * time.Second
 	}
 	return 30 * time.Second
 }
 
-// secure makes certificates in dir when secure is set, and returns the other end's
-// configuration.
-func (r *runner) secure(secure bool, dir string, set *security.Settings) (*tls.Config, error) {
+// newTLSConfig creates certificates in dir when secure is set, writes their paths to set,
+// and returns the TLS configuration of the other end.
+func (r *runner) newTLSConfig(secure bool, dir string, set *security.Settings) (*tls.Config, error) {
 	if !secure {
 		return nil, nil
 	}
--- a/load/capacity/segments.go
+++ b/load/capacity/segments.go
@@ -12,14 +12,14 @@
 // headerBytes are the IPv4 and TCP headers of one segment with the timestamp option.
 const headerBytes = 20 + 20 + 12
 
-// segments counts TCP segments as the kernel does for one end of connections:
-// pure acknowledgements are among them. It is safe for concurrent use.
+// segments counts TCP segments by the kernel's counters for one end of each connection,
+// pure acknowledgements included. It is safe for concurrent use.
 type segments struct {
 	mu    sync.Mutex
 	conns []*net.TCPConn
 }
 
-// add counts a connection from now on.
+// add includes a connection in the counts.
 func (s *segments) add(c net.Conn) {
 	for {
 		inner, ok := c.(interface{ NetConn() net.Conn })
@@ -51,10 +51,10 @@
 	return sent, received
 }
 
-// established is the state of a connection that is up.
+// established is the kernel's state number of an established connection.
 const established = 1
 
-// connections is the number of connections that are up.
+// connections returns the number of established connections.
 func (s *segments) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/load/capacity/state.go
+++ b/load/capacity/state.go
@@ -13,17 +13,17 @@
 // records alone, as in a sidecar, and with the lookup tables of an entry.
 func (r *runner) state(context.Context) (Section, error) {
 	s := Section{Title: "state of the configuration"}
-	for _, n := range []int{85, 170, 255, planTeams} {
-		s.add("contracts, records", "B", "contracts", float64(n), heldBy(exampleRecords(n, 0), false))
-		s.add("contracts, records and index", "B", "contracts", float64(n), heldBy(exampleRecords(n, 0), true))
+	for _, n := range []int{85, 170, 255, planCustomers} {
+		s.add("contracts, records", "B", "contracts", float64(n), heapOf(exampleRecords(n, 0), false))
+		s.add("contracts, records and index", "B", "contracts", float64(n), heapOf(exampleRecords(n, 0), true))
 	}
-	for _, n := range []int{1125, 2250, 3375, planReplicas + planReplaced} {
-		s.add("backends, records", "B", "backends", float64(n), heldBy(exampleRecords(0, n), false))
-		s.add("backends, records and index", "B", "backends", float64(n), heldBy(exampleRecords(0, n), true))
+	for _, n := range []int{1125, 2250, 3375, planReplicas + planReplacedPerDay} {
+		s.add("backends, records", "B", "backends", float64(n), heapOf(exampleRecords(0, n), false))
+		s.add("backends, records and index", "B", "backends", float64(n), heapOf(exampleRecords(0, n), true))
 	}
-	all := exampleRecords(planTeams, planReplicas+planReplaced)
-	s.figure("whole size, records", "MiB", heldBy(all, false)/mega)
-	s.figure("whole size, records and index", "MiB", heldBy(all, true)/mega)
+	all := exampleRecords(planCustomers, planReplicas+planReplacedPerDay)
+	s.figure("whole size, records", "MiB", heapOf(all, false)/mebibyte)
+	s.figure("whole size, records and index", "MiB", heapOf(all, true)/mebibyte)
 	return s, nil
 }
 
@@ -33,7 +33,7 @@
 		var out []dissemination.Record
 		add := func(key string, body []byte, err error) {
 			if err != nil {
-				panic(fmt.Sprintf("record not encodable: %v", err))
+				panic(fmt.Sprintf("encode record: %v", err))
 			}
 			out = append(out, dissemination.Record{Key: key, Revision: uint64(len(out) + 1), Value: body})
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// heldBy is the heap that a state keeps for the records, in bytes.
-func heldBy(records func() []dissemination.Record, index bool) float64 {
+// heapOf returns the heap that a state holds for the records, in bytes.
+func heapOf(records func() []dissemination.Record, index bool) float64 {
 	before := heap()
 	st := dissemination.NewState()
 	var idx *dissemination.Index
--- a/load/capacity/whole.go
+++ b/load/capacity/whole.go
@@ -11,15 +11,15 @@
 	"github.com/hibiscusspur/hibiscusspur/load/lab"
 )
 
-// wholeFarm is how many sidecars stand for all; an entry has several links to each.
-const wholeFarm = 100
+// wholeSidecars is how many sidecars represent all planned ones; an entry has several
+// links to each.
+const wholeSidecars = 100
 
-// subsetSizes are servers of one model and role to which an entry links.
+// subsetSizes are the numbers of servers of one model and role to which an entry links.
 var subsetSizes = []int{2, 4, 8, 16}
 
-// whole measures an entry without work that holds the whole configuration that is
-// planned for and whose platform lists all VMs, by the number of its links, which
-// the size of its subset decides.
+// whole measures an idle entry with the whole planned configuration, whose platform lists
+// all VMs, by the number of its links, which the size of its subset determines.
 func (r *runner) whole(ctx context.Context, secure bool) (Section, error) {
 	s := Section{Title: "entry at rest with the whole configuration"}
 	if secure {
@@ -27,39 +27,39 @@
 	}
 	var mu sync.Mutex
 	links := make(map[int]int)
-	points := make(map[int][2]reading)
-	err := each(subsetSizes, func(size int) error {
+	points := make(map[int][2]sample)
+	err := forEachSize(subsetSizes, func(size int) error {
 		n, a, b, err := r.wholeEntry(ctx, size, secure)
 		mu.Lock()
 		defer mu.Unlock()
-		links[size], points[size] = n, [2]reading{a, b}
+		links[size], points[size] = n, [2]sample{a, b}
 		return err
 	})
 	for _, size := range subsetSizes {
-		s.addRest("", "links", float64(links[size]), points[size][0], points[size][1])
+		s.addIdle("", "links", float64(links[size]), points[size][0], points[size][1])
 	}
 	return s, err
 }
 
-// wholeEntry returns the number of links and what the entry spent.
-func (r *runner) wholeEntry(ctx context.Context, size int, secure bool) (links int, a, b reading, err error) {
-	l, err := lab.Bare("capacity", r.Bin)
+// wholeEntry returns the number of links and the samples of the entry.
+func (r *runner) wholeEntry(ctx context.Context, size int, secure bool) (links int, a, b sample, err error) {
+	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
 		return 0, a, b, err
 	}
 	defer l.Stop()
 	set := entry.DefaultSettings()
-	conf, err := r.secure(secure, l.Dir(), &set.TLS)
+	conf, err := r.newTLSConfig(secure, l.Dir(), &set.TLS)
 	if err != nil {
 		return 0, a, b, err
 	}
-	f, w, err := r.farmOf(ctx, wholeFarm, planTeams, conf)
+	f, w, err := r.startFarm(ctx, wholeSidecars, planCustomers, conf)
 	if err != nil {
 		return 0, a, b, err
 	}
 	defer f.close()
 	defer w.close()
-	if err := w.prepare(ctx, f); err != nil {
+	if err := w.loadWholeConfig(ctx, f); err != nil {
 		return 0, a, b, err
 	}
 	set.Policy.SubsetSize, set.Policy.Entries, set.Policy.Index = size, planNodes, planNodes-1
@@ -67,13 +67,13 @@
 		return 0, a, b, err
 	}
 	at := l.Entries[0]
-	a, b, err = r.window(ctx, func() (reading, error) { return read(ctx, at.PID(), at.Admin, &f.segs, w.relay) })
+	a, b, err = r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, &f.segs, w.relay) })
 	return f.segs.connections(), a, b, err
 }
 
-// prepare writes the whole configuration and the list of VMs. The sidecars know
-// the configuration already, as those that have been running do.
-func (w *world) prepare(ctx context.Context, f *farm) error {
+// loadWholeConfig writes the whole configuration and the list of VMs. The sidecars already
+// have the configuration, like sidecars that have been running for a while.
+func (w *relayedPlatform) loadWholeConfig(ctx context.Context, f *sidecarFarm) error {
 	if err := w.store.configure(ctx, nil, wholeBackends(f)); err != nil {
 		return err
 	}
@@ -89,10 +89,11 @@
 	return w.store.listVMs(ctx, planReplicas+planNodes)
 }
 
-// wholeBackends are the records of all servers and of those replaced on a day.
-func wholeBackends(f *farm) []contract.Backend {
+// wholeBackends returns the records of all planned servers and of those replaced within a
+// day.
+func wholeBackends(f *sidecarFarm) []contract.Backend {
 	roles := []engine.Role{engine.RolePrefill, engine.RoleDecode}
-	all := f.backends("", planReplicas+planReplaced)
+	all := f.backends("", planReplicas+planReplacedPerDay)
 	for i := range all {
 		all[i].Models = []string{modelName(i % planModels)}
 		all[i].Role = string(roles[i/planModels%len(roles)])
--- a/load/client.go
+++ b/load/client.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	maxConnections  = 8192
-	streamBuffer    = 16 << 10
-	maxErrorBody    = 64 << 10
-	connectTimeout  = 2 * time.Second
-	maxReplyBytes   = 1 << 20
-	deadlineReserve = 2 * time.Second
+	maxConnections = 8192
+	streamBuffer   = 16 << 10
+	maxErrorBody   = 64 << 10
+	connectTimeout = 2 * time.Second
+	maxReplyBytes  = 1 << 20
+	deadlineMargin = 2 * time.Second
 )
 
-// Client sends requests to the entries in turn, as a balancer would, over
-// kept-alive connections. It is safe for concurrent use.
+// Client sends requests to the entries round-robin, like a load balancer, over keep-alive
+// connections. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	targets []string
@@ -50,13 +50,13 @@
 	}}}
 }
 
-// Close drops the connections that are idle.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends one request that was due at a time, and reads the answer to its end.
+// Do sends one request that was scheduled for due, and reads the whole response.
 func (c *Client) Do(ctx context.Context, r *Request, due time.Time) Result {
 	res := Result{ID: r.ID, Late: time.Since(due)}
-	ctx, cancel := context.WithDeadline(ctx, due.Add(r.Class.Deadline+deadlineReserve))
+	ctx, cancel := context.WithDeadline(ctx, due.Add(r.Class.Deadline+deadlineMargin))
 	defer cancel()
 	resp, err := c.send(ctx, r)
 	if err != nil {
@@ -68,26 +68,26 @@
 	case resp.Header.Get(requestIDHeader) != r.ID:
 		res.Verdict, res.Reason = Wrong, "request id of another request"
 	case resp.StatusCode != http.StatusOK:
-		res.refused(resp.Body)
+		res.readError(resp.Body)
 	case r.Class.Service != nil:
-		res.reply(resp.Body, r, due)
+		res.readReply(resp.Body, r, due)
 	default:
 		s := stream{req: r, res: &res, due: due}
 		s.read(resp.Body)
 	}
 	res.Total = time.Since(due)
 	if res.Verdict == "" {
-		res.judge(r.Class)
+		res.checkTargets(r.Class)
 	}
 	return res
 }
 
-// send gives the request to the next entry. Like a balancer, it tries another
-// one when no connection can be made.
+// send sends the request to the next entry. Like a load balancer, it tries another entry
+// when no connection can be established.
 func (c *Client) send(ctx context.Context, r *Request) (*http.Response, error) {
 	first := c.next.Add(1)
 	for i := uint64(0); ; i++ {
-		hr, err := request(ctx, r, c.targets[(first+i)%uint64(len(c.targets))])
+		hr, err := newHTTPRequest(ctx, r, c.targets[(first+i)%uint64(len(c.targets))])
 		if err != nil {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-func request(ctx context.Context, r *Request, target string) (*http.Request, error) {
+func newHTTPRequest(ctx context.Context, r *Request, target string) (*http.Request, error) {
 	method, path := http.MethodPost, "/v1/completions"
 	if s := r.Class.Service; s != nil {
 		method, path = s.Method, "/services/"+s.Service+s.Path
@@ -126,7 +126,7 @@
 	RetryAfterMs int64  `json:"retry_after_ms"`
 }
 
-// event is one server-sent event of an answer.
+// event is one server-sent event of a response.
 type event struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -135,17 +135,17 @@
 	Error *errorBody `json:"error"`
 }
 
-func (res *Result) refused(body io.Reader) {
+func (res *Result) readError(body io.Reader) {
 	data, err := io.ReadAll(io.LimitReader(body, maxErrorBody))
 	var e event
 	if err != nil || json.Unmarshal(data, &e) != nil || e.Error == nil {
 		res.Verdict, res.Reason = Broken, "no error object"
 		return
 	}
-	res.told(e.Error)
+	res.recordError(e.Error)
 }
 
-func (res *Result) told(e *errorBody) {
+func (res *Result) recordError(e *errorBody) {
 	res.Verdict, res.Reason = Verdict(e.Outcome), e.Code
 	res.RetryAfter = time.Duration(e.RetryAfterMs) * time.Millisecond
 	if !slices.Contains([]Verdict{NotRun, Failed, Unknown}, res.Verdict) {
@@ -156,8 +156,8 @@
 	}
 }
 
-// reply checks the answer of a plain service, which repeats the id of the call.
-func (res *Result) reply(body io.Reader, r *Request, due time.Time) {
+// readReply checks the response of a plain service, which echoes the request id.
+func (res *Result) readReply(body io.Reader, r *Request, due time.Time) {
 	data, err := io.ReadAll(io.LimitReader(body, maxReplyBytes))
 	res.TTFT = time.Since(due)
 	switch {
@@ -182,14 +182,14 @@
 	}
 }
 
-// stream reads one streamed answer and checks it token by token.
+// stream reads one streamed response and checks it token by token.
 type stream struct {
 	req      *Request
 	res      *Result
 	due      time.Time
 	last     time.Time
 	finished bool
-	ended    bool
+	done     bool
 }
 
 func (s *stream) read(body io.Reader) {
@@ -197,7 +197,7 @@
 	for s.res.Verdict == "" {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			s.end(err)
+			s.finish(err)
 			return
 		}
 		if data, ok := strings.CutPrefix(strings.TrimSpace(line), "data: "); ok {
@@ -206,9 +206,9 @@
 	}
 }
 
-func (s *stream) end(err error) {
+func (s *stream) finish(err error) {
 	switch {
-	case !s.ended:
+	case !s.done:
 		s.res.Verdict, s.res.Reason = Broken, brokenReason(err)
 	case s.res.Tokens != len(s.req.Answer):
 		s.res.Verdict, s.res.Reason = Wrong, "ended before the whole answer"
@@ -217,24 +217,24 @@
 }
 
 func (s *stream) event(data string) {
-	if s.ended {
-		s.wrong("event after the end")
+	if s.done {
+		s.reject("event after the end")
 		return
 	}
 	if data == "[DONE]" {
-		s.ended = true
+		s.done = true
 		if !s.finished {
-			s.wrong("end without a finish reason")
+			s.reject("end without a finish reason")
 		}
 		return
 	}
 	var e event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		s.wrong("event is no JSON")
+		s.reject("event is no JSON")
 		return
 	}
 	if e.Error != nil {
-		s.res.told(e.Error)
+		s.res.recordError(e.Error)
 		return
 	}
 	for _, c := range e.Choices {
@@ -243,26 +243,26 @@
 	}
 }
 
-func (s *stream) wrong(reason string) { s.res.Verdict, s.res.Reason = Wrong, reason }
+func (s *stream) reject(reason string) { s.res.Verdict, s.res.Reason = Wrong, reason }
 
-// text takes tokens, which must be those that come next in the answer.
+// text checks that the received tokens continue the expected answer.
 func (s *stream) text(text string) {
 	if text == "" {
 		return
 	}
 	if s.finished {
-		s.wrong("token after the finish reason")
+		s.reject("token after the finish reason")
 		return
 	}
 	now := time.Now()
 	for text != "" {
 		if s.res.Tokens == len(s.req.Answer) {
-			s.wrong("more tokens than the answer has")
+			s.reject("more tokens than the answer has")
 			return
 		}
 		rest, ok := strings.CutPrefix(text, s.req.Answer[s.res.Tokens])
 		if !ok {
-			s.wrong("token of another answer or position")
+			s.reject("token of another answer or position")
 			return
 		}
 		text = rest
@@ -280,7 +280,8 @@
 	s.last = now
 }
 
-// percentile returns the value that a share of values does not exceed; zero of none.
+// percentile returns the value that a share of values does not exceed, or zero without
+// values.
 func percentile(values []time.Duration, share float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/load/comparison.go
+++ b/load/comparison.go
@@ -9,10 +9,9 @@
 	"text/tabwriter"
 )
 
-// Comparison is the reports of several variants at several loads and seeds.
+// Comparison holds the reports of several variants at several loads and seeds.
 type Comparison struct {
-	// Variants are in the order of the tables; Baselines are those that the
-	// first is compared with.
+	// Variants are in table order; the first is compared with the Baselines.
 	Variants  []string  `json:"variants"`
 	Baselines []string  `json:"baselines"`
 	Loads     []float64 `json:"loads"`
@@ -20,19 +19,19 @@
 	Reports   []*Report `json:"reports"`
 }
 
-// Spread is a figure over the seeds.
+// Spread is the mean and the range of a measure over the seeds.
 type Spread struct{ Mean, Low, High float64 }
 
 // String returns the mean and the bounds, or a dash when there is no value.
 func (s Spread) String() string {
-	if !s.known() {
+	if !s.hasValue() {
 		return "-"
 	}
 	return fmt.Sprintf("%.3f [%.3f, %.3f]", s.Mean, s.Low, s.High)
 }
 
-// known reports whether there was any value.
-func (s Spread) known() bool { return !math.IsNaN(s.Mean) }
+// hasValue reports whether the spread has a value.
+func (s Spread) hasValue() bool { return !math.IsNaN(s.Mean) }
 
 func spreadOf(values []float64) Spread {
 	if len(values) == 0 {
@@ -45,24 +44,23 @@
 	return Spread{Mean: sum / float64(len(values)), Low: slices.Min(values), High: slices.Max(values)}
 }
 
-// Measure is one figure of a report.
+// Measure extracts one figure from a report.
 type Measure struct {
-	Name string
-	Of   func(*Report) float64
-	// Lower is true when less is better.
-	Lower bool
+	Name          string
+	Value         func(*Report) float64
+	LowerIsBetter bool
 }
 
-// Measures returns the figures that variants are compared by: goodput of each
-// class as a part of that offered, all goodput for model work, and wasted prefill.
+// Measures returns the figures that variants are compared by: the goodput of each class as
+// a share of its offered load, the total goodput, and the wasted prefill.
 func (c *Comparison) Measures() []Measure {
 	var out []Measure
 	for _, cl := range c.Reports[0].Classes {
-		out = append(out, Measure{Name: "good " + cl.Class, Of: func(r *Report) float64 { return r.Class(cl.Class).GoodShare }})
+		out = append(out, Measure{Name: "good " + cl.Class, Value: func(r *Report) float64 { return r.Class(cl.Class).GoodShare }})
 	}
-	out = append(out, Measure{Name: "goodput/s of all", Of: (*Report).goodput})
+	out = append(out, Measure{Name: "goodput/s of all", Value: (*Report).goodput})
 	for _, p := range c.Reports[0].Prefill {
-		out = append(out, Measure{Name: "wasted " + p.Group, Lower: true, Of: func(r *Report) float64 { return r.wasted(p.Group) }})
+		out = append(out, Measure{Name: "wasted " + p.Group, LowerIsBetter: true, Value: func(r *Report) float64 { return r.wastedShare(p.Group) }})
 	}
 	return out
 }
@@ -75,7 +73,7 @@
 	return sum
 }
 
-func (r *Report) wasted(group string) float64 {
+func (r *Report) wastedShare(group string) float64 {
 	for _, p := range r.Prefill {
 		if p.Group == group {
 			return p.Share()
@@ -84,7 +82,7 @@
 	return 0
 }
 
-// find returns the report of one cell, or nil.
+// find returns the report of a variant at a load and seed, or nil.
 func (c *Comparison) find(variant string, load float64, seed uint64) *Report {
 	for _, r := range c.Reports {
 		if r.Name == variant && r.Load == load && r.Seed == seed {
@@ -99,20 +97,20 @@
 	var values []float64
 	for _, seed := range c.Seeds {
 		if r := c.find(variant, load, seed); r != nil {
-			values = append(values, m.Of(r))
+			values = append(values, m.Value(r))
 		}
 	}
 	return spreadOf(values)
 }
 
-// Ratio returns a measure of the first variant divided by that of another, seed by seed.
-// Pairs without a divisor are left out.
+// Ratio returns a measure of the first variant divided by that of another, paired by seed.
+// Pairs with a missing or zero divisor are skipped.
 func (c *Comparison) Ratio(m Measure, other string, load float64) Spread {
 	var values []float64
 	for _, seed := range c.Seeds {
 		ours, theirs := c.find(c.Variants[0], load, seed), c.find(other, load, seed)
-		if ours != nil && theirs != nil && m.Of(theirs) > 0 {
-			values = append(values, m.Of(ours)/m.Of(theirs))
+		if ours != nil && theirs != nil && m.Value(theirs) > 0 {
+			values = append(values, m.Value(ours)/m.Value(theirs))
 		}
 	}
 	return spreadOf(values)
@@ -130,7 +128,7 @@
 }
 
 func better(m Measure, a, b float64) bool {
-	if m.Lower {
+	if m.LowerIsBetter {
 		return a < b
 	}
 	return a > b
@@ -199,5 +197,5 @@
 </body></html>
 `))
 
-// WriteHTML writes the comparison as one page that needs no other file.
+// WriteHTML writes the comparison as one self-contained page.
 func (c *Comparison) WriteHTML(out io.Writer) error { return comparisonPage.Execute(out, c) }
--- a/load/comparison_test.go
+++ b/load/comparison_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestComparisonAgainstBestBaseline holds the ratio: seed by seed, to the
-// baseline that is best by its mean.
+// TestComparisonAgainstBestBaseline checks the ratio, paired by seed, to the baseline with
+// the best mean.
 func TestComparisonAgainstBestBaseline(t *testing.T) {
 	c := &Comparison{Variants: []string{"ours", "a", "b"}, Baselines: []string{"a", "b"}, Loads: []float64{1}, Seeds: []uint64{1, 2}}
 	add := func(name string, seed uint64, good float64, done, wasted int) {
@@ -36,8 +36,9 @@
 	assert.NilError(t, c.WriteTable(&page))
 }
 
-// TestTargetsAreJudgedByMeans holds both sides of each target.
-func TestTargetsAreJudgedByMeans(t *testing.T) {
+// TestTargetsUseMeans checks each target with figures that meet it and figures that miss
+// it.
+func TestTargetsUseMeans(t *testing.T) {
 	for _, tc := range []struct {
 		lookups, wasted, past float64
 		met                   int
--- a/load/html.go
+++ b/load/html.go
@@ -29,7 +29,7 @@
 svg text{font:11px sans-serif}</style></head><body>
 `
 
-// WriteHTML writes the report as one page that needs no other file.
+// WriteHTML writes the report as one self-contained page.
 func (r *Report) WriteHTML(out io.Writer) error {
 	var plots []Plot
 	for _, c := range r.Classes {
--- a/load/join.go
+++ b/load/join.go
@@ -1,16 +1,16 @@
 package load
 
-// Join puts the reports of deployments that were loaded at the same time into one.
+// Join merges the reports of deployments that were under load at the same time.
 func Join(parts []*Report) *Report {
 	all := *parts[0]
 	all.Seconds = make(map[string][]Second)
-	all.Classes, all.Prefill, all.Inside, all.Wrong = nil, nil, nil, nil
+	all.Classes, all.Prefill, all.Internal, all.Wrong = nil, nil, nil, nil
 	for _, p := range parts {
 		all.Classes = append(all.Classes, p.Classes...)
 		all.Prefill = append(all.Prefill, p.Prefill...)
-		all.Inside = append(all.Inside, p.Inside...)
+		all.Internal = append(all.Internal, p.Internal...)
 		all.Wrong = append(all.Wrong, p.Wrong...)
-		all.Late = all.Late.worse(p.Late)
+		all.Late = all.Late.maxOf(p.Late)
 		for id, s := range p.Seconds {
 			all.Seconds[id] = s
 		}
@@ -18,6 +18,6 @@
 	return &all
 }
 
-func (q Quantiles) worse(o Quantiles) Quantiles {
+func (q Quantiles) maxOf(o Quantiles) Quantiles {
 	return Quantiles{P50: max(q.P50, o.P50), P95: max(q.P95, o.P95), P99: max(q.P99, o.P99), Max: max(q.Max, o.Max)}
 }
--- a/load/lab/apply.go
+++ b/load/lab/apply.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	readyPatience = 20 * time.Second
-	readyPause    = 50 * time.Millisecond
-	warmPause     = 200 * time.Millisecond
+	readyTimeout  = 20 * time.Second
+	readyInterval = 50 * time.Millisecond
+	serveInterval = 200 * time.Millisecond
 )
 
-// apply writes the backend servers and contracts by the operator's commands.
+// apply registers the backend servers and contracts with operator commands.
 func (l *Lab) apply(ctx context.Context) error {
 	if err := l.await(ctx, l.Platform+"/control/counters"); err != nil {
 		return err
@@ -38,13 +38,13 @@
 			return err
 		}
 	}
-	if err := l.operator(ctx, "backend", "add", "-f", backends, "--yes"); err != nil {
+	if err := l.runOperator(ctx, "backend", "add", "-f", backends, "--yes"); err != nil {
 		return err
 	}
-	return l.operator(ctx, "contract", "apply", "-f", contracts, "--yes")
+	return l.runOperator(ctx, "contract", "apply", "-f", contracts, "--yes")
 }
 
-func (l *Lab) operator(ctx context.Context, args ...string) error {
+func (l *Lab) runOperator(ctx context.Context, args ...string) error {
 	out, err := exec.CommandContext(ctx, l.router, append(args, "--platform", l.Platform)...).CombinedOutput()
 	if err != nil {
 		return merry.Errorf("%v: %w: %s", args, err, out)
@@ -65,20 +65,20 @@
 	return os.WriteFile(filepath.Join(dir, name+".yaml"), data, 0o600)
 }
 
-// Limits that no experiment reaches, unless it is about them.
+// Contract limits that no experiment reaches, unless it tests them.
 const (
-	freeRate       = 10000
-	freeConcurrent = 100000
-	maxTokens      = 100000
+	unlimitedRate        = 10000
+	unlimitedConcurrency = 100000
+	unlimitedTokens      = 100000
 )
 
-// Contracts returns the contracts that the flows of a deployment ask for.
+// Contracts returns the contracts that the flows of a deployment need.
 func Contracts(d Deployment) []*contract.Contract {
 	var out []*contract.Contract
 	for _, f := range d.Flows {
-		c := find(&out, f.Class.Customer)
+		c := findOrAddContract(&out, f.Class.Customer)
 		if f.Class.Service == nil {
-			c.Classes = append(c.Classes, classOf(f.Class))
+			c.Classes = append(c.Classes, contractClass(f.Class))
 			continue
 		}
 		if len(c.Services) == 0 {
@@ -88,7 +88,7 @@
 	return out
 }
 
-func find(list *[]*contract.Contract, customer load.Customer) *contract.Contract {
+func findOrAddContract(list *[]*contract.Contract, customer load.Customer) *contract.Contract {
 	for _, c := range *list {
 		if c.Customer == customer.ID {
 			return c
@@ -97,31 +97,31 @@
 	c := &contract.Contract{
 		Customer: customer.ID, Brand: customer.Brand, Share: customer.Share,
 		Keys:   []contract.Key{{Name: "load", SHA256: contract.HashKey(customer.Key)}},
-		Limits: contract.Limits{RequestsPerSecond: freeRate, Burst: freeRate, Concurrent: freeConcurrent, MaxPromptTokens: maxTokens, MaxOutputTokens: maxTokens, MaxBodyBytes: contract.DefaultMaxBodyBytes},
+		Limits: contract.Limits{RequestsPerSecond: unlimitedRate, Burst: unlimitedRate, Concurrent: unlimitedConcurrency, MaxPromptTokens: unlimitedTokens, MaxOutputTokens: unlimitedTokens, MaxBodyBytes: contract.DefaultMaxBodyBytes},
 	}
 	*list = append(*list, c)
 	return c
 }
 
-func classOf(c *load.Class) contract.Class {
+func contractClass(c *load.Class) contract.Class {
 	return contract.Class{
 		Name: c.Name, Models: []string{c.Model}, Urgency: c.Urgency, Unrepeatable: c.Unrepeatable,
 		TTFT: c.TTFT, TBT: c.TBT, Deadline: c.Deadline,
 	}
 }
 
-// await waits until url answers with a success.
+// await waits until a GET of url succeeds.
 func (l *Lab) await(ctx context.Context, url string) error {
-	ctx, cancel := context.WithTimeout(ctx, readyPatience)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		if Answers(ctx, url) {
 			return nil
 		}
-		if p := l.dead(); p != nil {
-			return merry.Errorf("%s ended: %s", p.name, p.tail(3))
+		if p := l.exitedProcess(); p != nil {
+			return merry.Errorf("%s exited: %s", p.name, p.tail(3))
 		}
-		if !pause(ctx, readyPause) {
+		if !sleep(ctx, readyInterval) {
 			return merry.Errorf("no answer from %s: %w", url, ctx.Err())
 		}
 	}
@@ -141,18 +141,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (l *Lab) dead() *process {
+func (l *Lab) exitedProcess() *process {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.procs {
-		if p.ended() {
+		if p.exited() {
 			return p
 		}
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -161,9 +161,10 @@
 	}
 }
 
-// ready sends requests of every class to every entry until each completes.
-func (l *Lab) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyPatience)
+// awaitServing sends requests of every class to every entry until one of each class
+// completes.
+func (l *Lab) awaitServing(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i, target := range l.Targets {
 		if err := l.await(ctx, target+"/healthz"); err != nil {
@@ -172,7 +173,7 @@
 		c := load.NewClient([]string{target})
 		defer c.Close()
 		for _, f := range l.Deployment.Flows {
-			if err := l.warm(ctx, c, f.Class, uint64(i)); err != nil {
+			if err := l.awaitClass(ctx, c, f.Class, uint64(i)); err != nil {
 				return err
 			}
 		}
@@ -180,18 +181,18 @@
 	return nil
 }
 
-func (l *Lab) warm(ctx context.Context, c *load.Client, class *load.Class, seed uint64) error {
+func (l *Lab) awaitClass(ctx context.Context, c *load.Client, class *load.Class, seed uint64) error {
 	for n := 0; ; n++ {
 		short := *class
-		short.Own, short.Answer, short.Shared = load.Fixed(20), load.Fixed(2), load.Shared{}
+		short.Unique, short.Answer, short.Shared = load.Fixed(20), load.Fixed(2), load.Shared{}
 		res := c.Do(ctx, load.NewRequest(&short, seed, fmt.Sprintf("warm-%s-%d", class.Name, n)), time.Now())
 		if res.Verdict.Completed() {
 			return nil
 		}
-		if p := l.dead(); p != nil {
-			return merry.Errorf("%s ended: %s", p.name, p.tail(3))
+		if p := l.exitedProcess(); p != nil {
+			return merry.Errorf("%s exited: %s", p.name, p.tail(3))
 		}
-		if !pause(ctx, warmPause) {
+		if !sleep(ctx, serveInterval) {
 			return merry.Errorf("class %s is not served: %s %s", class.ID(), res.Verdict, res.Reason)
 		}
 	}
--- a/load/lab/capacity.go
+++ b/load/lab/capacity.go
@@ -6,18 +6,17 @@
 	"github.com/hibiscusspur/hibiscusspur/load"
 )
 
-// Capacity is the rate of requests per second of a class at which the first of
-// its pools is full, by the means of the lengths. No prefix is taken as cached
-// but one that all prompts of the class share among few. It is what a load of 1
-// stands for; what the pools reach in fact is measured.
+// Capacity estimates, from mean lengths, the requests per second of a class at which its
+// bottleneck pool saturates. Only the prefixes of classes with few shared texts count as
+// cached. A load of 1 is this rate; the rate that the pools reach in practice is measured.
 func (d *Deployment) Capacity(c *load.Class) float64 {
 	prefill, decode := d.pool(c.Model, "prefill"), d.pool(c.Model, "decode")
 	if prefill.Count == 0 {
 		mixed := d.pool(c.Model, "mixed")
-		return float64(mixed.Count) / mixed.Engine.busy(c).Seconds()
+		return float64(mixed.Count) / mixed.Engine.serviceTime(c).Seconds()
 	}
-	byPrefill := float64(prefill.Count) / prefill.Engine.prefill(c).Seconds()
-	byDecode := float64(decode.Count*decode.Engine.Places) / decode.Engine.held(c).Seconds()
+	byPrefill := float64(prefill.Count) / prefill.Engine.prefillTime(c).Seconds()
+	byDecode := float64(decode.Count*decode.Engine.DecodeSlots) / decode.Engine.slotTime(c).Seconds()
 	return min(byPrefill, byDecode)
 }
 
@@ -30,31 +29,34 @@
 	return Pool{}
 }
 
-// commonTexts is up to how many shared texts are taken as cached everywhere.
-const commonTexts = 8
+// maxCachedTexts is the largest number of shared texts that are assumed to be cached on
+// every engine.
+const maxCachedTexts = 8
 
-// prefill is the mean time of a prefill.
-func (e Engine) prefill(c *load.Class) time.Duration {
-	tokens := c.Own.Mean
-	if c.Shared.Texts > commonTexts {
+// prefillTime returns the mean time of a prefill.
+func (e Engine) prefillTime(c *load.Class) time.Duration {
+	tokens := c.Unique.Mean
+	if c.Shared.Texts > maxCachedTexts {
 		tokens += c.Shared.Tokens.Mean
 	}
 	return seconds(tokens / e.PrefillRate)
 }
 
-// held is how long a request holds a decode place that is reserved before its prefill.
-func (e Engine) held(c *load.Class) time.Duration {
-	tokens := c.Own.Mean
+// slotTime returns the mean time that a request holds its decode slot, which is reserved
+// before its prefill.
+func (e Engine) slotTime(c *load.Class) time.Duration {
+	tokens := c.Unique.Mean
 	if c.Shared.Texts > 0 {
 		tokens += c.Shared.Tokens.Mean
 	}
 	transfer := seconds(tokens * float64(e.KVBytesPerToken) / e.LinkRate)
-	return e.prefill(c) + transfer + time.Duration(c.Answer.Mean*float64(e.Step()))
+	return e.prefillTime(c) + transfer + time.Duration(c.Answer.Mean*float64(e.Step()))
 }
 
-// busy is the time of an engine that both prefills and decodes for one request.
-func (e Engine) busy(c *load.Class) time.Duration {
-	return e.prefill(c) + time.Duration(c.Answer.Mean*float64(e.Step())/float64(e.Places))
+// serviceTime returns the mean time that one request takes on an engine that both prefills
+// and decodes.
+func (e Engine) serviceTime(c *load.Class) time.Duration {
+	return e.prefillTime(c) + time.Duration(c.Answer.Mean*float64(e.Step())/float64(e.DecodeSlots))
 }
 
 func seconds(s float64) time.Duration {
--- a/load/lab/check.go
+++ b/load/lab/check.go
@@ -14,15 +14,14 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/service"
 )
 
-// Checker watches the requests of an experiment for breaches of what must always
-// hold: answers as their callers see them, calls of plain services by their
-// idempotency keys, and engine memory that is left when all callers have ended.
-// It does not see which request a run in an engine belongs to.
+// Checker checks the invariants of an experiment: answers as their callers see them, calls
+// of plain services by their idempotency keys, and engine memory that is still held after
+// all callers have finished. It can't tell which request a run in an engine belongs to.
 type Checker struct {
 	recorder *invariant.Recorder
 }
 
-// NewChecker returns a check that has seen nothing.
+// NewChecker returns a checker without any events.
 func NewChecker() *Checker { return &Checker{recorder: invariant.NewRecorder()} }
 
 // Sent implements load.Observer.
@@ -53,8 +52,9 @@
 	c.recorder.Add(e)
 }
 
-// finish reads the books of the stand-ins when all requests of l have ended.
-func (c *Checker) finish(ctx context.Context, l *Lab) error {
+// readStandIns records the calls and runs that the stand-ins report after all requests of
+// l have ended.
+func (c *Checker) readStandIns(ctx context.Context, l *Lab) error {
 	for name, url := range l.ServiceURLs {
 		var s service.State
 		if err := getJSON(ctx, url+service.PathState, &s); err != nil {
@@ -66,19 +66,19 @@
 			}
 		}
 	}
-	return c.memory(ctx, l)
+	return c.checkMemory(ctx, l)
 }
 
-// memory waits as long as engines may hold memory for callers that are gone and
-// records what they hold then.
-func (c *Checker) memory(ctx context.Context, l *Lab) error {
+// checkMemory waits for as long as engines may hold memory for departed callers, and
+// records the runs that still hold memory.
+func (c *Checker) checkMemory(ctx context.Context, l *Lab) error {
 	const left = "left"
 	c.recorder.Add(invariant.Event{Kind: invariant.Asked, Request: left})
 	c.recorder.Add(invariant.Event{Kind: invariant.CallerGone, Request: left})
-	pause(ctx, invariant.DefaultBounds().Memory+time.Second)
+	sleep(ctx, invariant.DefaultBounds().Memory+time.Second)
 	for _, e := range l.Engines {
 		var runs []engine.Run
-		if e.proc.ended() {
+		if e.proc.exited() {
 			continue
 		}
 		if err := getJSON(ctx, e.URL+engine.PathRuns, &runs); err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Breaches returns what was found.
+// Breaches returns the breached invariants.
 func (c *Checker) Breaches() []invariant.Breach {
 	return invariant.Check(c.recorder.Events(), invariant.DefaultBounds())
 }
--- a/load/lab/compare.go
+++ b/load/lab/compare.go
@@ -13,15 +13,15 @@
 	Variants []Variant
 	Loads    []float64
 	Seeds    []uint64
-	// Parallel is how many experiments run at the same time. The variants of
-	// one load and seed run next to each other, so that whatever else the
-	// machine does hits all of them.
+	// Parallel is how many experiments run at the same time. The variants of one load and
+	// seed run side by side, so that other work on the machine affects all of them.
 	Parallel int
-	// Done, if set, is told of each report, one at a time.
+	// Done, if set, is called with each report, one at a time.
 	Done func(*load.Report)
 }
 
-// Run returns all reports. After an error nothing is left running.
+// Run runs all experiments and returns their reports. After an error no process is left
+// running.
 func (c Comparison) Run(ctx context.Context) ([]*load.Report, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -54,21 +54,21 @@
 	return reports, context.Cause(ctx)
 }
 
-// cells lists the experiments; the order of the variants turns from one load and
-// seed to the next.
+// cells lists the experiments; the order of the variants rotates from one load and seed to
+// the next.
 func (c Comparison) cells() []Experiment {
 	shared := newPorts()
 	var out []Experiment
-	turn := 0
+	rotation := 0
 	for _, seed := range c.Seeds {
 		for _, l := range c.Loads {
 			for i := range c.Variants {
 				e := c.Base
-				e.Variant = c.Variants[(i+turn)%len(c.Variants)]
+				e.Variant = c.Variants[(i+rotation)%len(c.Variants)]
 				e.Load, e.Seed, e.ports = l, seed, shared
 				out = append(out, e)
 			}
-			turn++
+			rotation++
 		}
 	}
 	return out
--- a/load/lab/counters.go
+++ b/load/lab/counters.go
@@ -12,8 +12,8 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/engine"
 )
 
-// Counters reads the books of every engine, by id. Those that do not answer are
-// left out.
+// Counters reads the counters of every engine, by id. Engines that do not respond are left
+// out.
 func (l *Lab) Counters(ctx context.Context) map[string]engine.Counters {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -46,8 +46,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// Prefill returns the prefill work between two readings, for each model. Work
-// of an engine that has died in between is not in it.
+// Prefill returns the prefill work between two snapshots of the counters, by model. An
+// engine that crashed in between is left out.
 func (l *Lab) Prefill(before, after map[string]engine.Counters) []load.PrefillReport {
 	var out []load.PrefillReport
 	index := make(map[string]int)
@@ -62,12 +62,12 @@
 			index[e.Model] = i
 			out = append(out, load.PrefillReport{Group: e.Model})
 		}
-		add(&out[i], b, a)
+		addPrefill(&out[i], b, a)
 	}
 	return out
 }
 
-func add(p *load.PrefillReport, before, after engine.Counters) {
+func addPrefill(p *load.PrefillReport, before, after engine.Counters) {
 	p.Done += after.PrefillDone - before.PrefillDone
 	p.Cached += after.PrefillCached - before.PrefillCached
 	p.Discarded += after.PrefillDiscarded - before.PrefillDiscarded
@@ -77,9 +77,9 @@
 	p.Wasted = p.Discarded + p.Expired + p.Released
 }
 
-// reasons sums the counters of a prefix, such as metrics.RetriedPrefix, over
-// processes by reason; those at zero are left out.
-func reasons(ctx context.Context, prefix string, admins []string) map[string]int {
+// sumByReason sums the counters whose names have a prefix, such as metrics.RetriedPrefix,
+// over processes by reason; zero counters are left out.
+func sumByReason(ctx context.Context, prefix string, admins []string) map[string]int {
 	out := make(map[string]int)
 	for _, admin := range admins {
 		var counters map[string]struct{ Count int }
@@ -95,16 +95,17 @@
 	return out
 }
 
-// Retries returns what entries have retried since their start, by reason.
+// Retries returns the number of retries by the entries since their start, by reason.
 func (l *Lab) Retries(ctx context.Context) map[string]int {
 	var admins []string
 	for _, e := range l.Entries {
 		admins = append(admins, e.Admin)
 	}
-	return reasons(ctx, metrics.RetriedPrefix, admins)
+	return sumByReason(ctx, metrics.RetriedPrefix, admins)
 }
 
-// Refusals returns what the sidecars of a role have refused since their start, by reason.
+// Refusals returns the number of rejections by the sidecars of a role since their start,
+// by reason.
 func (l *Lab) Refusals(ctx context.Context, role string) map[string]int {
 	var admins []string
 	for _, s := range l.Sidecars {
@@ -112,5 +113,5 @@
 			admins = append(admins, s.Admin)
 		}
 	}
-	return reasons(ctx, metrics.RefusedPrefix, admins)
+	return sumByReason(ctx, metrics.RefusedPrefix, admins)
 }
--- a/load/lab/bare.go
+++ b/load/lab/empty.go
@@ -12,21 +12,21 @@
 	"github.com/hibiscusspur/hibiscusspur/sidecar"
 )
 
-// Bare returns a lab in which nothing runs yet, for experiments that start its
-// processes one by one. Stop must be called.
-func Bare(name, bin string) (*Lab, error) {
+// NewEmpty returns a lab without processes, for experiments that start them one by one.
+// The caller must call Stop.
+func NewEmpty(name, bin string) (*Lab, error) {
 	dir, err := os.MkdirTemp("", "hsload-"+name+"-")
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{dir: dir, starter: newStarter(), ports: barePorts, ServiceURLs: make(map[string]string)}
+	l := &Lab{dir: dir, starter: newStarter(), ports: emptyLabPorts, ServiceURLs: make(map[string]string)}
 	l.Deployment.Zones = []string{"zone-a", "zone-b", "zone-c"}
 	l.router, l.standin = programs(bin)
 	return l, nil
 }
 
-// barePorts are shared by all bare labs of this process.
-var barePorts = newPorts()
+// emptyLabPorts are shared by all labs from NewEmpty in this process.
+var emptyLabPorts = newPorts()
 
 // Dir is the directory of the lab's files, which Stop removes.
 func (l *Lab) Dir() string { return l.dir }
@@ -34,9 +34,9 @@
 // StartEngines starts the engines of a pool in one process.
 func (l *Lab) StartEngines(p Pool) error { return l.startEngineProcess(p, 0, p.Count) }
 
-// StartSidecar starts a sidecar at addresses of its own.
-func (l *Lab) StartSidecar(set sidecar.Settings, b contract.Backend) (SidecarAt, error) {
-	at := SidecarAt{ID: b.ID, Role: b.Role, Zone: b.Zone}
+// StartSidecar starts a sidecar on newly allocated ports.
+func (l *Lab) StartSidecar(set sidecar.Settings, b contract.Backend) (SidecarInstance, error) {
+	at := SidecarInstance{ID: b.ID, Role: b.Role, Zone: b.Zone}
 	if len(b.Models) > 0 {
 		at.Model = b.Models[0]
 	}
@@ -46,10 +46,10 @@
 	return l.Sidecars[len(l.Sidecars)-1], nil
 }
 
-// StartEntry starts an entry at addresses of its own.
-func (l *Lab) StartEntry(set entry.Settings) (EntryAt, error) {
+// StartEntry starts an entry on newly allocated ports.
+func (l *Lab) StartEntry(set entry.Settings) (EntryInstance, error) {
 	if err := l.runEntry(set); err != nil {
-		return EntryAt{}, err
+		return EntryInstance{}, err
 	}
 	return l.Entries[len(l.Entries)-1], nil
 }
@@ -57,14 +57,15 @@
 // Await waits until a GET of url succeeds or a process of the lab ends.
 func (l *Lab) Await(ctx context.Context, url string) error { return l.await(ctx, url) }
 
-// PID is the id of the entry's process.
-func (e EntryAt) PID() int { return e.proc.cmd.Process.Pid }
+// PID returns the process id of the entry.
+func (e EntryInstance) PID() int { return e.proc.cmd.Process.Pid }
 
-// PID is the id of the sidecar's process.
-func (s SidecarAt) PID() int { return s.proc.cmd.Process.Pid }
+// PID returns the process id of the sidecar.
+func (s SidecarInstance) PID() int { return s.proc.cmd.Process.Pid }
 
-// Operate runs an operator's command against a platform and returns what it used.
-func (l *Lab) Operate(ctx context.Context, platform string, args ...string) (*os.ProcessState, error) {
+// RunOperatorCommand runs an operator command against a platform and returns its resource
+// usage.
+func (l *Lab) RunOperatorCommand(ctx context.Context, platform string, args ...string) (*os.ProcessState, error) {
 	cmd := exec.CommandContext(ctx, l.router, append(args, "--platform", platform)...)
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return nil, merry.Errorf("%v: %w: %s", args, err, out)
--- a/load/lab/experiment.go
+++ b/load/lab/experiment.go
@@ -10,30 +10,31 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/engine"
 )
 
-// Experiment is one load on fresh deployments.
+// Experiment is one load on newly started deployments.
 type Experiment struct {
 	Deployments []Deployment
 	Variant     Variant
 	Load        float64
 	Seed        uint64
-	// Warm is the time before the Window that is counted.
+	// Warm is the warm-up time before Window, the measured part of the run.
 	Warm, Window time.Duration
 	// Bin is the directory of the programs.
 	Bin string
-	// Check, if set, watches every request.
+	// Check, if set, checks every request.
 	Check *Checker
-	// Solo names pools, as model and role, whose engines get a process each.
-	Solo []string
-	// Fault, if set, is called for each deployment when arrivals begin, and
-	// must return when ctx ends.
+	// OwnProcess names pools, as model and role, whose engines each run in a process of
+	// their own.
+	OwnProcess []string
+	// Fault, if set, is called for each deployment when arrivals begin, and must return
+	// when ctx is done.
 	Fault func(ctx context.Context, l *Lab)
 
 	// ports are shared by experiments that run at the same time.
 	ports *ports
 }
 
-// Run starts the deployments, offers the load to all of them at once and reports
-// on them together. Everything is stopped when it returns.
+// Run starts the deployments, offers the load to all of them at once and returns a joint
+// report. All processes have stopped when it returns.
 func (e Experiment) Run(ctx context.Context) (*load.Report, error) {
 	labs, err := e.start(ctx)
 	defer func() { stopAll(labs) }()
@@ -45,9 +46,9 @@
 	var wg sync.WaitGroup
 	for i, l := range labs {
 		wg.Go(func() {
-			parts[i] = e.offer(ctx, l, uint64(i))
+			parts[i] = e.run(ctx, l, uint64(i))
 			if e.Check != nil {
-				failed[i] = e.Check.finish(ctx, l)
+				failed[i] = e.Check.readStandIns(ctx, l)
 			}
 		})
 	}
@@ -65,7 +66,7 @@
 		next = newPorts()
 	}
 	for _, d := range e.Deployments {
-		l, err := Start(ctx, d, Options{Bin: e.Bin, Variant: e.Variant, Solo: e.Solo, ports: next})
+		l, err := Start(ctx, d, Options{Bin: e.Bin, Variant: e.Variant, OwnProcess: e.OwnProcess, ports: next})
 		if err != nil {
 			return labs, err
 		}
@@ -82,9 +83,9 @@
 	wg.Wait()
 }
 
-// offer loads one deployment. The prefill work is read before the first and
-// after the last request, since work of the window ends after it.
-func (e Experiment) offer(ctx context.Context, l *Lab, n uint64) *load.Report {
+// run offers the load to one deployment. The prefill counters are read before the first
+// and after the last request, since work of the window may end after it.
+func (e Experiment) run(ctx context.Context, l *Lab, n uint64) *load.Report {
 	run := load.Run{
 		Flows: l.Deployment.Flows, Load: e.Load, Length: e.Warm + e.Window, Seed: e.Seed<<8 | n,
 		Tag: l.Deployment.Name,
@@ -100,16 +101,16 @@
 	stopFault()
 	rep := run.Summarise(e.Variant.Name, results, e.Warm, run.Length)
 	rep.Seed = e.Seed
-	rep.Prefill = l.Prefill(before, l.settled(ctx))
-	rep.Inside = l.inside(ctx)
+	rep.Prefill = l.Prefill(before, l.finalCounters(ctx))
+	rep.Internal = l.internalCounts(ctx)
 	return rep
 }
 
-// inside returns the retries and refusals that callers do not see.
-func (l *Lab) inside(ctx context.Context) []load.Inside {
-	out := []load.Inside{{Where: l.Deployment.Name + " retries of entries", Reasons: l.Retries(ctx)}}
+// internalCounts returns the retries and rejections that callers do not see.
+func (l *Lab) internalCounts(ctx context.Context) []load.InternalCounts {
+	out := []load.InternalCounts{{Where: l.Deployment.Name + " retries of entries", Reasons: l.Retries(ctx)}}
 	for _, role := range []string{"prefill", "decode", "mixed"} {
-		out = append(out, load.Inside{Where: l.Deployment.Name + " refusals of " + role + " sidecars", Reasons: l.Refusals(ctx, role)})
+		out = append(out, load.InternalCounts{Where: l.Deployment.Name + " refusals of " + role + " sidecars", Reasons: l.Refusals(ctx, role)})
 	}
 	return out
 }
@@ -130,11 +131,11 @@
 	}
 }
 
-// settleTime is longer than an exported KV cache is kept.
+// settleTime is longer than the time to live of an exported KV cache.
 const settleTime = time.Second
 
-// settled reads the counters when what is left has expired.
-func (l *Lab) settled(ctx context.Context) map[string]engine.Counters {
-	pause(ctx, settleTime)
+// finalCounters reads the counters after the remaining KV caches have expired.
+func (l *Lab) finalCounters(ctx context.Context) map[string]engine.Counters {
+	sleep(ctx, settleTime)
 	return l.Counters(ctx)
 }
--- a/load/lab/fault.go
+++ b/load/lab/fault.go
@@ -16,37 +16,38 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/platform"
 )
 
-// Scenario is one fault, to be met under load.
+// Scenario is one fault that is injected under load.
 type Scenario struct {
 	Name, About string
 	// Prepare changes the deployments before they start.
 	Prepare func(d []Deployment, p load.Phases)
 	// Begin and End switch the fault on and off in one deployment.
 	Begin, End func(ctx context.Context, l *Lab) error
-	// Whole makes the fault last for the whole run, which is then compared with
-	// one without it.
-	Whole bool
-	// Solo names pools, as model and role, whose engines get a process each.
-	Solo []string
+	// WholeRun makes the fault last for the whole run, which is then compared with a run
+	// without it.
+	WholeRun bool
+	// OwnProcess names pools, as model and role, whose engines each run in a process of
+	// their own.
+	OwnProcess []string
 }
 
 var decodePools = []string{"drafting decode", "ruling decode"}
 
-// Scenarios returns all faults.
+// Scenarios returns all fault scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "decode-dies", About: "one decode server of each deployment dies with its sidecar", Solo: decodePools, Begin: killDecode},
+		{Name: "decode-dies", About: "one decode server of each deployment dies with its sidecar", OwnProcess: decodePools, Begin: killDecode},
 		{Name: "zone-gone", About: "every VM of one availability zone dies: sidecars, engines behind them, entry", Begin: killZone},
-		{Name: "store-out", About: "the platform's table refuses every call from the first arrival on", Whole: true, Begin: storeOut},
-		{Name: "late-reports", About: "engines renew their load reports every 2 s", Whole: true, Prepare: eachEngine(func(e *Engine) { e.LoadLag = 2 * time.Second })},
-		{Name: "lost-events", About: "half of the cache events are lost", Whole: true, Prepare: eachEngine(func(e *Engine) { e.EventLoss = 0.5 })},
-		{Name: "slow-engine", About: "one decode engine of each deployment takes five times as long for each step", Begin: onDecode(fault.Rule{Kind: fault.Slow, Factor: 5}), End: clearDecode},
-		{Name: "slow-link", About: "the inbound link of one decode engine has a tenth of its rate", Begin: onDecode(fault.Rule{Kind: fault.Link, Factor: 0.1}), End: clearDecode},
-		{Name: "tenfold", About: "a customer with a tenth of the drafting pool sends ten times its share", Prepare: tenfold},
+		{Name: "store-out", About: "the platform's table refuses every call from the first arrival on", WholeRun: true, Begin: refuseTableCalls},
+		{Name: "late-reports", About: "engines renew their load reports every 2 s", WholeRun: true, Prepare: eachEngine(func(e *Engine) { e.LoadLag = 2 * time.Second })},
+		{Name: "lost-events", About: "half of the cache events are lost", WholeRun: true, Prepare: eachEngine(func(e *Engine) { e.EventLoss = 0.5 })},
+		{Name: "slow-engine", About: "one decode engine of each deployment takes five times as long for each step", Begin: setDecodeFault(fault.Rule{Kind: fault.Slow, Factor: 5}), End: clearDecodeFault},
+		{Name: "slow-link", About: "the inbound link of one decode engine has a tenth of its rate", Begin: setDecodeFault(fault.Rule{Kind: fault.Link, Factor: 0.1}), End: clearDecodeFault},
+		{Name: "tenfold", About: "a customer with a tenth of the drafting pool sends ten times its share", Prepare: addOverload},
 	}
 }
 
-// ScenarioByName returns one scenario.
+// ScenarioByName returns the scenario with a name.
 func ScenarioByName(name string) (Scenario, error) {
 	all := Scenarios()
 	if i := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name }); i >= 0 {
@@ -56,16 +57,16 @@
 	for _, s := range all {
 		names = append(names, s.Name)
 	}
-	return Scenario{}, merry.Errorf("no scenario %q; there are %s", name, strings.Join(names, ", "))
+	return Scenario{}, merry.Errorf("unknown scenario %q; the scenarios are %s", name, strings.Join(names, ", "))
 }
 
-// Run meets the scenario under the load of e; the phases replace its times.
+// Run runs the scenario under the load of e; p replaces the times of e.
 func (s Scenario) Run(ctx context.Context, e Experiment, p load.Phases) (*load.FaultReport, error) {
-	e.Warm, e.Window, e.Solo = p.Warm, p.Length-p.Warm, s.Solo
-	var without *load.Report
-	if s.Whole {
+	e.Warm, e.Window, e.OwnProcess = p.Warm, p.Length-p.Warm, s.OwnProcess
+	var baseline *load.Report
+	if s.WholeRun {
 		var err error
-		if without, err = e.Run(ctx); err != nil {
+		if baseline, err = e.Run(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -74,7 +75,7 @@
 		s.Prepare(e.Deployments, p)
 	}
 	failed := make(chan error, 2*len(e.Deployments))
-	e.Fault = func(ctx context.Context, l *Lab) { failed <- s.meet(ctx, l, p) }
+	e.Fault = func(ctx context.Context, l *Lab) { failed <- s.inject(ctx, l, p) }
 	rep, err := e.Run(ctx)
 	if err != nil {
 		return nil, err
@@ -85,21 +86,21 @@
 			return nil, merry.Prepend(err, s.Name)
 		}
 	}
-	if s.Whole {
-		return rep.Against(s.Name, without), nil
+	if s.WholeRun {
+		return rep.CompareWith(s.Name, baseline), nil
 	}
 	return rep.ByPhase(s.Name, p), nil
 }
 
-// meet switches the fault on and off at its times.
-func (s Scenario) meet(ctx context.Context, l *Lab, p load.Phases) error {
-	if s.Begin == nil || (!s.Whole && !pause(ctx, p.Begin)) {
+// inject switches the fault on and off at its times.
+func (s Scenario) inject(ctx context.Context, l *Lab, p load.Phases) error {
+	if s.Begin == nil || (!s.WholeRun && !sleep(ctx, p.Begin)) {
 		return nil
 	}
 	if err := s.Begin(ctx, l); err != nil {
 		return err
 	}
-	if s.End == nil || !pause(ctx, p.End-p.Begin) {
+	if s.End == nil || !sleep(ctx, p.End-p.Begin) {
 		return nil
 	}
 	return s.End(ctx, l)
@@ -124,27 +125,29 @@
 	}
 }
 
-// Parts of the drafting pool that its two customers are sold, and ask for.
+// The second customer's share of the drafting pool, and the factor by which its load
+// exceeds that share.
 const (
 	visitorShare = 0.1
 	visitorSurge = 10
 )
 
-// tenfold adds a second customer to the drafting pool.
-func tenfold(all []Deployment, p load.Phases) {
+// addOverload adds a second customer to the drafting pool, whose load surges during the
+// fault.
+func addOverload(all []Deployment, p load.Phases) {
 	d := &all[0]
-	host := *load.Drafting
-	host.Customer.Share = 1 - visitorShare
-	visitor := host
+	regular := *load.Drafting
+	regular.Customer.Share = 1 - visitorShare
+	visitor := regular
 	visitor.Customer = load.Customer{ID: "visitor", Brand: "Visitor", Key: "demo-visitor-key", Share: visitorShare}
 	for i, f := range d.Flows {
 		if f.Class == load.Lookup {
 			lookup := *f.Class
-			lookup.Customer.Share = host.Customer.Share
+			lookup.Customer.Share = regular.Customer.Share
 			d.Flows[i].Class = &lookup
 		}
 		if f.Class == load.Drafting {
-			d.Flows[i].Class, d.Flows[i].Rate = &host, f.Rate*(1-visitorShare)
+			d.Flows[i].Class, d.Flows[i].Rate = &regular, f.Rate*(1-visitorShare)
 			d.Flows = append(d.Flows, load.Flow{
 				Class: &visitor, Rate: f.Rate * visitorShare, Surge: load.Surge{From: p.Begin, To: p.End, Factor: visitorSurge},
 			})
@@ -153,8 +156,8 @@
 }
 
 // firstDecode returns the first decode engine of the lab.
-func (l *Lab) firstDecode() EngineAt {
-	i := slices.IndexFunc(l.Engines, func(e EngineAt) bool { return e.Role == "decode" })
+func (l *Lab) firstDecode() EngineInstance {
+	i := slices.IndexFunc(l.Engines, func(e EngineInstance) bool { return e.Role == "decode" })
 	return l.Engines[i]
 }
 
@@ -169,8 +172,8 @@
 	return nil
 }
 
-// killZone kills what runs in the last zone. Its engines go on by themselves,
-// but nobody hears of them any more.
+// killZone kills the sidecars and entries of the last zone. The engines there continue,
+// but are no longer reachable.
 func killZone(_ context.Context, l *Lab) error {
 	zone := l.Deployment.Zones[len(l.Deployment.Zones)-1]
 	for _, s := range l.Sidecars {
@@ -186,15 +189,15 @@
 	return nil
 }
 
-func storeOut(ctx context.Context, l *Lab) error {
+func refuseTableCalls(ctx context.Context, l *Lab) error {
 	return post(ctx, l.Platform+platform.PathFault, platform.Fault{Kind: platform.Refuse})
 }
 
-func onDecode(r fault.Rule) func(context.Context, *Lab) error {
+func setDecodeFault(r fault.Rule) func(context.Context, *Lab) error {
 	return func(ctx context.Context, l *Lab) error { return post(ctx, l.firstDecode().URL+fault.Path, r) }
 }
 
-func clearDecode(ctx context.Context, l *Lab) error {
+func clearDecodeFault(ctx context.Context, l *Lab) error {
 	return call(ctx, http.MethodDelete, l.firstDecode().URL+fault.Path, nil)
 }
 
--- a/load/lab/lab.go
+++ b/load/lab/lab.go
@@ -16,7 +16,7 @@
 	"github.com/hibiscusspur/hibiscusspur/sidecar"
 )
 
-// Cores that the processes of each kind may use, as on small VMs.
+// Cores that a process of each kind may use, as on small VMs.
 const (
 	entryCores    = 3
 	sidecarCores  = 1
@@ -27,16 +27,16 @@
 // enginesPerProcess bounds how many engines share a process.
 const enginesPerProcess = 6
 
-// Lab is one running deployment. Stop must be called.
+// Lab is one running deployment. The caller must call Stop.
 type Lab struct {
 	Deployment Deployment
 	// Targets are the base URLs of the entries.
 	Targets []string
 	// Platform is the base URL of the platform.
 	Platform string
-	Engines  []EngineAt
-	Sidecars []SidecarAt
-	Entries  []EntryAt
+	Engines  []EngineInstance
+	Sidecars []SidecarInstance
+	Entries  []EntryInstance
 	// ServiceURLs are the base URLs of the plain services, by name.
 	ServiceURLs map[string]string
 
@@ -50,23 +50,23 @@
 	procs []*process
 }
 
-// EngineAt is one engine of a lab.
-type EngineAt struct {
+// EngineInstance is one engine of a lab.
+type EngineInstance struct {
 	ID, Model, Role, URL string
 	engine               Engine
 	proc                 *process
 }
 
-// EntryAt is one entry of a lab.
-type EntryAt struct {
+// EntryInstance is one entry of a lab.
+type EntryInstance struct {
 	ID, Zone, URL string
 	// Admin is the base URL of health and metrics.
 	Admin string
 	proc  *process
 }
 
-// SidecarAt is one sidecar of a lab.
-type SidecarAt struct {
+// SidecarInstance is one sidecar of a lab.
+type SidecarInstance struct {
 	ID, Model, Role, Zone string
 	Address               string
 	// Admin is the base URL of health and metrics.
@@ -79,15 +79,16 @@
 	// Bin is the directory of the programs.
 	Bin     string
 	Variant Variant
-	// Solo names pools, as model and role, whose engines get a process each.
-	Solo []string
+	// OwnProcess names pools, as model and role, whose engines each run in a process of
+	// their own.
+	OwnProcess []string
 
 	// ports are shared by the labs of one experiment.
 	ports *ports
 }
 
-// Start starts a deployment and waits until it answers requests of every class.
-// After an error nothing is left running.
+// Start starts a deployment and waits until it answers requests of every class. After an
+// error no process is left running.
 func Start(ctx context.Context, d Deployment, o Options) (*Lab, error) {
 	dir, err := os.MkdirTemp("", "hsload-"+d.Name+"-")
 	if err != nil {
@@ -112,11 +113,11 @@
 func (l *Lab) start(ctx context.Context, o Options) error {
 	steps := []func() error{
 		l.startPlatform,
-		func() error { return l.startEngines(o.Solo) },
+		func() error { return l.startEngines(o.OwnProcess) },
 		l.startServices,
 		l.startEntries,
 		func() error { return l.apply(ctx) },
-		func() error { return l.ready(ctx) },
+		func() error { return l.awaitServing(ctx) },
 	}
 	for _, step := range steps {
 		if err := ctx.Err(); err != nil {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// Stop ends every process and removes the files.
+// Stop stops all processes and removes their files.
 func (l *Lab) Stop() {
 	l.mu.Lock()
 	procs := l.procs
@@ -139,7 +140,7 @@
 	for _, p := range procs {
 		wg.Go(func() {
 			if p.stop() {
-				fmt.Fprintf(os.Stderr, "hsload: %s of lab %s did not end after SIGTERM: %s\n", p.name, l.Deployment.Name, p.tail(1))
+				fmt.Fprintf(os.Stderr, "hsload: %s of lab %s did not exit after SIGTERM: %s\n", p.name, l.Deployment.Name, p.tail(1))
 			}
 		})
 	}
@@ -148,34 +149,34 @@
 	_ = os.RemoveAll(l.dir)
 }
 
-// Processes returns how many processes run.
+// Processes returns the number of running processes.
 func (l *Lab) Processes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, p := range l.procs {
-		if !p.ended() {
+		if !p.exited() {
 			n++
 		}
 	}
 	return n
 }
 
-// PIDs returns the ids of the processes that run.
+// PIDs returns the ids of the running processes.
 func (l *Lab) PIDs() []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []int
 	for _, p := range l.procs {
-		if !p.ended() {
+		if !p.exited() {
 			out = append(out, p.cmd.Process.Pid)
 		}
 	}
 	return out
 }
 
-func (l *Lab) run(name string, procs int, program string, args ...string) (*process, error) {
-	p, err := l.starter.start(name, filepath.Join(l.dir, name+".log"), procs, program, args...)
+func (l *Lab) startProcess(name string, cores int, program string, args ...string) (*process, error) {
+	p, err := l.starter.start(name, filepath.Join(l.dir, name+".log"), cores, program, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -191,18 +192,18 @@
 		return err
 	}
 	l.Platform = url(port)
-	_, err = l.run("platform", platformCores, l.standin, "platform", "--listen", address(port))
+	_, err = l.startProcess("platform", platformCores, l.standin, "platform", "--listen", address(port))
 	return err
 }
 
-func (l *Lab) startEngines(solo []string) error {
+func (l *Lab) startEngines(ownProcess []string) error {
 	for _, p := range l.Deployment.Pools {
-		per := enginesPerProcess
-		if slices.Contains(solo, p.Model+" "+p.Role) {
-			per = 1
+		perProcess := enginesPerProcess
+		if slices.Contains(ownProcess, p.Model+" "+p.Role) {
+			perProcess = 1
 		}
-		for from := 0; from < p.Count; from += per {
-			if err := l.startEngineProcess(p, from, min(per, p.Count-from)); err != nil {
+		for from := 0; from < p.Count; from += perProcess {
+			if err := l.startEngineProcess(p, from, min(perProcess, p.Count-from)); err != nil {
 				return err
 			}
 		}
@@ -221,12 +222,12 @@
 		return err
 	}
 	id := fmt.Sprintf("%s-%s-%d", p.Model, p.Role, from)
-	proc, err := l.run("engine-"+id, engineCores, l.standin, p.engineArgs(id, address(port), from, n)...)
+	proc, err := l.startProcess("engine-"+id, engineCores, l.standin, p.engineArgs(id, address(port), from, n)...)
 	if err != nil {
 		return err
 	}
 	for i := range n {
-		l.Engines = append(l.Engines, EngineAt{
+		l.Engines = append(l.Engines, EngineInstance{
 			ID: fmt.Sprintf("%s-%s-%d", p.Model, p.Role, from+i+1), Model: p.Model, Role: p.Role,
 			URL: url(port + i), engine: p.Engine, proc: proc,
 		})
@@ -239,7 +240,7 @@
 	return []string{
 		"engine", "--listen", listen, "--id", id, "--role", p.Role, "--models", p.Model,
 		fmt.Sprint("--count=", n), fmt.Sprint("--seed=", seed+1),
-		fmt.Sprint("--places=", e.Places), fmt.Sprint("--step-base=", e.StepBase), fmt.Sprint("--step-per-run=", e.StepPerRun),
+		fmt.Sprint("--places=", e.DecodeSlots), fmt.Sprint("--step-base=", e.StepBase), fmt.Sprint("--step-per-run=", e.StepPerRun),
 		fmt.Sprint("--prefill-rate=", e.PrefillRate), fmt.Sprint("--link-rate=", e.LinkRate),
 		fmt.Sprint("--kv-bytes-per-token=", e.KVBytesPerToken), fmt.Sprint("--kv-ttl=", e.KVTTL),
 		fmt.Sprint("--cache-tokens=", e.CacheTokens), fmt.Sprint("--load-lag=", e.LoadLag),
@@ -251,12 +252,12 @@
 	e := l.Engines[i]
 	set := sidecar.DefaultSettings()
 	set.Engine = e.URL
-	return l.runSidecar(set, SidecarAt{ID: e.ID, Model: e.Model, Role: e.Role, Zone: l.zone(i)})
+	return l.runSidecar(set, SidecarInstance{ID: e.ID, Model: e.Model, Role: e.Role, Zone: l.zone(i)})
 }
 
 func (l *Lab) zone(i int) string { return l.Deployment.Zones[i%len(l.Deployment.Zones)] }
 
-func (l *Lab) runSidecar(set sidecar.Settings, at SidecarAt) error {
+func (l *Lab) runSidecar(set sidecar.Settings, at SidecarInstance) error {
 	port, err := l.ports.block(2)
 	if err != nil {
 		return err
@@ -265,7 +266,7 @@
 	set.LogLevel = "warn"
 	set.Timing.Drain = drainTime
 	at.Address, at.Admin = set.Listen, url(port+1)
-	at.proc, err = l.daemon("sidecar", at.ID, sidecarCores, set, l.variant.Sidecar)
+	at.proc, err = l.startDaemon("sidecar", at.ID, sidecarCores, set, l.variant.Sidecar)
 	l.Sidecars = append(l.Sidecars, at)
 	return err
 }
@@ -276,20 +277,20 @@
 		if err != nil {
 			return err
 		}
-		if _, err := l.run("service-"+name, engineCores, l.standin, "service", "--listen", address(port), "--id", name, "--work", "20ms"); err != nil {
+		if _, err := l.startProcess("service-"+name, engineCores, l.standin, "service", "--listen", address(port), "--id", name, "--work", "20ms"); err != nil {
 			return err
 		}
 		l.ServiceURLs[name] = url(port)
 		set := sidecar.DefaultSettings()
 		set.Service = url(port)
-		if err := l.runSidecar(set, SidecarAt{ID: name + "-1", Model: name, Role: "service", Zone: l.zone(i)}); err != nil {
+		if err := l.runSidecar(set, SidecarInstance{ID: name + "-1", Model: name, Role: "service", Zone: l.zone(i)}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// drainTime bounds a shutdown in a lab, of which nothing is left to finish.
+// drainTime bounds the drain of a process in a lab, where no work is left to finish.
 const drainTime = 2 * time.Second
 
 func (l *Lab) startEntries() error {
@@ -311,18 +312,18 @@
 	set.Listen, set.Admin = address(port), address(port+1)
 	set.LogLevel = "warn"
 	set.Timing.Drain, set.Timing.Notice = drainTime, 0
-	proc, err := l.daemon("entry", set.ID, entryCores, set, l.variant.Entry)
+	proc, err := l.startDaemon("entry", set.ID, entryCores, set, l.variant.Entry)
 	if err != nil {
 		return err
 	}
-	l.Entries = append(l.Entries, EntryAt{set.ID, set.Zone, url(port), url(port + 1), proc})
+	l.Entries = append(l.Entries, EntryInstance{set.ID, set.Zone, url(port), url(port + 1), proc})
 	l.Targets = append(l.Targets, url(port))
 	return nil
 }
 
-// daemon writes the settings of one of the router's daemons and starts it.
-func (l *Lab) daemon(kind, id string, cores int, settings any, overlay Overlay) (*process, error) {
-	data, err := overlay.on(settings)
+// startDaemon writes the settings file of an entry or a sidecar and starts it.
+func (l *Lab) startDaemon(kind, id string, cores int, settings any, overlay Overlay) (*process, error) {
+	data, err := overlay.applyTo(settings)
 	if err != nil {
 		return nil, err
 	}
@@ -331,14 +332,15 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		return nil, err
 	}
-	return l.run(name, cores, l.router, kind, "--settings", file)
+	return l.startProcess(name, cores, l.router, kind, "--settings", file)
 }
 
-// Kill ends the process of one sidecar as a failing VM would.
-func (s SidecarAt) Kill() { s.proc.signal(syscall.SIGKILL) }
+// Kill kills the process of the sidecar, as a VM failure would.
+func (s SidecarInstance) Kill() { s.proc.signal(syscall.SIGKILL) }
 
-// Kill ends the process of one entry as a failing VM would.
-func (e EntryAt) Kill() { e.proc.signal(syscall.SIGKILL) }
+// Kill kills the process of the entry, as a VM failure would.
+func (e EntryInstance) Kill() { e.proc.signal(syscall.SIGKILL) }
 
-// Kill ends the process of one engine as a failing VM would, with all engines in it.
-func (e EngineAt) Kill() { e.proc.signal(syscall.SIGKILL) }
+// Kill kills the process of the engine, as a VM failure would, with all other engines in
+// it.
+func (e EngineInstance) Kill() { e.proc.signal(syscall.SIGKILL) }
--- a/load/lab/lab_test.go
+++ b/load/lab/lab_test.go
@@ -11,12 +11,12 @@
 	"github.com/hibiscusspur/hibiscusspur/entry"
 )
 
-func TestSizesAreThoseOfToday(t *testing.T) {
+func TestFullSizeMatchesCurrentDeployments(t *testing.T) {
 	count := make(map[string]int)
 	for _, d := range Deployments(SizeFull) {
 		for _, p := range d.Pools {
 			count[p.Model] += p.Count
-			assert.Equal(t, p.Engine.Places, 20)
+			assert.Equal(t, p.Engine.DecodeSlots, 20)
 		}
 		for _, f := range d.Flows {
 			assert.Assert(t, f.Rate > 1, f.Class.ID())
@@ -36,12 +36,12 @@
 	}
 }
 
-func TestOverlayKeepsWhatItDoesNotName(t *testing.T) {
+func TestOverlayKeepsUnnamedSettings(t *testing.T) {
 	set := entry.DefaultSettings()
 	set.ID, set.Zone, set.Listen, set.Admin, set.Platform = "e", "z", "127.0.0.1:1", "127.0.0.1:2", "http://127.0.0.1:3"
 	var over Overlay
 	assert.NilError(t, yaml.Unmarshal([]byte("retry: {attempts: 7}\ntiming: {poll: 200ms}"), &over))
-	data, err := over.on(set)
+	data, err := over.applyTo(set)
 	assert.NilError(t, err)
 	got := entry.DefaultSettings()
 	assert.NilError(t, config.Parse("entry.yaml", data, &got))
@@ -49,7 +49,7 @@
 	assert.DeepEqual(t, got, set)
 }
 
-func TestCellsTurnTheOrderOfVariants(t *testing.T) {
+func TestCellsRotateTheOrderOfVariants(t *testing.T) {
 	c := Comparison{Variants: []Variant{{Name: "a"}, {Name: "b"}}, Loads: []float64{1, 1.2}, Seeds: []uint64{1, 2}}
 	order := ""
 	for _, e := range c.cells() {
@@ -58,7 +58,7 @@
 	assert.Equal(t, order, "abbaabba")
 }
 
-func TestPlainVariantsHaveAllParts(t *testing.T) {
+func TestBaselineVariantSetsAllItsSettings(t *testing.T) {
 	for _, v := range Variants() {
 		if v.Name != "leastload" {
 			continue
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestPortsTurn(t *testing.T) {
+func TestPortsWrapAround(t *testing.T) {
 	p := &ports{next: lastPort - 3}
 	first, err := p.block(5)
 	assert.NilError(t, err)
--- a/load/lab/process.go
+++ b/load/lab/process.go
@@ -16,8 +16,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// stopPatience is how long a process may take to end after SIGTERM.
-const stopPatience = 5 * time.Second
+// stopTimeout is how long a process may take to exit after SIGTERM.
+const stopTimeout = 5 * time.Second
 
 // process is one child process.
 type process struct {
@@ -27,9 +27,9 @@
 	done chan struct{}
 }
 
-// starter starts child processes from one thread that lives as long as it does:
-// the kernel kills the children when that thread ends, so that none is left
-// behind when this process is killed.
+// starter starts child processes from one OS thread that runs until close. The kernel
+// kills the children when that thread ends, so that none outlives this process when it is
+// killed.
 type starter struct {
 	requests chan func()
 }
@@ -48,7 +48,7 @@
 func (s *starter) close() { close(s.requests) }
 
 // start runs a program with its output in a file.
-func (s *starter) start(name, log string, procs int, program string, args ...string) (*process, error) {
+func (s *starter) start(name, log string, cores int, program string, args ...string) (*process, error) {
 	out, err := os.Create(log)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	defer func() { _ = out.Close() }()
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(procs))
+	cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(cores))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	p := &process{name: name, log: log, cmd: cmd, done: make(chan struct{})}
 	started := make(chan error)
@@ -73,7 +73,7 @@
 
 func (p *process) signal(sig os.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-func (p *process) ended() bool {
+func (p *process) exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -82,20 +82,21 @@
 	}
 }
 
-// stop ends the process, by force when it takes too long, which it reports.
+// stop terminates the process. It reports whether the process had to be killed after
+// stopTimeout.
 func (p *process) stop() (forced bool) {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return false
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		p.signal(syscall.SIGKILL)
 		<-p.done
 		return true
 	}
 }
 
-// tail returns the last lines of what the process wrote.
+// tail returns the last lines of the output of the process.
 func (p *process) tail(lines int) string {
 	data, err := os.ReadFile(p.log)
 	if err != nil {
@@ -105,15 +106,15 @@
 	return strings.Join(all[max(len(all)-lines, 0):], "\n")
 }
 
-// ports hands out free TCP ports of loopback in blocks, in turn. It is safe for
-// concurrent use.
+// ports allocates free TCP ports of loopback in blocks, and wraps around at lastPort. It
+// is safe for concurrent use.
 type ports struct {
 	mu   sync.Mutex
 	next int
 }
 
-// Ports below those that the kernel gives to outgoing connections. Each process
-// begins at another one, so that two experiments seldom try for the same.
+// The port range is below the kernel's ephemeral ports. Each process begins at a different
+// port, so that two experiments seldom try the same ones.
 const (
 	firstPort  = 25000
 	lastPort   = 32000
@@ -143,7 +144,7 @@
 	return 0, merry.New("no free ports")
 }
 
-// firstBusy returns the first port of a block that is taken, or -1.
+// firstBusy returns the first port of a block that is in use, or -1.
 func firstBusy(first, n int) int {
 	for port := first; port < first+n; port++ {
 		l, err := net.Listen("tcp", address(port))
@@ -159,7 +160,7 @@
 
 func url(port int) string { return "http://" + address(port) }
 
-// Programs returns the paths of the programs in a directory.
+// programs returns the paths of the programs in a directory.
 func programs(bin string) (router, standin string) {
 	return filepath.Join(bin, "hibiscusspur"), filepath.Join(bin, "standin")
 }
--- a/load/lab/spec.go
+++ b/load/lab/spec.go
@@ -1,6 +1,6 @@
 // Package lab starts whole deployments as separate processes on loopback for an
-// experiment: the stand-in of the platform, engines, sidecars and entries. It
-// stops them at the end, also after a failure.
+// experiment: the stand-in of the platform, engines, sidecars and entries. It stops them
+// at the end, even after a failure.
 package lab
 
 import (
@@ -9,9 +9,9 @@
 	"github.com/hibiscusspur/hibiscusspur/load"
 )
 
-// Engine is the model of one engine.
+// Engine holds the simulation parameters of one stand-in engine.
 type Engine struct {
-	Places               int
+	DecodeSlots          int
 	StepBase, StepPerRun time.Duration
 	// PrefillRate is in tokens per second, LinkRate in bytes per second.
 	PrefillRate, LinkRate float64
@@ -22,12 +22,12 @@
 	EventLoss             float64
 }
 
-// Step is the time of a decode step of a full batch.
+// Step returns the duration of a decode step of a full batch.
 func (e Engine) Step() time.Duration {
-	return e.StepBase + time.Duration(e.Places)*e.StepPerRun
+	return e.StepBase + time.Duration(e.DecodeSlots)*e.StepPerRun
 }
 
-// Pool is a number of equal engines for one model.
+// Pool is a number of identical engines for one model.
 type Pool struct {
 	Model  string
 	Role   string
@@ -41,18 +41,18 @@
 	Zones   []string
 	Entries int
 	Pools   []Pool
-	// Flows are offered to the deployment; their classes make up its contracts.
-	// A load of 1 is its capacity.
+	// Flows are offered to the deployment; their classes define its contracts. A load of 1
+	// is the capacity of the deployment.
 	Flows []load.Flow
 	// Services are plain services, with one backend server each.
 	Services []string
 }
 
-// Large engines read long files, small ones answer quickly. A full batch takes a
-// step of 30 ms and 25 ms.
+// Large engines serve long prompts, small ones interactive requests. A decode step of a
+// full batch takes 30 ms on a large and 25 ms on a small engine.
 func largeEngine() Engine {
 	return Engine{
-		Places: 20, StepBase: 20 * time.Millisecond, StepPerRun: 500 * time.Microsecond,
+		DecodeSlots: 20, StepBase: 20 * time.Millisecond, StepPerRun: 500 * time.Microsecond,
 		PrefillRate: 5000, LinkRate: 4e9, KVBytesPerToken: 128 << 10, KVTTL: 800 * time.Millisecond,
 		CacheTokens: 24000, LoadLag: 500 * time.Millisecond, EventDelay: 300 * time.Millisecond, EventLoss: 0.05,
 	}
@@ -67,32 +67,32 @@
 
 // Sizes of a lab.
 const (
-	// SizeFull is that of both deployments today: 18 + 3 and 9 + 3 replicas.
+	// SizeFull is the current size of both deployments: 18 + 3 and 9 + 3 replicas.
 	SizeFull = "brief"
 	// SizeSmall is for demonstrations and checks.
 	SizeSmall = "small"
 )
 
-// Deployments returns both deployments in a size.
+// Deployments returns both deployments at a size.
 func Deployments(size string) []Deployment {
-	n := counts{draftPrefill: 12, draftDecode: 6, portal: 3, rulePrefill: 6, ruleDecode: 3, receipt: 3, entries: 3}
+	n := poolCounts{draftPrefill: 12, draftDecode: 6, portal: 3, rulePrefill: 6, ruleDecode: 3, receipt: 3, entries: 3}
 	if size == SizeSmall {
-		n = counts{draftPrefill: 4, draftDecode: 2, portal: 1, rulePrefill: 2, ruleDecode: 1, receipt: 1, entries: 2}
+		n = poolCounts{draftPrefill: 4, draftDecode: 2, portal: 1, rulePrefill: 2, ruleDecode: 1, receipt: 1, entries: 2}
 	}
 	return []Deployment{reykjavik(n), carpathians(n)}
 }
 
-type counts struct {
+type poolCounts struct {
 	draftPrefill, draftDecode, portal int
 	rulePrefill, ruleDecode, receipt  int
 	entries                           int
 }
 
-// The pools of urgent work are larger than their load needs, so that they are
-// not full when those of long work are.
+// The pools of urgent work are overprovisioned, so that they are not saturated when those
+// of long work are.
 const urgentShare = 0.7
 
-func reykjavik(n counts) Deployment {
+func reykjavik(n poolCounts) Deployment {
 	d := Deployment{
 		Name: load.Samtok.ID, Zones: []string{"rvk-a", "rvk-b", "rvk-c"}, Entries: n.entries,
 		Pools: []Pool{
@@ -102,13 +102,13 @@
 		},
 	}
 	d.Flows = []load.Flow{
-		{Class: load.Lookup, Rate: urgentShare * d.Capacity(load.Lookup), Burst: load.Peak()},
+		{Class: load.Lookup, Rate: urgentShare * d.Capacity(load.Lookup), Burst: load.InteractiveBurst()},
 		{Class: load.Drafting, Rate: d.Capacity(load.Drafting)},
 	}
 	return d
 }
 
-func carpathians(n counts) Deployment {
+func carpathians(n poolCounts) Deployment {
 	d := Deployment{
 		Name: load.Permisele.ID, Zones: []string{"crp-a", "crp-b", "crp-c"}, Entries: n.entries,
 		Services: []string{"permits"},
@@ -120,7 +120,7 @@
 	}
 	d.Flows = []load.Flow{
 		{Class: load.Ruling, Rate: d.Capacity(load.Ruling)},
-		{Class: load.Receipt, Rate: urgentShare * d.Capacity(load.Receipt), Burst: load.Peak()},
+		{Class: load.Receipt, Rate: urgentShare * d.Capacity(load.Receipt), Burst: load.InteractiveBurst()},
 		{Class: load.PermitStatus, Rate: 2, Fixed: true},
 		{Class: load.PermitReceipt, Rate: 2, Fixed: true},
 	}
--- a/load/lab/variant.go
+++ b/load/lab/variant.go
@@ -7,24 +7,24 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Variant is one way of configuring the system, for comparisons.
+// Variant is one configuration of the system in a comparison.
 type Variant struct {
 	Name string `yaml:"name"`
-	// Entry and Sidecar are laid over the settings of these daemons.
+	// Entry and Sidecar are merged into the settings of these daemons.
 	Entry   Overlay `yaml:"entry,omitempty"`
 	Sidecar Overlay `yaml:"sidecar,omitempty"`
 	// Bin, if set, is the directory of another build of the router.
 	Bin string `yaml:"bin,omitempty"`
-	// Baseline variants are what the others are compared with.
+	// Baseline marks a variant that the others are compared with.
 	Baseline bool `yaml:"baseline,omitempty"`
 }
 
-// Overlay is a part of a settings file. It is a map since it may name settings
-// of another build.
+// Overlay is a partial settings file. It is a map, since it may contain settings of
+// another build.
 type Overlay map[string]any
 
-// on returns the YAML of settings with the overlay laid over it.
-func (o Overlay) on(settings any) ([]byte, error) {
+// applyTo returns settings as YAML with the overlay merged in.
+func (o Overlay) applyTo(settings any) ([]byte, error) {
 	data, err := yaml.Marshal(settings)
 	if err != nil || len(o) == 0 {
 		return data, err
@@ -49,29 +49,30 @@
 	}
 }
 
-// Variants returns the policy as it ships, which the others are compared with,
-// and the baselines: three ways of placement without reservation and in order of
-// arrival, and the policy without one of its parts.
+// Variants returns the default policy and the baselines that it is compared with: three
+// placement strategies without reservation and with FIFO admission, and the policy without
+// one of its mechanisms.
 func Variants() []Variant {
 	return []Variant{
 		{Name: "policy"},
-		plain("random"),
-		plain("roundrobin"),
-		plain("leastload"),
-		{Name: "no-reserve", Baseline: true, Entry: policy("reserve", false), Sidecar: policy("reserve", false)},
-		{Name: "fifo", Baseline: true, Sidecar: policy("admission", "fifo")},
+		baselineRouter("random"),
+		baselineRouter("roundrobin"),
+		baselineRouter("leastload"),
+		{Name: "no-reserve", Baseline: true, Entry: policyOverlay("reserve", false), Sidecar: policyOverlay("reserve", false)},
+		{Name: "fifo", Baseline: true, Sidecar: policyOverlay("admission", "fifo")},
 	}
 }
 
-// plain is a router that places by a simple rule and prefills at once.
-func plain(placement string) Variant {
-	v := Variant{Name: placement, Baseline: true, Entry: policy("reserve", false), Sidecar: policy("reserve", false)}
-	merge(v.Entry, policy("placement", placement))
-	merge(v.Sidecar, policy("admission", "fifo"))
+// baselineRouter is a router with a simple placement strategy that prefills without a
+// reservation.
+func baselineRouter(placement string) Variant {
+	v := Variant{Name: placement, Baseline: true, Entry: policyOverlay("reserve", false), Sidecar: policyOverlay("reserve", false)}
+	merge(v.Entry, policyOverlay("placement", placement))
+	merge(v.Sidecar, policyOverlay("admission", "fifo"))
 	return v
 }
 
-func policy(key string, value any) Overlay {
+func policyOverlay(key string, value any) Overlay {
 	return Overlay{"policy": map[string]any{key: value}}
 }
 
--- a/load/lengths.go
+++ b/load/lengths.go
@@ -5,16 +5,16 @@
 	"math/rand/v2"
 )
 
-// Lengths is a log-normal distribution of lengths in tokens, cut off at both ends.
+// Lengths is a log-normal distribution of lengths in tokens, clamped to [Min, Max].
 type Lengths struct {
-	// Mean is that of the distribution before the cut.
+	// Mean is the mean before clamping.
 	Mean float64
 	// Sigma is the standard deviation of the logarithm.
 	Sigma    float64
 	Min, Max int
 }
 
-// Fixed returns the distribution of one length.
+// Fixed returns a distribution that always draws n.
 func Fixed(n int) Lengths {
 	return Lengths{Mean: float64(n), Min: n, Max: n}
 }
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestScheduleFollowsSeedAndRate(t *testing.T) {
-	flows := []Flow{{Class: Lookup, Rate: 50, Burst: Peak()}, {Class: Drafting, Rate: 20}, {Class: Receipt, Rate: 5, Fixed: true}}
+	flows := []Flow{{Class: Lookup, Rate: 50, Burst: InteractiveBurst()}, {Class: Drafting, Rate: 20}, {Class: Receipt, Rate: 5, Fixed: true}}
 	a := Schedule(flows, 2, 100*time.Second, 7)
 	assert.DeepEqual(t, a, Schedule(flows, 2, 100*time.Second, 7))
 	counts := make([]int, len(flows))
@@ -42,7 +42,7 @@
 	assert.Equal(t, Fixed(9).Draw(r), 9)
 }
 
-func TestRequestsShareTextsAndAreTheirOwn(t *testing.T) {
+func TestRequestsSharePrefixesAndAreUnique(t *testing.T) {
 	c := *Ruling
 	c.Shared.Texts = 1
 	a, b := NewRequest(&c, 1, "x"), NewRequest(&c, 2, "x")
@@ -55,8 +55,8 @@
 	assert.DeepEqual(t, a, NewRequest(&c, 1, "x"))
 }
 
-// TestClientJudgesAnswers holds what of an answer is taken as right.
-func TestClientJudgesAnswers(t *testing.T) {
+// TestClientVerdicts checks which responses count as correct.
+func TestClientVerdicts(t *testing.T) {
 	class := *Lookup
 	class.Answer = Fixed(3)
 	class.TTFT, class.TBT = time.Hour, time.Hour
@@ -106,7 +106,7 @@
 func TestSummaryCountsTheWindowOnly(t *testing.T) {
 	run := Run{Flows: []Flow{{Class: Lookup}}, Length: 3 * time.Second}
 	var results []Result
-	for i, v := range []Verdict{Good, NotRun, Good, Good, LateFirst, NotRun} {
+	for i, v := range []Verdict{Good, NotRun, Good, Good, LateFirstToken, NotRun} {
 		results = append(results, Result{At: time.Duration(i) * 500 * time.Millisecond, Verdict: v, Reason: "r"})
 	}
 	rep := run.Summarise("x", results, time.Second, 3*time.Second)
--- a/load/phases.go
+++ b/load/phases.go
@@ -7,53 +7,55 @@
 	"time"
 )
 
-// Phases divide a run with a fault, in times from its start. Requests that were
-// due up to Lookback before the fault may be in progress when it begins, so they
-// count as during it.
+// Phases are the phases of a run with a fault, as offsets from its start. Requests that
+// were due up to Lookback before the fault may be in progress when it begins, so they
+// count as during the fault.
 type Phases struct {
 	Warm, Begin, End, Length time.Duration
-	Lookback                    time.Duration
+	Lookback                 time.Duration
 }
 
-// A class is back when its good share over backWindow is backShare of that before.
+// A class has recovered when its good share over recoveryWindow seconds is at least
+// recoveryShare of its good share before the fault.
 const (
-	backWindow = 3
-	backShare  = 0.95
+	recoveryWindow = 3
+	recoveryShare  = 0.95
 )
 
-// FaultLine is how one class fared under a fault.
-type FaultLine struct {
+// FaultRow is the goodput of one class before, during and after a fault.
+type FaultRow struct {
 	Class string `json:"class"`
 	// Before, During and After are good requests as a share of those offered;
 	// After is nil when the fault lasted for the whole run.
 	Before float64  `json:"before"`
 	During float64  `json:"during"`
 	After  *float64 `json:"after,omitempty"`
-	// Back is the time in seconds from the begin of the fault until the share
-	// stays at 95 % of before. It is negative when that is not seen in the run.
-	Back *float64 `json:"back_s,omitempty"`
+	// Recovery is the time in seconds from the beginning of the fault until the good share
+	// stays at 95 % of Before or more. It is negative when the class does not recover in
+	// the run.
+	Recovery *float64 `json:"back_s,omitempty"`
 }
 
-// FaultReport is that of one scenario.
+// FaultReport is the report of one fault scenario.
 type FaultReport struct {
-	Scenario string      `json:"scenario"`
-	Seed     uint64      `json:"seed"`
-	Lines    []FaultLine `json:"lines"`
-	Run      *Report     `json:"run"`
+	Scenario string     `json:"scenario"`
+	Seed     uint64     `json:"seed"`
+	Lines    []FaultRow `json:"lines"`
+	Run      *Report    `json:"run"`
 }
 
-// ByPhase reports on a run with a fault in the middle.
+// ByPhase reports on a run with a fault between p.Begin and p.End.
 func (r *Report) ByPhase(scenario string, p Phases) *FaultReport {
 	out := &FaultReport{Scenario: scenario, Seed: r.Seed, Run: r}
-	hit := p.Begin - p.Lookback
+	affected := p.Begin - p.Lookback
 	for _, c := range r.Classes {
 		s := r.Seconds[c.Class]
-		before := share(s, second(p.Warm), second(hit))
+		before := share(s, second(p.Warm), second(affected))
 		after := share(s, second(p.End), len(s))
-		recovery := back(s, second(hit), second(p.Begin), before)
-		out.Lines = append(out.Lines, FaultLine{
-			Class: c.Class, Before: before, During: share(s, second(hit), second(p.End)),
-			After: &after, Back: &recovery,
+		recovery := recoveryTime(s, second(affected), second(p.Begin), before)
+		out.Lines = append(out.Lines, FaultRow{
+			Class: c.Class, Before: before, During: share(s, second(affected), second(p.End)),
+			After: &after, Recovery: &recovery,
 		})
 	}
 	return out
@@ -61,7 +63,7 @@
 
 func second(d time.Duration) int { return int(d / time.Second) }
 
-// share is the good part of the requests due in seconds from to to.
+// share returns the good fraction of the requests due in the seconds [from, to).
 func share(s []Second, from, to int) float64 {
 	offered, good := 0, 0
 	for i := max(from, 0); i < min(to, len(s)); i++ {
@@ -74,11 +76,11 @@
 	return float64(good) / float64(offered)
 }
 
-func back(s []Second, hit, begin int, before float64) float64 {
+func recoveryTime(s []Second, affected, begin int, before float64) float64 {
 	bad := -1
-	last := len(s) - backWindow
-	for i := hit; i <= last; i++ {
-		if share(s, i, i+backWindow) < backShare*before {
+	last := len(s) - recoveryWindow
+	for i := affected; i <= last; i++ {
+		if share(s, i, i+recoveryWindow) < recoveryShare*before {
 			bad = i
 		}
 	}
@@ -92,11 +94,12 @@
 	}
 }
 
-// Against reports on a run whose fault lasted throughout, next to one without.
-func (r *Report) Against(scenario string, without *Report) *FaultReport {
+// CompareWith reports on a run whose fault lasted throughout, compared with a run without
+// it.
+func (r *Report) CompareWith(scenario string, baseline *Report) *FaultReport {
 	out := &FaultReport{Scenario: scenario, Seed: r.Seed, Run: r}
 	for _, c := range r.Classes {
-		out.Lines = append(out.Lines, FaultLine{Class: c.Class, Before: without.Class(c.Class).GoodShare, During: c.GoodShare})
+		out.Lines = append(out.Lines, FaultRow{Class: c.Class, Before: baseline.Class(c.Class).GoodShare, During: c.GoodShare})
 	}
 	return out
 }
@@ -107,12 +110,12 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tgood before\tduring\tafter\tback after s\t")
 	for _, l := range f.Lines {
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%s\t\n", l.Class, l.Before, l.During, orDash(l.After), backText(l.Back))
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%s\t\n", l.Class, l.Before, l.During, orDash(l.After), recoveryText(l.Recovery))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	f.Run.writeNotes(out)
+	f.Run.writeDetails(out)
 	return nil
 }
 
@@ -123,7 +126,7 @@
 	return fmt.Sprintf("%.3f", *v)
 }
 
-func backText(v *float64) string {
+func recoveryText(v *float64) string {
 	if v != nil && *v < 0 {
 		return "not in this run"
 	}
--- a/load/phases_test.go
+++ b/load/phases_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRecovery holds when a class counts as back at its goodput from before.
+// TestRecovery checks when a class counts as recovered to its goodput before the fault.
 func TestRecovery(t *testing.T) {
 	p := Phases{Begin: 4 * time.Second, End: 6 * time.Second, Lookback: time.Second}
 	for _, tc := range []struct {
@@ -28,6 +28,6 @@
 		l := r.ByPhase(tc.name, p).Lines[0]
 		assert.Equal(t, l.Before, tc.before, tc.name)
 		assert.Equal(t, *l.After, tc.after, tc.name)
-		assert.Equal(t, *l.Back, tc.back, tc.name)
+		assert.Equal(t, *l.Recovery, tc.back, tc.name)
 	}
 }
--- a/load/report.go
+++ b/load/report.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms hold microseconds up to ten minutes with three digits.
+// The histograms hold microseconds up to ten minutes with three significant digits.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
@@ -24,7 +24,7 @@
 	Max float64 `json:"max"`
 }
 
-// histogram gathers durations; it is made by newHistogram.
+// histogram records durations; newHistogram creates one.
 type histogram struct{ *hdrhistogram.Histogram }
 
 func newHistogram() histogram {
@@ -40,7 +40,7 @@
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 }
 
-// ClassReport is what the callers of one class got in the window.
+// ClassReport summarises the requests of one class that were due in the window.
 type ClassReport struct {
 	Class   string `json:"class"`
 	Offered int    `json:"offered"`
@@ -48,46 +48,46 @@
 	// verdict and reason.
 	Verdicts map[Verdict]int `json:"verdicts"`
 	Reasons  map[string]int  `json:"reasons"`
-	// OfferedRate and Goodput are requests per second; GoodShare is Goodput of
+	// OfferedRate and Goodput are requests per second; GoodShare is Goodput divided by
 	// OfferedRate.
 	OfferedRate float64 `json:"offered_rate"`
 	Goodput     float64 `json:"goodput"`
 	GoodShare   float64 `json:"good_share"`
-	// TTFT is of requests that got a token, TBT of all tokens after the first,
-	// Total of completed requests.
+	// TTFT covers requests that received a token, TBT all tokens after the first, Total
+	// completed requests.
 	TTFT  Quantiles `json:"ttft_ms"`
 	TBT   Quantiles `json:"tbt_ms"`
 	Total Quantiles `json:"total_ms"`
 }
 
-// Second is what became of the requests that were due in one second.
+// Second counts the requests that were due in one second.
 type Second struct {
 	Offered int `json:"offered"`
 	Good    int `json:"good"`
 }
 
-// Report is that of one run.
+// Report is the report of one run.
 type Report struct {
 	Name string  `json:"name"`
 	Seed uint64  `json:"seed"`
 	Load float64 `json:"load"`
-	// Window is the part of the run that is counted, in seconds.
+	// Window is the length of the measured part of the run, in seconds.
 	Window  float64       `json:"window_s"`
 	Classes []ClassReport `json:"classes"`
 	// Late is how far the generator was behind its schedule.
 	Late Quantiles `json:"generator_late_ms"`
-	// Seconds is a line of the whole run for each class.
-	Seconds map[string][]Second `json:"seconds"`
-	Prefill []PrefillReport     `json:"prefill"`
-	Inside  []Inside            `json:"inside"`
-	// Wrong lists answers that must never be seen, at most maxWrong of them.
+	// Seconds is the time series of the whole run, by class.
+	Seconds  map[string][]Second `json:"seconds"`
+	Prefill  []PrefillReport     `json:"prefill"`
+	Internal []InternalCounts    `json:"inside"`
+	// Wrong lists incorrect answers, which are never acceptable, at most maxWrong of them.
 	Wrong []string `json:"wrong"`
 }
 
 const maxWrong = 20
 
-// Inside counts what happened within the system, over the whole run, by reason.
-type Inside struct {
+// InternalCounts counts events inside the system over the whole run, by reason.
+type InternalCounts struct {
 	Where   string         `json:"where"`
 	Reasons map[string]int `json:"reasons"`
 }
@@ -98,8 +98,8 @@
 	Done   int    `json:"done"`
 	Cached int    `json:"cached"`
 	Wasted int    `json:"wasted"`
-	// Wasted is the sum of these: cancelled midway or before the first token,
-	// evicted before it was taken, and released unused.
+	// Wasted is the sum of the next fields: prefill cancelled midway or before the first
+	// token, evicted before it was fetched, and released unused.
 	Discarded int `json:"discarded"`
 	Expired   int `json:"expired"`
 	Released  int `json:"released"`
@@ -107,7 +107,7 @@
 	ImportsLost int `json:"imports_lost"`
 }
 
-// Share returns the wasted part of the work done.
+// Share returns the wasted fraction of the work done.
 func (p PrefillReport) Share() float64 {
 	if p.Done == 0 {
 		return 0
--- a/load/request.go
+++ b/load/request.go
@@ -11,14 +11,14 @@
 	"github.com/hibiscusspur/hibiscusspur/standin/engine"
 )
 
-// Request is one request ready to be sent, and the answer that is right.
+// Request is one request ready to be sent, with its expected answer.
 type Request struct {
 	Class *Class
 	// ID is sent as request id and as idempotency key.
 	ID     string
 	Body   []byte
 	Prompt string
-	// Answer is what the stand-in engines answer, token by token.
+	// Answer is the answer of the stand-in engines, token by token.
 	Answer []string
 }
 
@@ -30,7 +30,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// NewRequest makes the request of a class that seed stands for. Its id begins with tag.
+// NewRequest derives a request of class c from seed. Its id begins with tag.
 func NewRequest(c *Class, seed uint64, tag string) *Request {
 	r := rand.New(rand.NewPCG(seed, 1))
 	req := &Request{Class: c, ID: fmt.Sprintf("%s-%016x", tag, seed)}
@@ -43,7 +43,7 @@
 	req.Answer = engine.Answer(c.Model, req.Prompt, length)
 	body, err := json.Marshal(completionBody{Model: c.Model, Prompt: req.Prompt, MaxTokens: length, Stream: true})
 	if err != nil {
-		panic(fmt.Sprintf("request not encodable: %v", err))
+		panic(fmt.Sprintf("encode request: %v", err))
 	}
 	req.Body = body
 	return req
@@ -52,22 +52,23 @@
 func (c *Class) prompt(r *rand.Rand) string {
 	var b strings.Builder
 	if c.Shared.Texts > 0 {
-		c.Shared.write(&b, c, r)
+		c.Shared.writeText(&b, c, r)
 	}
-	writeWords(&b, r, c.Own.Draw(r))
+	writeWords(&b, r, c.Unique.Draw(r))
 	return b.String()
 }
 
-// write appends one of the shared texts, filled up to whole blocks of the prefix cache.
-func (s Shared) write(b *strings.Builder, c *Class, r *rand.Rand) {
-	text := rand.New(rand.NewPCG(uint64(s.pick(r)), uint64(len(c.Model))))
+// writeText appends one of the shared texts, whose length is a whole number of prefix
+// cache blocks.
+func (s Shared) writeText(b *strings.Builder, c *Class, r *rand.Rand) {
+	text := rand.New(rand.NewPCG(uint64(s.drawText(r)), uint64(len(c.Model))))
 	tokens := s.Tokens.Draw(text)
 	blocks := max(tokens/port.PrefixBlockTokens, 1)
 	writeWords(b, text, blocks*port.PrefixBlockTokens)
 }
 
-// pick draws the number of a text by its popularity.
-func (s Shared) pick(r *rand.Rand) int {
+// drawText draws the index of a text by its popularity.
+func (s Shared) drawText(r *rand.Rand) int {
 	total := 0.0
 	for i := range s.Texts {
 		total += math.Pow(float64(i+1), -s.Skew)
--- a/load/result.go
+++ b/load/result.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// Verdict is how a request ended as its caller sees it.
+// Verdict classifies the result of a request as its caller sees it.
 type Verdict string
 
 // Verdicts.
 const (
-	// Good requests were completed within both targets.
+	// Good requests were completed within both objectives.
 	Good Verdict = "good"
-	// LateFirst requests were completed, their first token after its target.
-	LateFirst Verdict = "late_first_token"
-	// SlowTokens requests were completed, with too long a time between tokens.
+	// LateFirstToken requests were completed, but missed the TTFT objective.
+	LateFirstToken Verdict = "late_first_token"
+	// SlowTokens requests were completed, but missed the TBT objective.
 	SlowTokens Verdict = "slow_tokens"
-	// NotRun, Failed and Unknown are the outcomes told to the caller.
+	// NotRun, Failed and Unknown are the outcomes reported to the caller.
 	NotRun  Verdict = "not_run"
 	Failed  Verdict = "failed"
 	Unknown Verdict = "unknown"
-	// Broken requests ended without the caller being told anything.
+	// Broken requests ended without an outcome reported to the caller.
 	Broken Verdict = "broken"
-	// Wrong requests got something that is not their answer, or their answer
-	// and more. It is never acceptable.
+	// Wrong requests received something other than their answer, or more than it. This is
+	// never acceptable.
 	Wrong Verdict = "wrong"
 )
 
 // Completed reports whether the whole answer arrived.
 func (v Verdict) Completed() bool {
-	return v == Good || v == LateFirst || v == SlowTokens
+	return v == Good || v == LateFirstToken || v == SlowTokens
 }
 
-// Result is what became of one request. Durations are zero when they do not apply.
+// Result is the result of one request. Durations are zero when they do not apply.
 type Result struct {
 	ID   string
 	Flow int
-	// At is when the request was due, relative to the start of the run; Late is
-	// by how much the generator was behind. All latencies count from At.
+	// At is when the request was due, relative to the start of the run; Late is how far
+	// the generator was behind. All latencies are measured from At.
 	At   time.Duration
 	Late time.Duration
 
 	Verdict Verdict
-	// Reason is the reason code of a refusal or failure, or what was wrong.
+	// Reason is the reason code of a rejection or failure, or describes what was wrong.
 	Reason     string
 	RetryAfter time.Duration
 
 	TTFT  time.Duration
 	Total time.Duration
-	// Gap95 is the time between tokens that 95 % of the request's tokens kept.
+	// Gap95 is the token gap that 95 % of the request's gaps do not exceed.
 	Gap95 time.Duration
-	// Gaps are the times between tokens.
+	// Gaps are the token gaps.
 	Gaps   []time.Duration
 	Tokens int
 }
 
-// judge decides between the verdicts of a whole answer.
-func (r *Result) judge(c *Class) {
+// checkTargets sets the verdict of a complete answer by the latency objectives of its
+// class.
+func (r *Result) checkTargets(c *Class) {
 	switch {
 	case c.Service != nil && r.Total > c.TTFT:
-		r.Verdict = LateFirst
+		r.Verdict = LateFirstToken
 	case r.TTFT > c.TTFT:
-		r.Verdict = LateFirst
+		r.Verdict = LateFirstToken
 	case r.Gap95 > c.TBT:
 		r.Verdict = SlowTokens
 	default:
--- a/load/runner.go
+++ b/load/runner.go
@@ -6,32 +6,34 @@
 	"time"
 )
 
-// prepareAhead is how many requests are made before they are due.
+// prepareAhead is how many requests are prepared before they are due.
 const prepareAhead = 64
 
-// Run offers load for one length of time.
+// Run is one run of the load generator.
 type Run struct {
 	Flows []Flow
 	// Load multiplies the rates of the flows.
 	Load float64
-	// Length is that of the arrivals; the run itself goes on until all have ended.
+	// Length is the duration of the arrivals; the run continues until all requests have
+	// ended.
 	Length time.Duration
 	Seed   uint64
-	// Tag makes the ids of this run unlike those of others with the same seed.
+	// Tag distinguishes the request ids of this run from those of others with the same
+	// seed.
 	Tag string
-	// Observe, if set, is told of every request before it is sent and of every
-	// result; it is called concurrently.
+	// Observe, if set, is called concurrently before each request is sent and with each
+	// result.
 	Observe Observer
 }
 
-// Observer watches the requests of a run, such as a checker of invariants.
+// Observer observes the requests of a run, for example to check invariants.
 type Observer interface {
 	Sent(r *Request)
 	Ended(r *Request, res Result)
 }
 
-// Do offers the load through c and returns the results in the order of their
-// arrivals. It returns early, with what has ended, when ctx does.
+// Do offers the load through c and returns the results in the order of their arrivals. It
+// returns early, with the results so far, when ctx is done.
 func (run Run) Do(ctx context.Context, c *Client) []Result {
 	arrivals := Schedule(run.Flows, run.Load, run.Length, run.Seed)
 	ready := run.prepare(ctx, arrivals)
@@ -44,13 +46,13 @@
 			results = results[:i]
 			break
 		}
-		wg.Go(func() { results[i] = run.one(ctx, c, req, a, start.Add(a.At)) })
+		wg.Go(func() { results[i] = run.send(ctx, c, req, a, start.Add(a.At)) })
 	}
 	wg.Wait()
 	return results
 }
 
-func (run Run) one(ctx context.Context, c *Client, req *Request, a Arrival, due time.Time) Result {
+func (run Run) send(ctx context.Context, c *Client, req *Request, a Arrival, due time.Time) Result {
 	if run.Observe != nil {
 		run.Observe.Sent(req)
 	}
@@ -62,7 +64,7 @@
 	return res
 }
 
-// prepare makes the requests ahead of their time, in order.
+// prepare builds the requests in order, ahead of their due times.
 func (run Run) prepare(ctx context.Context, arrivals []Arrival) <-chan *Request {
 	ready := make(chan *Request, prepareAhead)
 	go func() {
--- a/load/table.go
+++ b/load/table.go
@@ -14,23 +14,23 @@
 	for _, c := range r.Classes {
 		v := c.Verdicts
 		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n",
-			c.Class, c.OfferedRate, c.Goodput, 100*c.GoodShare, v[LateFirst], v[SlowTokens], v[NotRun], v[Failed], v[Unknown], v[Broken], v[Wrong],
+			c.Class, c.OfferedRate, c.Goodput, 100*c.GoodShare, v[LateFirstToken], v[SlowTokens], v[NotRun], v[Failed], v[Unknown], v[Broken], v[Wrong],
 			c.TTFT.P50, c.TTFT.P95, c.TBT.P50, c.TBT.P95)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	r.writeNotes(out)
+	r.writeDetails(out)
 	return nil
 }
 
-func (r *Report) writeNotes(out io.Writer) {
+func (r *Report) writeDetails(out io.Writer) {
 	for _, c := range r.Classes {
 		if len(c.Reasons) > 0 {
 			fmt.Fprintf(out, "  %s: %s\n", c.Class, byCount(c.Reasons))
 		}
 	}
-	for _, i := range r.Inside {
+	for _, i := range r.Internal {
 		if len(i.Reasons) > 0 {
 			fmt.Fprintf(out, "  %s: %s\n", i.Where, byCount(i.Reasons))
 		}
--- a/load/targets.go
+++ b/load/targets.go
@@ -7,17 +7,17 @@
 
 // Targets of a comparison.
 const (
-	targetLoad       = 1.2
-	targetLookups    = 0.95
-	targetWasted     = 0.02
-	targetWastedPart = 0.1
-	targetPastPeak   = 0.95
-	peakLoad         = 1.5
-	wasteBaseline    = "leastload"
+	targetLoad        = 1.2
+	targetLookups     = 0.95
+	targetWasted      = 0.02
+	targetWastedRatio = 0.1
+	targetPeakGoodput = 0.95
+	overload          = 1.5
+	wasteBaseline     = "leastload"
 )
 
-// WriteTargets says for each target how the first variant stands, by the means
-// over the seeds. Targets whose runs are not there are left out.
+// WriteTargets writes for each target whether the first variant meets it, by the means
+// over the seeds. Targets without runs are skipped.
 func (c *Comparison) WriteTargets(out io.Writer) {
 	ours := c.Variants[0]
 	line := func(ok bool, format string, args ...any) {
@@ -28,23 +28,23 @@
 		fmt.Fprintf(out, "- %s: %s\n", verdict, fmt.Sprintf(format, args...))
 	}
 	fmt.Fprintf(out, "\n**Targets, for %s**\n\n", ours)
-	lookups := Measure{Of: func(r *Report) float64 { return r.Class(Lookup.ID()).GoodShare }}
-	if s := c.Spread(lookups, ours, targetLoad); s.known() {
+	lookups := Measure{Value: func(r *Report) float64 { return r.Class(Lookup.ID()).GoodShare }}
+	if s := c.Spread(lookups, ours, targetLoad); s.hasValue() {
 		line(s.Mean >= targetLookups, "lookups at 120 %%: %v good, at least %.2f wanted", s, targetLookups)
 	}
-	wasted := Measure{Of: func(r *Report) float64 { return r.wasted(Ruling.Model) }}
-	if s := c.Spread(wasted, ours, targetLoad); s.known() {
+	wasted := Measure{Value: func(r *Report) float64 { return r.wastedShare(Ruling.Model) }}
+	if s := c.Spread(wasted, ours, targetLoad); s.hasValue() {
 		line(s.Mean <= targetWasted, "wasted prefill of rulings at 120 %%: %v, at most %.2f wanted", s, targetWasted)
-		if b := c.Spread(wasted, wasteBaseline, targetLoad); b.known() {
-			line(s.Mean <= targetWastedPart*b.Mean, "it is at most a tenth of that of %s, %v", wasteBaseline, b)
+		if b := c.Spread(wasted, wasteBaseline, targetLoad); b.hasValue() {
+			line(s.Mean <= targetWastedRatio*b.Mean, "it is at most a tenth of that of %s, %v", wasteBaseline, b)
 		}
 	}
-	all := Measure{Of: (*Report).goodput}
+	all := Measure{Value: (*Report).goodput}
 	best := 0.0
 	for _, l := range c.Loads {
 		best = max(best, c.Spread(all, ours, l).Mean)
 	}
-	if s := c.Spread(all, ours, peakLoad); s.known() {
-		line(s.Mean >= targetPastPeak*best, "goodput at 150 %%: %v a second, the best at any load is %.3f", s, best)
+	if s := c.Spread(all, ours, overload); s.hasValue() {
+		line(s.Mean >= targetPeakGoodput*best, "goodput at 150 %%: %v a second, the best at any load is %.3f", s, best)
 	}
 }
