--- a/cmd/hsload/fault.go
+++ b/cmd/hsload/fault.go
@@ -61,7 +61,7 @@
 
 func listScenarios(cmd *cobra.Command) error {
 	for _, s := range lab.Scenarios() {
-		fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", s.Name, s.About)
+		fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", s.Name, s.Description)
 	}
 	return nil
 }
--- a/load/lab/fault.go
+++ b/load/lab/fault.go
@@ -18,7 +18,7 @@
 
 // Scenario is one fault that is injected under load.
 type Scenario struct {
-	Name, About string
+	Name, Description string
 	// Prepare changes the deployments before they start.
 	Prepare func(d []Deployment, p load.Phases)
 	// Begin and End switch the fault on and off in one deployment.
@@ -36,14 +36,14 @@
 // Scenarios returns all fault scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "decode-dies", About: "one decode server of each deployment dies with its sidecar", OwnProcess: decodePools, Begin: killDecode},
-		{Name: "zone-gone", About: "every VM of one availability zone dies: sidecars, engines behind them, entry", Begin: killZone},
-		{Name: "store-out", About: "the platform's table refuses every call from the first arrival on", WholeRun: true, Begin: refuseTableCalls},
-		{Name: "late-reports", About: "engines renew their load reports every 2 s", WholeRun: true, Prepare: eachEngine(func(e *Engine) { e.LoadLag = 2 * time.Second })},
-		{Name: "lost-events", About: "half of the cache events are lost", WholeRun: true, Prepare: eachEngine(func(e *Engine) { e.EventLoss = 0.5 })},
-		{Name: "slow-engine", About: "one decode engine of each deployment takes five times as long for each step", Begin: setDecodeFault(fault.Rule{Kind: fault.Slow, Factor: 5}), End: clearDecodeFault},
-		{Name: "slow-link", About: "the inbound link of one decode engine has a tenth of its rate", Begin: setDecodeFault(fault.Rule{Kind: fault.Link, Factor: 0.1}), End: clearDecodeFault},
-		{Name: "tenfold", About: "a customer with a tenth of the drafting pool sends ten times its share", Prepare: addOverload},
+		{Name: "decode-dies", Description: "one decode server of each deployment dies with its sidecar", OwnProcess: decodePools, Begin: killDecode},
+		{Name: "zone-gone", Description: "every VM of one availability zone dies: sidecars, engines behind them, entry", Begin: killZone},
+		{Name: "store-out", Description: "the platform's table refuses every call from the first arrival on", WholeRun: true, Begin: refuseTableCalls},
+		{Name: "late-reports", Description: "engines renew their load reports every 2 s", WholeRun: true, Prepare: eachEngine(func(e *Engine) { e.LoadLag = 2 * time.Second })},
+		{Name: "lost-events", Description: "half of the cache events are lost", WholeRun: true, Prepare: eachEngine(func(e *Engine) { e.EventLoss = 0.5 })},
+		{Name: "slow-engine", Description: "one decode engine of each deployment takes five times as long for each step", Begin: setDecodeFault(fault.Rule{Kind: fault.Slow, Factor: 5}), End: clearDecodeFault},
+		{Name: "slow-link", Description: "the inbound link of one decode engine has a tenth of its rate", Begin: setDecodeFault(fault.Rule{Kind: fault.Link, Factor: 0.1}), End: clearDecodeFault},
+		{Name: "tenfold", Description: "a customer with a tenth of the drafting pool sends ten times its share", Prepare: addOverload},
 	}
 }
 
