--- a/load/capacity/change.go
+++ b/load/capacity/change.go
@@ -34,19 +34,19 @@
 	s := Section{Title: fmt.Sprintf("one change of a contract, %d entries and N sidecars", changeEntries)}
 	sizes := r.sizes([]int{10, 50, 100, 200}, []int{10, 20, 40, 80})
 	var mu sync.Mutex
-	open, cut := make(map[int][]changeCost), make(map[int][]changeCost)
+	connected, cut := make(map[int][]changeCost), make(map[int][]changeCost)
 	err := forEachSize(sizes, func(n int) error {
 		a, b, err := r.changesAt(ctx, n)
 		mu.Lock()
 		defer mu.Unlock()
-		open[n], cut[n] = a, b
+		connected[n], cut[n] = a, b
 		return err
 	})
 	if err != nil {
 		return s, err
 	}
 	for _, n := range sizes {
-		s.addChange("table in reach: ", n, open[n])
+		s.addChange("table in reach: ", n, connected[n])
 		s.addChange("table in reach of one entry: ", n, cut[n])
 	}
 	return s, nil
@@ -70,7 +70,7 @@
 	s.add(prefix+"table writes of all", "1", "sidecars", float64(n), sum.writes/count)
 }
 
-func (r *runner) changesAt(ctx context.Context, n int) (open, cut []changeCost, err error) {
+func (r *runner) changesAt(ctx context.Context, n int) (connected, cut []changeCost, err error) {
 	l, f, w, err := r.startDeployment(ctx, n, 8)
 	if err != nil {
 		return nil, nil, err
@@ -78,15 +78,15 @@
 	defer l.Stop()
 	defer f.close()
 	defer w.close()
-	others, err := newRelay(w.store.server.Addr())
+	otherRelay, err := newRelay(w.store.server.Addr())
 	if err != nil {
 		return nil, nil, err
 	}
-	defer others.close()
+	defer otherRelay.close()
 	for i := range changeEntries {
 		url := w.relay.url()
 		if i > 0 {
-			url = others.url()
+			url = otherRelay.url()
 		}
 		if err := r.addEntry(ctx, l, url); err != nil {
 			return nil, nil, err
@@ -94,15 +94,15 @@
 	}
 	waitFor(ctx, linkTimeout, func() bool { return f.segs.connections() == n*changeEntries })
 	sleep(ctx, settleTime)
-	if open, err = r.changeSeries(ctx, l, f, w, others); err != nil {
+	if connected, err = r.changeSeries(ctx, l, f, w, otherRelay); err != nil {
 		return nil, nil, err
 	}
-	others.setCut(true)
-	cut, err = r.changeSeries(ctx, l, f, w, others)
-	return open, cut, err
+	otherRelay.setCut(true)
+	cut, err = r.changeSeries(ctx, l, f, w, otherRelay)
+	return connected, cut, err
 }
 
-func (r *runner) changeSeries(ctx context.Context, l *lab.Lab, f *sidecarFarm, w *relayedPlatform, others *relay) ([]changeCost, error) {
+func (r *runner) changeSeries(ctx context.Context, l *lab.Lab, f *sidecarFarm, w *relayedPlatform, otherRelay *relay) ([]changeCost, error) {
 	count := 5
 	if r.Quick {
 		count = 2
@@ -111,7 +111,7 @@
 	for i := range count {
 		// Varies the phase of the commits relative to the polls.
 		sleep(ctx, time.Duration(i)*170*time.Millisecond)
-		c, err := measureChange(ctx, l, f, w, others)
+		c, err := measureChange(ctx, l, f, w, otherRelay)
 		if err != nil {
 			return nil, err
 		}
@@ -120,15 +120,15 @@
 	return out, nil
 }
 
-func measureChange(ctx context.Context, l *lab.Lab, f *sidecarFarm, w *relayedPlatform, others *relay) (changeCost, error) {
+func measureChange(ctx context.Context, l *lab.Lab, f *sidecarFarm, w *relayedPlatform, otherRelay *relay) (changeCost, error) {
 	var c changeCost
 	bytes := func() float64 { return float64(f.meter.Sent() + f.meter.Received()) }
-	stored := func() float64 { return float64(w.relay.bytes.Load() + others.bytes.Load()) }
+	stored := func() float64 { return float64(w.relay.bytes.Load() + otherRelay.bytes.Load()) }
 	body, err := exampleContract(1, int(w.store.head)).Marshal()
 	if err != nil {
 		return c, err
 	}
-	a, links, relayed := w.store.calls(), bytes(), stored()
+	before, links, relayed := w.store.calls(), bytes(), stored()
 	change := map[string]dissemination.Change{dissemination.ContractPrefix + "team-001": {Body: string(body)}}
 	if err := w.store.commit(ctx, change); err != nil {
 		return c, err
@@ -139,10 +139,10 @@
 	}
 	c.applyTime = time.Since(start)
 	sleep(ctx, confirmTime)
-	b := w.store.calls()
+	after := w.store.calls()
 	c.linkBytes, c.storeBytes = bytes()-links, stored()-relayed
-	c.reads = float64(b.table.Reads - a.table.Reads)
-	c.writes = float64(b.table.Writes-a.table.Writes) - 1
+	c.reads = float64(after.table.Reads - before.table.Reads)
+	c.writes = float64(after.table.Writes-before.table.Writes) - 1
 	return c, nil
 }
 
--- a/load/capacity/frames.go
+++ b/load/capacity/frames.go
@@ -72,7 +72,7 @@
 
 type countingStream struct {
 	wire.DRPCSidecar_SessionStream
-	book *frameCounter
+	counter *frameCounter
 }
 
 // GetStream exposes the underlying stream, so that the link can flush it.
@@ -82,7 +82,7 @@
 
 // Send implements wire.DRPCSidecar_SessionStream.
 func (s countingStream) Send(f *wire.SidecarFrame) error {
-	s.book.record(kind("sidecar", f.GetBody()), proto.Size(f), answerBytes(f))
+	s.counter.record(kind("sidecar", f.GetBody()), proto.Size(f), answerBytes(f))
 	return s.DRPCSidecar_SessionStream.Send(f)
 }
 
@@ -90,7 +90,7 @@
 func (s countingStream) Recv() (*wire.EntryFrame, error) {
 	f, err := s.DRPCSidecar_SessionStream.Recv()
 	if err == nil {
-		s.book.record(kind("entry", f.GetBody()), proto.Size(f), promptBytes(f))
+		s.counter.record(kind("entry", f.GetBody()), proto.Size(f), promptBytes(f))
 	}
 	return f, err
 }
--- a/load/capacity/idle.go
+++ b/load/capacity/idle.go
@@ -28,7 +28,7 @@
 // sample is the cumulative usage of a process and its links at a point in time.
 type sample struct {
 	at             time.Time
-	use            usage
+	usage          usage
 	sent, received float64 // bytes on links, below TLS
 	segments       float64 // both ways
 	store          float64 // bytes to and from the platform
@@ -39,7 +39,7 @@
 func takeSample(ctx context.Context, pid int, admin string, segs *segments, r *relay) (sample, error) {
 	out := sample{at: time.Now()}
 	var err error
-	if out.use, err = readUsage(pid); err != nil {
+	if out.usage, err = readUsage(pid); err != nil {
 		return out, err
 	}
 	if out.sent, err = gauge(ctx, admin, metrics.LinkBytesSent); err != nil {
@@ -85,20 +85,20 @@
 }
 
 // addIdle adds the usage of one process between two samples, over x.
-func (s *Section) addIdle(prefix, over string, x float64, a, b sample) {
-	t := b.at.Sub(a.at).Seconds()
-	s.add(prefix+"link bytes sent", "B/s", over, x, (b.sent-a.sent)/t)
-	s.add(prefix+"link bytes received", "B/s", over, x, (b.received-a.received)/t)
-	s.add(prefix+"TCP segments, both ways", "1/s", over, x, (b.segments-a.segments)/t)
+func (s *Section) addIdle(prefix, over string, x float64, before, after sample) {
+	t := after.at.Sub(before.at).Seconds()
+	s.add(prefix+"link bytes sent", "B/s", over, x, (after.sent-before.sent)/t)
+	s.add(prefix+"link bytes received", "B/s", over, x, (after.received-before.received)/t)
+	s.add(prefix+"TCP segments, both ways", "1/s", over, x, (after.segments-before.segments)/t)
 	s.add(prefix+"bytes with TCP and IP headers, both ways", "B/s", over, x,
-		(b.sent-a.sent+b.received-a.received+headerBytes*(b.segments-a.segments))/t)
-	if b.store > 0 {
+		(after.sent-before.sent+after.received-before.received+headerBytes*(after.segments-before.segments))/t)
+	if after.store > 0 {
 		s.add(prefix+"platform bytes with headers", "B/s", over, x,
-			(b.store-a.store+headerBytes*(b.storeSegments-a.storeSegments))/t)
+			(after.store-before.store+headerBytes*(after.storeSegments-before.storeSegments))/t)
 	}
-	s.add(prefix+"processor", "% of a core", over, x, 100*(b.use.cpu-a.use.cpu).Seconds()/t)
-	s.add(prefix+"resident memory", "MiB", over, x, b.use.resident/mebibyte)
-	s.add(prefix+"of it anonymous", "MiB", over, x, b.use.anonymous/mebibyte)
+	s.add(prefix+"processor", "% of a core", over, x, 100*(after.usage.cpu-before.usage.cpu).Seconds()/t)
+	s.add(prefix+"resident memory", "MiB", over, x, after.usage.resident/mebibyte)
+	s.add(prefix+"of it anonymous", "MiB", over, x, after.usage.anonymous/mebibyte)
 }
 
 // idleEntries measures idle entries by the number of linked sidecars, all sizes
@@ -124,51 +124,51 @@
 	return s, err
 }
 
-func (r *runner) idleEntry(ctx context.Context, n int, secure bool) (a, b sample, err error) {
+func (r *runner) idleEntry(ctx context.Context, n int, secure bool) (before, after sample, err error) {
 	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
 	defer l.Stop()
 	set := entry.DefaultSettings()
 	set.ID, set.Zone = fmt.Sprintf("entry-%d", n), "zone-a"
 	conf, err := r.newTLSConfig(secure, l.Dir(), &set.TLS)
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
 	f, err := newFarm(ctx, n, nil, conf)
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
 	defer f.close()
 	w, err := newRelayedPlatform(ctx, f.backends("service", n), 1)
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
 	defer w.close()
 	set.Platform = w.relay.url()
-	at, err := l.StartEntry(set)
+	instance, err := l.StartEntry(set)
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
-	if err := l.Await(ctx, at.Admin+"/healthz"); err != nil {
-		return a, b, err
+	if err := l.Await(ctx, instance.Admin+"/healthz"); err != nil {
+		return before, after, err
 	}
 	if !waitFor(ctx, linkTimeout, func() bool { return f.segs.connections() == n && f.lowestHead() == w.store.head }) {
-		return a, b, merry.Errorf("%d of %d links were established", f.segs.connections(), n)
+		return before, after, merry.Errorf("%d of %d links were established", f.segs.connections(), n)
 	}
-	return r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, &f.segs, w.relay) })
+	return r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, instance.PID(), instance.Admin, &f.segs, w.relay) })
 }
 
 // sampleWindow takes a sample after the settling time and another after the window.
-func (r *runner) sampleWindow(ctx context.Context, read func() (sample, error)) (a, b sample, err error) {
+func (r *runner) sampleWindow(ctx context.Context, take func() (sample, error)) (before, after sample, err error) {
 	sleep(ctx, settleTime)
-	if a, err = read(); err != nil {
-		return a, b, err
+	if before, err = take(); err != nil {
+		return before, after, err
 	}
 	sleep(ctx, r.idleWindow())
-	b, err = read()
-	return a, b, err
+	after, err = take()
+	return before, after, err
 }
 
 // relayedPlatform is a platform with a configuration, behind a relay.
@@ -218,32 +218,32 @@
 	return s, err
 }
 
-func (r *runner) idleSidecar(ctx context.Context, n int) (a, b sample, err error) {
+func (r *runner) idleSidecar(ctx context.Context, n int) (before, after sample, err error) {
 	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
 	defer l.Stop()
 	if err := l.StartEngines(lab.Pool{Model: modelName(0), Role: "mixed", Count: 1, Engine: quickEngine()}); err != nil {
-		return a, b, err
+		return before, after, err
 	}
 	set := sidecar.DefaultSettings()
 	set.Engine = l.Engines[0].URL
-	at, err := l.StartSidecar(set, contract.Backend{ID: serverID(n), Role: "mixed", Zone: "zone-a"})
+	instance, err := l.StartSidecar(set, contract.Backend{ID: serverID(n), Role: "mixed", Zone: "zone-a"})
 	if err != nil {
-		return a, b, err
+		return before, after, err
 	}
-	if err := l.Await(ctx, at.Admin+"/healthz"); err != nil {
-		return a, b, err
+	if err := l.Await(ctx, instance.Admin+"/healthz"); err != nil {
+		return before, after, err
 	}
 	var segs segments
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go linkPeers(ctx, at.Address, n, &segs)
+	go linkPeers(ctx, instance.Address, n, &segs)
 	if !waitFor(ctx, linkTimeout, func() bool { return segs.connections() >= n }) {
-		return a, b, merry.Errorf("%d of %d links were established", segs.connections(), n)
+		return before, after, merry.Errorf("%d of %d links were established", segs.connections(), n)
 	}
-	return r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, &segs, nil) })
+	return r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, instance.PID(), instance.Admin, &segs, nil) })
 }
 
 // forEachSize runs f for all sizes concurrently and returns the first error.
--- a/load/capacity/load.go
+++ b/load/capacity/load.go
@@ -81,14 +81,14 @@
 // loadCost is the cost of one load to a process.
 type loadCost struct {
 	requests, tokens float64
-	a, b             sample
+	before, after    sample
 	frames           []Frames
 	calls            [2]platformCalls
 }
 
 // offerLoad offers load to target for a window, and takes samples before and after it. The
 // process is idle at both, so that all of the work lies in between.
-func (r *runner) offerLoad(ctx context.Context, p loadPoint, target string, read func() (sample, error)) (loadCost, error) {
+func (r *runner) offerLoad(ctx context.Context, p loadPoint, target string, take func() (sample, error)) (loadCost, error) {
 	var o loadCost
 	c := load.NewClient([]string{target})
 	defer c.Close()
@@ -101,11 +101,11 @@
 		Seed: uint64(p.rate)<<16 | uint64(p.tokens), Tag: fmt.Sprintf("%s-%d", p.className(), time.Now().UnixNano()),
 	}
 	var err error
-	if o.a, err = read(); err != nil {
+	if o.before, err = take(); err != nil {
 		return o, err
 	}
 	results := run.Do(ctx, c)
-	if o.b, err = read(); err != nil {
+	if o.after, err = take(); err != nil {
 		return o, err
 	}
 	for _, res := range results {
@@ -120,34 +120,34 @@
 
 // addLoad adds the resource usage rates of one load over x.
 func (s *Section) addLoad(over string, x float64, o loadCost) {
-	t := o.b.at.Sub(o.a.at).Seconds()
-	s.add("processor", "ms/s", over, x, 1000*(o.b.use.cpu-o.a.use.cpu).Seconds()/t)
-	s.add("link bytes sent", "B/s", over, x, (o.b.sent-o.a.sent)/t)
-	s.add("link bytes received", "B/s", over, x, (o.b.received-o.a.received)/t)
-	if o.b.segments > 0 {
-		s.add("TCP segments, both ways", "1/s", over, x, (o.b.segments-o.a.segments)/t)
+	t := o.after.at.Sub(o.before.at).Seconds()
+	s.add("processor", "ms/s", over, x, 1000*(o.after.usage.cpu-o.before.usage.cpu).Seconds()/t)
+	s.add("link bytes sent", "B/s", over, x, (o.after.sent-o.before.sent)/t)
+	s.add("link bytes received", "B/s", over, x, (o.after.received-o.before.received)/t)
+	if o.after.segments > 0 {
+		s.add("TCP segments, both ways", "1/s", over, x, (o.after.segments-o.before.segments)/t)
 	}
-	s.add("resident memory", "MiB", over, x, o.b.use.resident/mebibyte)
+	s.add("resident memory", "MiB", over, x, o.after.usage.resident/mebibyte)
 }
 
 // measureSeries offers both series of loads and fits the cost of each request and each
 // token: the slope over the rates at a fixed length is the cost of a request with its
 // tokens, the slope over the tokens is the cost of one token.
-func (s *Section) measureSeries(byRate, byTokens []loadPoint, one func(loadPoint) (loadCost, error)) error {
+func (s *Section) measureSeries(byRate, byTokens []loadPoint, offer func(loadPoint) (loadCost, error)) error {
 	for _, p := range byRate {
-		o, err := one(p)
+		o, err := offer(p)
 		if err != nil {
 			return err
 		}
-		t := o.b.at.Sub(o.a.at).Seconds()
+		t := o.after.at.Sub(o.before.at).Seconds()
 		s.addLoad(fmt.Sprintf("requests/s of %d tokens", baseTokens), o.requests/t, o)
 	}
 	for _, p := range byTokens {
-		o, err := one(p)
+		o, err := offer(p)
 		if err != nil {
 			return err
 		}
-		t := o.b.at.Sub(o.a.at).Seconds()
+		t := o.after.at.Sub(o.before.at).Seconds()
 		s.addLoad(fmt.Sprintf("tokens/s in requests at %d/s", p.rate), o.tokens/t, o)
 	}
 	return nil
@@ -218,11 +218,11 @@
 		if process {
 			set := sidecar.DefaultSettings()
 			set.Engine = e.URL
-			at, err := l.lab.StartSidecar(set, b)
+			instance, err := l.lab.StartSidecar(set, b)
 			if err != nil {
 				return nil, err
 			}
-			b.Address = at.Address
+			b.Address = instance.Address
 			out = append(out, b)
 		}
 	}
--- a/load/capacity/underload.go
+++ b/load/capacity/loaded.go
@@ -17,12 +17,12 @@
 		return s, err
 	}
 	defer deployment.close()
-	at := deployment.lab.Entries[0]
+	instance := deployment.lab.Entries[0]
 	offer := func(p loadPoint) (loadCost, error) {
 		deployment.farm.frames.takeCounts()
 		before := deployment.platform.store.calls()
-		o, err := r.offerLoad(ctx, p, at.URL, func() (sample, error) {
-			return takeSample(ctx, at.PID(), at.Admin, &deployment.farm.segs, deployment.platform.relay)
+		o, err := r.offerLoad(ctx, p, instance.URL, func() (sample, error) {
+			return takeSample(ctx, instance.PID(), instance.Admin, &deployment.farm.segs, deployment.platform.relay)
 		})
 		o.frames, o.calls = deployment.farm.frames.takeCounts(), [2]platformCalls{before, deployment.platform.store.calls()}
 		return o, err
@@ -70,24 +70,24 @@
 
 // addClaims adds the table calls that unrepeatable requests make in addition to the polls.
 func (s *Section) addClaims(o loadCost) {
-	a, b := o.calls[0], o.calls[1]
-	s.figure("table writes of an unrepeatable request", "1", float64(b.table.Writes-a.table.Writes)/o.requests)
-	s.figure("table reads of an unrepeatable request, polls included", "1", float64(b.table.Reads-a.table.Reads)/o.requests)
+	before, after := o.calls[0], o.calls[1]
+	s.figure("table writes of an unrepeatable request", "1", float64(after.table.Writes-before.table.Writes)/o.requests)
+	s.figure("table reads of an unrepeatable request, polls included", "1", float64(after.table.Reads-before.table.Reads)/o.requests)
 }
 
 // loadedSidecar measures the cost to a sidecar of the requests and tokens of its engine.
 func (r *runner) loadedSidecar(ctx context.Context) (Section, error) {
 	s := Section{Title: "sidecar under load"}
-	site, err := r.startLoadDeployment(ctx, 1, true)
+	deployment, err := r.startLoadDeployment(ctx, 1, true)
 	if err != nil {
 		return s, err
 	}
-	defer site.close()
-	at := site.lab.Sidecars[0]
+	defer deployment.close()
+	instance := deployment.lab.Sidecars[0]
 	byRate, byTokens := r.loadPoints([]int{5, 10, 20, 40}, sidecarRate)
 	err = s.measureSeries(byRate, byTokens, func(p loadPoint) (loadCost, error) {
-		return r.offerLoad(ctx, p, site.lab.Targets[0], func() (sample, error) {
-			return takeSample(ctx, at.PID(), at.Admin, nil, nil)
+		return r.offerLoad(ctx, p, deployment.lab.Targets[0], func() (sample, error) {
+			return takeSample(ctx, instance.PID(), instance.Admin, nil, nil)
 		})
 	})
 	return s, err
--- a/load/capacity/operator.go
+++ b/load/capacity/operator.go
@@ -46,15 +46,15 @@
 	if err := os.WriteFile(file, body, 0o600); err != nil {
 		return err
 	}
-	a, bytes, start := w.store.calls(), w.relay.bytes.Load(), time.Now()
+	before, bytes, start := w.store.calls(), w.relay.bytes.Load(), time.Now()
 	state, err := l.RunOperatorCommand(ctx, w.relay.url(), "contract", "apply", "-f", file, "--yes")
 	if err != nil {
 		return err
 	}
 	took, x := time.Since(start), float64(backends)
-	b := w.store.calls()
-	s.add("table reads", "1", "backends", x, float64(b.table.Reads-a.table.Reads))
-	s.add("table writes", "1", "backends", x, float64(b.table.Writes-a.table.Writes))
+	after := w.store.calls()
+	s.add("table reads", "1", "backends", x, float64(after.table.Reads-before.table.Reads))
+	s.add("table writes", "1", "backends", x, float64(after.table.Writes-before.table.Writes))
 	s.add("platform bytes", "B", "backends", x, float64(w.relay.bytes.Load()-bytes))
 	s.add("processor", "ms", "backends", x, float64((state.UserTime() + state.SystemTime()).Milliseconds()))
 	s.add("time", "ms", "backends", x, float64(took.Milliseconds()))
--- a/load/capacity/plan.go
+++ b/load/capacity/plan.go
@@ -5,7 +5,7 @@
 	planModels         = 32
 	planCustomers      = 340
 	planReplicas       = 4500
-	planReplacedPerDay = 340 // backend servers replaced a day
+	planReplacedPerDay = 340 // backend servers replaced per day
 	planNodes          = 410
 	planZones          = 6
 )
--- a/load/capacity/platformidle.go
+++ b/load/capacity/platformidle.go
@@ -45,13 +45,13 @@
 			}
 		}
 		sleep(ctx, settleTime/3)
-		a := w.store.calls()
+		before := w.store.calls()
 		sleep(ctx, r.idleWindow()/2)
-		b := w.store.calls()
-		t := b.at.Sub(a.at).Seconds()
-		s.add("table reads", "1/s", "entries", float64(n), float64(b.table.Reads-a.table.Reads)/t)
-		s.add("table writes", "1/s", "entries", float64(n), float64(b.table.Writes-a.table.Writes)/t)
-		s.add("readings of the VM list", "1/s", "entries", float64(n), float64(b.vms.Reads-a.vms.Reads)/t)
+		after := w.store.calls()
+		t := after.at.Sub(before.at).Seconds()
+		s.add("table reads", "1/s", "entries", float64(n), float64(after.table.Reads-before.table.Reads)/t)
+		s.add("table writes", "1/s", "entries", float64(n), float64(after.table.Writes-before.table.Writes)/t)
+		s.add("readings of the VM list", "1/s", "entries", float64(n), float64(after.vms.Reads-before.vms.Reads)/t)
 	}
 	return s, nil
 }
@@ -93,11 +93,11 @@
 func startEntry(ctx context.Context, l *lab.Lab, set entry.Settings, platform string) error {
 	set.ID, set.Zone = fmt.Sprintf("entry-%d", len(l.Entries)+1), "zone-a"
 	set.Platform = platform
-	at, err := l.StartEntry(set)
+	instance, err := l.StartEntry(set)
 	if err != nil {
 		return err
 	}
-	return l.Await(ctx, at.Admin+"/healthz")
+	return l.Await(ctx, instance.Admin+"/healthz")
 }
 
 // vmList measures the cost of the platform's VM list to an entry, by the length of the
@@ -122,9 +122,9 @@
 		if err := r.addEntry(ctx, l, w.relay.url()); err != nil {
 			return err
 		}
-		at := l.Entries[0]
+		instance := l.Entries[0]
 		before := w.store.calls()
-		a, b, err := r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, nil, w.relay) })
+		a, b, err := r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, instance.PID(), instance.Admin, nil, w.relay) })
 		after := w.store.calls()
 		mu.Lock()
 		defer mu.Unlock()
@@ -141,8 +141,8 @@
 		bytes := (b.store - a.store + headerBytes*(b.storeSegments-a.storeSegments)) / t
 		s.add("platform bytes with headers", "B/s", "VMs", float64(n), bytes)
 		s.add("readings", "1/s", "VMs", float64(n), polls[n])
-		s.add("processor", "% of a core", "VMs", float64(n), 100*(b.use.cpu-a.use.cpu).Seconds()/t)
-		s.add("resident memory", "MiB", "VMs", float64(n), b.use.resident/mebibyte)
+		s.add("processor", "% of a core", "VMs", float64(n), 100*(b.usage.cpu-a.usage.cpu).Seconds()/t)
+		s.add("resident memory", "MiB", "VMs", float64(n), b.usage.resident/mebibyte)
 	}
 	return s, nil
 }
--- a/load/capacity/process.go
+++ b/load/capacity/process.go
@@ -44,7 +44,7 @@
 // parseStat returns the user and system time in a stat file. The program's name,
 // in brackets, may hold spaces.
 func parseStat(stat []byte) (time.Duration, error) {
-	const userField, systemField = 11, 12 // behind the name
+	const userField, systemField = 11, 12 // counted from after the name
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= systemField {
 		return 0, merry.New("short stat file")
--- a/load/capacity/whole.go
+++ b/load/capacity/whole.go
@@ -42,33 +42,33 @@
 }
 
 // wholeEntry returns the number of links and the samples of the entry.
-func (r *runner) wholeEntry(ctx context.Context, size int, secure bool) (links int, a, b sample, err error) {
+func (r *runner) wholeEntry(ctx context.Context, size int, secure bool) (links int, before, after sample, err error) {
 	l, err := lab.NewEmpty("capacity", r.Bin)
 	if err != nil {
-		return 0, a, b, err
+		return 0, before, after, err
 	}
 	defer l.Stop()
 	set := entry.DefaultSettings()
 	conf, err := r.newTLSConfig(secure, l.Dir(), &set.TLS)
 	if err != nil {
-		return 0, a, b, err
+		return 0, before, after, err
 	}
 	f, w, err := r.startFarm(ctx, wholeSidecars, planCustomers, conf)
 	if err != nil {
-		return 0, a, b, err
+		return 0, before, after, err
 	}
 	defer f.close()
 	defer w.close()
 	if err := w.loadWholeConfig(ctx, f); err != nil {
-		return 0, a, b, err
+		return 0, before, after, err
 	}
 	set.Policy.SubsetSize, set.Policy.Entries, set.Policy.Index = size, planNodes, planNodes-1
 	if err := startEntry(ctx, l, set, w.relay.url()); err != nil {
-		return 0, a, b, err
+		return 0, before, after, err
 	}
-	at := l.Entries[0]
-	a, b, err = r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, at.PID(), at.Admin, &f.segs, w.relay) })
-	return f.segs.connections(), a, b, err
+	instance := l.Entries[0]
+	before, after, err = r.sampleWindow(ctx, func() (sample, error) { return takeSample(ctx, instance.PID(), instance.Admin, &f.segs, w.relay) })
+	return f.segs.connections(), before, after, err
 }
 
 // loadWholeConfig writes the whole configuration and the list of VMs. The sidecars already
--- a/load/client.go
+++ b/load/client.go
@@ -218,19 +218,19 @@
 
 func (s *stream) event(data string) {
 	if s.done {
-		s.reject("event after the end")
+		s.markWrong("event after the end")
 		return
 	}
 	if data == "[DONE]" {
 		s.done = true
 		if !s.finished {
-			s.reject("end without a finish reason")
+			s.markWrong("end without a finish reason")
 		}
 		return
 	}
 	var e event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		s.reject("event is no JSON")
+		s.markWrong("event is no JSON")
 		return
 	}
 	if e.Error != nil {
@@ -243,7 +243,7 @@
 	}
 }
 
-func (s *stream) reject(reason string) { s.res.Verdict, s.res.Reason = Wrong, reason }
+func (s *stream) markWrong(reason string) { s.res.Verdict, s.res.Reason = Wrong, reason }
 
 // text checks that the received tokens continue the expected answer.
 func (s *stream) text(text string) {
@@ -251,18 +251,18 @@
 		return
 	}
 	if s.finished {
-		s.reject("token after the finish reason")
+		s.markWrong("token after the finish reason")
 		return
 	}
 	now := time.Now()
 	for text != "" {
 		if s.res.Tokens == len(s.req.Answer) {
-			s.reject("more tokens than the answer has")
+			s.markWrong("more tokens than the answer has")
 			return
 		}
 		rest, ok := strings.CutPrefix(text, s.req.Answer[s.res.Tokens])
 		if !ok {
-			s.reject("token of another answer or position")
+			s.markWrong("token of another answer or position")
 			return
 		}
 		text = rest
--- a/load/lab/empty.go
+++ b/load/lab/empty.go
@@ -36,12 +36,12 @@
 
 // StartSidecar starts a sidecar on newly allocated ports.
 func (l *Lab) StartSidecar(set sidecar.Settings, b contract.Backend) (SidecarInstance, error) {
-	at := SidecarInstance{ID: b.ID, Role: b.Role, Zone: b.Zone}
+	instance := SidecarInstance{ID: b.ID, Role: b.Role, Zone: b.Zone}
 	if len(b.Models) > 0 {
-		at.Model = b.Models[0]
+		instance.Model = b.Models[0]
 	}
-	if err := l.runSidecar(set, at); err != nil {
-		return at, err
+	if err := l.runSidecar(set, instance); err != nil {
+		return instance, err
 	}
 	return l.Sidecars[len(l.Sidecars)-1], nil
 }
--- a/load/lab/experiment.go
+++ b/load/lab/experiment.go
@@ -85,9 +85,9 @@
 
 // run offers the load to one deployment. The prefill counters are read before the first
 // and after the last request, since work of the window may end after it.
-func (e Experiment) run(ctx context.Context, l *Lab, n uint64) *load.Report {
+func (e Experiment) run(ctx context.Context, l *Lab, index uint64) *load.Report {
 	run := load.Run{
-		Flows: l.Deployment.Flows, Load: e.Load, Length: e.Warm + e.Window, Seed: e.Seed<<8 | n,
+		Flows: l.Deployment.Flows, Load: e.Load, Length: e.Warm + e.Window, Seed: e.Seed<<8 | index,
 		Tag: l.Deployment.Name,
 	}
 	if e.Check != nil {
--- a/load/lab/lab.go
+++ b/load/lab/lab.go
@@ -257,17 +257,17 @@
 
 func (l *Lab) zone(i int) string { return l.Deployment.Zones[i%len(l.Deployment.Zones)] }
 
-func (l *Lab) runSidecar(set sidecar.Settings, at SidecarInstance) error {
+func (l *Lab) runSidecar(set sidecar.Settings, instance SidecarInstance) error {
 	port, err := l.ports.block(2)
 	if err != nil {
 		return err
 	}
-	set.ID, set.Zone, set.Listen, set.Admin = at.ID, at.Zone, address(port), address(port+1)
+	set.ID, set.Zone, set.Listen, set.Admin = instance.ID, instance.Zone, address(port), address(port+1)
 	set.LogLevel = "warn"
 	set.Timing.Drain = drainTime
-	at.Address, at.Admin = set.Listen, url(port+1)
-	at.proc, err = l.startDaemon("sidecar", at.ID, sidecarCores, set, l.variant.Sidecar)
-	l.Sidecars = append(l.Sidecars, at)
+	instance.Address, instance.Admin = set.Listen, url(port+1)
+	instance.proc, err = l.startDaemon("sidecar", instance.ID, sidecarCores, set, l.variant.Sidecar)
+	l.Sidecars = append(l.Sidecars, instance)
 	return err
 }
 
