--- a/cmd/hibiscusspur/contract.go
+++ b/cmd/hibiscusspur/contract.go
@@ -13,12 +13,12 @@
 	"github.com/hibiscusspur/hibiscusspur/operator"
 )
 
-// defaultHistory is how many changes are listed.
+// defaultHistory is the default number of changes listed by contract history.
 const defaultHistory = 50
 
 func contractCmd() *cobra.Command {
 	cmd := &cobra.Command{Use: "contract", Short: "Write, change and withdraw customers' contracts"}
-	d := newDesk(cmd)
+	d := newDriver(cmd)
 	cmd.AddCommand(
 		contractApplyCmd(d), contractDiffCmd(d), contractGetCmd(d), contractListCmd(d),
 		contractHistoryCmd(d), contractWithdrawCmd(d), contractStatusCmd(d),
@@ -56,7 +56,7 @@
 	return o.Plan(ctx, wanted, expect, operator.Options{Prune: a.prune})
 }
 
-func contractApplyCmd(d *desk) *cobra.Command {
+func contractApplyCmd(d *driver) *cobra.Command {
 	var a applyFlags
 	var yes bool
 	var wait time.Duration
@@ -75,14 +75,14 @@
 	return cmd
 }
 
-func contractDiffCmd(d *desk) *cobra.Command {
+func contractDiffCmd(d *driver) *cobra.Command {
 	var a applyFlags
 	cmd := &cobra.Command{
 		Use:   "diff -f DIR|FILE",
 		Short: "Show what apply would change",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				p, err := a.plan(ctx, o, cmd)
 				if err != nil {
 					return err
@@ -104,13 +104,13 @@
 	fmt.Fprintf(w, "against revision %d\n", p.Head)
 }
 
-func contractGetCmd(d *desk) *cobra.Command {
+func contractGetCmd(d *driver) *cobra.Command {
 	return &cobra.Command{
 		Use:   "get CUSTOMER",
 		Short: "Print a customer's contract",
 		Args:  cobra.ExactArgs(1),
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, args []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				v, err := o.Contract(ctx, args[0])
 				if err != nil {
 					return err
@@ -121,13 +121,13 @@
 	}
 }
 
-func contractListCmd(d *desk) *cobra.Command {
+func contractListCmd(d *driver) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List all contracts",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				views, head, err := o.Contracts(ctx)
 				if err != nil {
 					return err
@@ -138,7 +138,7 @@
 	}
 }
 
-func contractHistoryCmd(d *desk) *cobra.Command {
+func contractHistoryCmd(d *driver) *cobra.Command {
 	var limit int
 	cmd := &cobra.Command{
 		Use:   "history [CUSTOMER]",
@@ -149,7 +149,7 @@
 			if len(args) > 0 {
 				customer = args[0]
 			}
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				h, err := o.History(ctx, customer, max(limit, 1))
 				if err != nil {
 					return err
@@ -162,7 +162,7 @@
 	return cmd
 }
 
-func contractWithdrawCmd(d *desk) *cobra.Command {
+func contractWithdrawCmd(d *driver) *cobra.Command {
 	var yes bool
 	cmd := &cobra.Command{
 		Use:   "withdraw CUSTOMER",
@@ -176,14 +176,14 @@
 	return cmd
 }
 
-func contractStatusCmd(d *desk) *cobra.Command {
+func contractStatusCmd(d *driver) *cobra.Command {
 	var change string
 	cmd := &cobra.Command{
 		Use:   "status",
 		Short: "Show the newest revision and which processes have it in force",
 		Args:  cobra.NoArgs,
 		RunE: d.run(func(ctx context.Context, o *operator.Operator, cmd *cobra.Command, _ []string) error {
-			return d.within(ctx, func(ctx context.Context) error {
+			return d.withTimeout(ctx, func(ctx context.Context) error {
 				if change != "" {
 					return showChange(ctx, d, o, cmd, change)
 				}
@@ -199,7 +199,7 @@
 	return cmd
 }
 
-func showChange(ctx context.Context, d *desk, o *operator.Operator, cmd *cobra.Command, change string) error {
+func showChange(ctx context.Context, d *driver, o *operator.Operator, cmd *cobra.Command, change string) error {
 	ref, err := operator.ParseRef(change)
 	if err != nil {
 		return err
