--- a/load/report.go
+++ b/load/report.go
@@ -98,7 +98,7 @@
 	Done   int    `json:"done"`
 	Cached int    `json:"cached"`
 	Wasted int    `json:"wasted"`
-	// Wasted is the sum of the next fields: prefill cancelled midway or before the first
+	// Wasted is the sum of the next three fields: prefill cancelled midway or before the first
 	// token, evicted before it was fetched, and released unused.
 	Discarded int `json:"discarded"`
 	Expired   int `json:"expired"`
