--- a/load/doc.go
+++ b/load/doc.go
@@ -1,5 +1,5 @@
-// Package load offers open-loop load to the entries of a running system and
-// measures what callers get: goodput against the latency targets of each class,
-// latencies, refusals by reason, and answers that are not the ones asked for.
-// Everything that is offered follows from a seed.
+// Package load is an open-loop load generator for the entries of a running system.
+// It measures what callers receive: goodput against the latency objectives of each
+// class, latencies, rejections by reason, and wrong answers. The whole load follows
+// from a seed.
 package load
--- a/load/targets.go
+++ b/load/targets.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// Targets of a comparison.
+// Targets of a comparison. targetWastedRatio is relative to wasteBaseline, targetPeakGoodput
+// to the best goodput at any load.
 const (
 	targetLoad        = 1.2
 	targetLookups     = 0.95
