--- a/cmd/hsload/run.go
+++ b/cmd/hsload/run.go
@@ -30,7 +30,7 @@
 			e.Bin = binDir(bin)
 			e.Deployments = lab.Deployments(size)
 			if check {
-				e.Check = lab.NewCheck()
+				e.Check = lab.NewChecker()
 			}
 			rep, err := e.Run(cmd.Context())
 			if err != nil {
@@ -60,8 +60,8 @@
 	return cmd
 }
 
-// reportBreaches prints the violations of invariants that the check found and returns an error if there are any.
-func reportBreaches(cmd *cobra.Command, c *lab.Check) error {
+// reportBreaches prints the violations of invariants that the checker found and returns an error if there are any.
+func reportBreaches(cmd *cobra.Command, c *lab.Checker) error {
 	if c == nil {
 		return nil
 	}
--- a/load/capacity/loaded.go
+++ b/load/capacity/loaded.go
@@ -8,29 +8,29 @@
 	sidecarRate  = 10
 )
 
-// entryLoad measures an entry by the requests and tokens that pass through it, and
-// the frames of its links by their kind.
-func (r *runner) entryLoad(ctx context.Context) (Section, error) {
+// loadedEntry measures the cost to an entry of the requests and tokens that pass through
+// it, and the frames of its links by their kind.
+func (r *runner) loadedEntry(ctx context.Context) (Section, error) {
 	s := Section{Title: "entry under load"}
-	site, err := r.begin(ctx, entryEngines, false)
+	deployment, err := r.startLoadDeployment(ctx, entryEngines, false)
 	if err != nil {
 		return s, err
 	}
-	defer site.close()
-	at := site.lab.Entries[0]
-	one := func(p loadPoint) (offered, error) {
-		site.farm.frames.list()
-		before := site.world.store.calls()
-		o, err := r.offer(ctx, p, at.URL, func() (reading, error) {
-			return read(ctx, at.PID(), at.Admin, &site.farm.segs, site.world.relay)
+	defer deployment.close()
+	instance := deployment.lab.Entries[0]
+	offer := func(p loadPoint) (loadCost, error) {
+		deployment.farm.frames.takeCounts()
+		before := deployment.platform.store.calls()
+		o, err := r.offerLoad(ctx, p, instance.URL, func() (sample, error) {
+			return takeSample(ctx, instance.PID(), instance.Admin, &deployment.farm.segs, deployment.platform.relay)
 		})
-		o.frames, o.calls = site.farm.frames.list(), [2]calls{before, site.world.store.calls()}
+		o.frames, o.calls = deployment.farm.frames.takeCounts(), [2]platformCalls{before, deployment.platform.store.calls()}
 		return o, err
 	}
-	var last offered
+	var last loadCost
 	byRate, byTokens := r.loadPoints([]int{10, 20, 40, 80}, entryRate)
-	err = s.series(byRate, byTokens, func(p loadPoint) (offered, error) {
-		o, err := one(p)
+	err = s.measureSeries(byRate, byTokens, func(p loadPoint) (loadCost, error) {
+		o, err := offer(p)
 		last = o
 		return o, err
 	})
@@ -39,7 +39,7 @@
 	}
 	s.Frames = last.frames
 	s.addFrames(last)
-	once, err := one(loadPoint{rate: entryRate, tokens: baseTokens, unrepeatable: true})
+	once, err := offer(loadPoint{rate: entryRate, tokens: baseTokens, unrepeatable: true})
 	if err != nil {
 		return s, err
 	}
@@ -47,9 +47,9 @@
 	return s, nil
 }
 
-// addFrames splits the bytes of the last load into payload, the frames that carry
-// it, and all other frames.
-func (s *Section) addFrames(o offered) {
+// addFrames splits the bytes of the last load into payload, overhead of the frames that
+// carry it, and all other frames.
+func (s *Section) addFrames(o loadCost) {
 	var payload, envelope, control, controlFrames float64
 	for _, f := range o.frames {
 		payload += float64(f.Payload)
@@ -68,26 +68,26 @@
 	s.figure("other frames, control", "frames/request", controlFrames/o.requests)
 }
 
-// addClaims tells what unrepeatable requests ask of the table beyond the polls.
-func (s *Section) addClaims(o offered) {
-	a, b := o.calls[0], o.calls[1]
-	s.figure("table writes of an unrepeatable request", "1", float64(b.table.Writes-a.table.Writes)/o.requests)
-	s.figure("table reads of an unrepeatable request, polls included", "1", float64(b.table.Reads-a.table.Reads)/o.requests)
+// addClaims adds the table calls that unrepeatable requests make in addition to the polls.
+func (s *Section) addClaims(o loadCost) {
+	before, after := o.calls[0], o.calls[1]
+	s.figure("table writes of an unrepeatable request", "1", float64(after.table.Writes-before.table.Writes)/o.requests)
+	s.figure("table reads of an unrepeatable request, polls included", "1", float64(after.table.Reads-before.table.Reads)/o.requests)
 }
 
-// sidecarLoad measures a sidecar by the requests and tokens of its engine.
-func (r *runner) sidecarLoad(ctx context.Context) (Section, error) {
+// loadedSidecar measures the cost to a sidecar of the requests and tokens of its engine.
+func (r *runner) loadedSidecar(ctx context.Context) (Section, error) {
 	s := Section{Title: "sidecar under load"}
-	site, err := r.begin(ctx, 1, true)
+	deployment, err := r.startLoadDeployment(ctx, 1, true)
 	if err != nil {
 		return s, err
 	}
-	defer site.close()
-	at := site.lab.Sidecars[0]
+	defer deployment.close()
+	instance := deployment.lab.Sidecars[0]
 	byRate, byTokens := r.loadPoints([]int{5, 10, 20, 40}, sidecarRate)
-	err = s.series(byRate, byTokens, func(p loadPoint) (offered, error) {
-		return r.offer(ctx, p, site.lab.Targets[0], func() (reading, error) {
-			return read(ctx, at.PID(), at.Admin, nil, nil)
+	err = s.measureSeries(byRate, byTokens, func(p loadPoint) (loadCost, error) {
+		return r.offerLoad(ctx, p, deployment.lab.Targets[0], func() (sample, error) {
+			return takeSample(ctx, instance.PID(), instance.Admin, nil, nil)
 		})
 	})
 	return s, err
--- a/load/capacity/operator.go
+++ b/load/capacity/operator.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// pushServers are the backend servers in use, to which a change is handed at once.
-const pushServers = 8
+// activeServers is the number of active backend servers, to which a change is pushed at
+// once.
+const activeServers = 8
 
-// operator measures one operator's command that changes a contract, by the number
-// of records in the table.
+// operator measures one operator command that changes a contract, by the number of records
+// in the table.
 func (r *runner) operator(ctx context.Context) (Section, error) {
 	s := Section{Title: "operator command, one contract changed"}
-	for _, n := range []int{1125, 2250, 3375, planReplicas + planReplaced} {
-		if err := r.operate(ctx, &s, n); err != nil {
+	for _, n := range []int{1125, 2250, 3375, planReplicas + planReplacedPerDay} {
+		if err := r.measureCommand(ctx, &s, n); err != nil {
 			return s, err
 		}
 	}
 	return s, nil
 }
 
-func (r *runner) operate(ctx context.Context, s *Section, backends int) error {
-	l, f, w, err := r.site(ctx, pushServers, planTeams)
+func (r *runner) measureCommand(ctx context.Context, s *Section, backends int) error {
+	l, f, w, err := r.startDeployment(ctx, activeServers, planCustomers)
 	if err != nil {
 		return err
 	}
@@ -32,7 +33,7 @@
 	defer w.close()
 	all := f.backends("service", backends)
 	for i := range all {
-		all[i].Retired = i >= pushServers
+		all[i].Retired = i >= activeServers
 	}
 	if err := w.store.configure(ctx, nil, all); err != nil {
 		return err
@@ -45,15 +46,15 @@
 	if err := os.WriteFile(file, body, 0o600); err != nil {
 		return err
 	}
-	a, bytes, start := w.store.calls(), w.relay.bytes.Load(), time.Now()
-	state, err := l.Operate(ctx, w.relay.url(), "contract", "apply", "-f", file, "--yes")
+	before, bytes, start := w.store.calls(), w.relay.bytes.Load(), time.Now()
+	state, err := l.RunOperatorCommand(ctx, w.relay.url(), "contract", "apply", "-f", file, "--yes")
 	if err != nil {
 		return err
 	}
 	took, x := time.Since(start), float64(backends)
-	b := w.store.calls()
-	s.add("table reads", "1", "backends", x, float64(b.table.Reads-a.table.Reads))
-	s.add("table writes", "1", "backends", x, float64(b.table.Writes-a.table.Writes))
+	after := w.store.calls()
+	s.add("table reads", "1", "backends", x, float64(after.table.Reads-before.table.Reads))
+	s.add("table writes", "1", "backends", x, float64(after.table.Writes-before.table.Writes))
 	s.add("platform bytes", "B", "backends", x, float64(w.relay.bytes.Load()-bytes))
 	s.add("processor", "ms", "backends", x, float64((state.UserTime() + state.SystemTime()).Milliseconds()))
 	s.add("time", "ms", "backends", x, float64(took.Milliseconds()))
