--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -110,7 +110,7 @@
 }
 
 // slotWait bounds how long the sidecar may queue the reservation for a decode slot: for the time left of the
-// latency objective, since the sidecar rejects what would be later.
+// latency objective, since the sidecar rejects a request that would be later.
 func (a *attempt) slotWait() time.Duration {
 	if left := a.r.class.TTFT - time.Since(a.r.start); left > 0 {
 		return left
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -94,7 +94,7 @@
 	return key, ""
 }
 
-// servicePath returns what follows the service's name, still escaped: decoded, an escaped slash or question
+// servicePath returns the path after the service's name, still escaped: decoded, an escaped slash or question
 // mark would mean something else to the service.
 func servicePath(hr *http.Request) string {
 	_, path, _ := strings.Cut(strings.TrimPrefix(hr.URL.EscapedPath(), servicePrefix), "/")
--- a/entry/client_test.go
+++ b/entry/client_test.go
@@ -170,7 +170,7 @@
 }
 
 // An engine that fails permanently ends a stream with an error object, and a buffered answer with an error
-// status. An unrepeatable request is not repeated, and the client library is told not to repeat it either.
+// status. An unrepeatable request is not repeated, and the response asks the client library not to repeat it either.
 func TestInterruptedAnswers(t *testing.T) {
 	p := pathtest.Start(t, pathtest.Options{})
 	c := newClient(p) // with the library's own retries
--- a/entry/confirm.go
+++ b/entry/confirm.go
@@ -27,7 +27,7 @@
 	writtenAt        time.Time
 }
 
-// run writes the row until ctx ends, and then deletes it, so that nobody waits for an entry that has shut
+// run writes the row until ctx ends, and then deletes it, so that no operator waits for an entry that has shut
 // down. The interval is jittered, so that entries do not all write at once after a change.
 func (c *confirmer) run(ctx context.Context, failed func(error)) {
 	for {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -215,7 +215,7 @@
 	return nil, outcome.Refuse(outcome.ModelNotInContract, 0), "model"
 }
 
-// finish writes what is left of the response: nothing after a complete answer, an error event in a stream
+// finish writes the rest of the response: nothing after a complete answer, an error event in a stream
 // that has begun, an error body otherwise.
 func (s *Service) finish(w http.ResponseWriter, c caller, r *request, stream *streamSink, o outcome.Outcome) {
 	s.metrics.Ended(o.Kind)
--- a/entry/limiter.go
+++ b/entry/limiter.go
@@ -34,7 +34,7 @@
 	return rand.New(rand.NewChaCha8(seed))
 }
 
-// allowance is what an attempt carries to the sidecars that meter demand: the weight of the request, and the
+// allowance is the data that an attempt carries to the sidecars that meter demand: the weight of the request, and the
 // levels of the customer's demand and running requests from which a sidecar reports them.
 type allowance struct {
 	weightMilli, reportRateMilli, reportRunning uint32
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -164,7 +164,7 @@
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 	Param   string `json:"param,omitempty"`
-	// Outcome is what is known about the run: not_run, failed or unknown.
+	// Outcome is the known state of the run: not_run, failed or unknown.
 	Outcome string `json:"outcome"`
 	// RetryAfterMs is when to retry, in milliseconds.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -12,7 +12,7 @@
 type Policy struct {
 	// Placement is the picker: expected, random, roundrobin or leastload.
 	Placement string `yaml:"placement"`
-	// Reserve tells whether a decode slot is reserved before the prefill.
+	// Reserve sets whether a decode slot is reserved before the prefill.
 	Reserve bool `yaml:"reserve"`
 	// SubsetSize is the number of backend servers of one model and role that the
 	// entry keeps links to; zero means all.
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -96,9 +96,9 @@
 // above this entry's.
 func (p *pool) headAnnounced(pr *peer, head uint64) {
 	p.mu.Lock()
-	ask := p.pull.Offer(pr, head, p.state.Head(), time.Now())
+	due := p.pull.Offer(pr, head, p.state.Head(), time.Now())
 	p.mu.Unlock()
-	if ask {
+	if due {
 		pr.sendHeartbeat()
 	}
 }
--- a/forward/access_test.go
+++ b/forward/access_test.go
@@ -188,7 +188,7 @@
 }
 
 // TestUnprovedConfiguration: while it is not proved that a key has not been revoked, requests with keys are refused as
-// not run, and a request with an unknown key is not told that its key is unknown.
+// not run, and a request with an unknown key does not learn that its key is unknown.
 func TestUnprovedConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		name, path, key       string
--- a/forward/call.go
+++ b/forward/call.go
@@ -248,7 +248,8 @@
 	}
 }
 
-// observeLoad updates the limiter with what a call shows of its server's load. A call that broke off shows nothing.
+// observeLoad updates the limiter with the outcome of a call. A call that broke off is no evidence of its server's
+// load.
 func (f *Forwarder) observeLoad(j *job, c registry.Server, err error, took time.Duration) {
 	refused := errors.Is(err, errNotRun)
 	if err != nil && !refused {
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -63,8 +63,8 @@
 	// failingCost makes a failure rate that is one in ten above the others' cost as much as three outstanding
 	// requests.
 	failingCost = 30
-	// suspectCost puts a server that has just failed several requests in a row behind all others.
-	suspectCost = 1000
+	// ejectedCost puts a server that has just failed several requests in a row behind all others.
+	ejectedCost = 1000
 	// spreadCost spreads routers over equal servers. Each router sees only its own outstanding requests; without this
 	// cost all sent to the first server of the list that had none.
 	spreadCost = 0.5
@@ -80,8 +80,8 @@
 		return cost
 	}
 	cost += failingCost * s.outliers.ExcessFailureRate(c.ID, now)
-	if s.outliers.Suspected(c.ID, now) {
-		cost += suspectCost
+	if s.outliers.Ejected(c.ID, now) {
+		cost += ejectedCost
 	}
 	return cost
 }
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -16,8 +16,8 @@
 // engines adds locking and timers to the policies that queue and place the requests of one service's decode engines.
 // It is safe for concurrent use.
 type engines struct {
-	terms waitqueue.Policy
-	off   mechanism.Set
+	policy waitqueue.Policy
+	off    mechanism.Set
 	// zone is the zone of this process.
 	zone string
 
@@ -63,7 +63,7 @@
 		list: list, suspected: suspected, unavailable: unavailable,
 		changed: map[string]struct{}{}, prefilling: map[string]int{}, notify: notify,
 		zone:    zone,
-		terms:   queueTerms(off),
+		policy:  queuePolicy(off),
 		off:     off,
 		memory:  kvmemory.New(memoryConfig(off), seed),
 		entries: map[*waitqueue.Waiter]queueEntry{}, lengths: map[string]*outputlength.Learner{},
@@ -144,7 +144,7 @@
 		return false
 	}
 	rate := e.memory.TokensPerRouter() / hold.Seconds()
-	return e.terms.ShouldReject(e.queue.Ahead(w), rate, w.GiveUpAt.Sub(now))
+	return e.policy.ShouldReject(e.queue.Ahead(w), rate, w.GiveUpAt.Sub(now))
 }
 
 // await waits until the request is dispatched to an engine. The engine's memory is then taken for the run, until
@@ -226,7 +226,7 @@
 		defer e.mu.Unlock()
 		e.checkScheduled = false
 		e.dropQuarantined()
-		// Otherwise a request that waits alone would not see engines added since, and wait until its time is over.
+		// Otherwise a request that waits alone would miss engines added since, and wait until it is given up.
 		e.sync(e.list(), e.synced.capacity, e.synced.slots)
 		e.dispatch()
 	})
--- a/forward/env_test.go
+++ b/forward/env_test.go
@@ -70,7 +70,7 @@
 	return !v.stale
 }
 
-// setProved sets what is proved about the configuration.
+// setProved sets which proofs of the configuration exist.
 func (v *view) setProved(recent, forUnknownKey bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/forward/mechanisms.go
+++ b/forward/mechanisms.go
@@ -33,14 +33,14 @@
 	return c
 }
 
-// queueTerms returns the terms of the wait queue without the disabled mechanisms.
-func queueTerms(off mechanism.Set) waitqueue.Policy {
-	t := waitqueue.DefaultPolicy()
+// queuePolicy returns the policy of the wait queue without the disabled mechanisms.
+func queuePolicy(off mechanism.Set) waitqueue.Policy {
+	policy := waitqueue.DefaultPolicy()
 	if off.Has(mechanism.RetryQueueing) {
-		t.LateWait = 0
+		policy.LateWait = 0
 	}
 	if off.Has(mechanism.EarlyRejection) {
-		t.RejectFactor = math.Inf(1)
+		policy.RejectFactor = math.Inf(1)
 	}
-	return t
+	return policy
 }
--- a/forward/prefill.go
+++ b/forward/prefill.go
@@ -62,13 +62,13 @@
 func (f *Forwarder) choosePrefill(j *job, l *lease, tried []string) (prefillpool.Choice, bool) {
 	servers := f.View.Servers(j.service)
 	s := f.service(j.service)
-	ask := prefillpool.Request{
+	req := prefillpool.Request{
 		Tokens: j.meta.PromptTokens, Zone: l.server.Zone, SlotLoad: s.engines.slotLoad(l.server.ID), Exclude: tried,
 		Memory: j.table.Services[j.service].Engine.KVTokens, Avoid: f.suspicions.suspected, Unavailable: f.unavailable,
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.prefillPool.Pick(servers, ask, time.Now())
+	return s.prefillPool.Pick(servers, req, time.Now())
 }
 
 // runPrefill sends the prompt to one prefill engine.
--- a/forward/refusals.go
+++ b/forward/refusals.go
@@ -10,7 +10,7 @@
 // Refusal is a request that was rejected for its key or its customer's quota.
 type Refusal struct {
 	At time.Time `json:"at"`
-	// Request is the request's ID. Customer is empty if nobody holds the key.
+	// Request is the request's ID. Customer is empty if the key belongs to no customer.
 	Request  string         `json:"request"`
 	Customer string         `json:"customer,omitempty"`
 	Route    string         `json:"route"`
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -139,8 +139,8 @@
 	return "", false
 }
 
-// stallLimit is the interval without events after which a resumable stream is moved to another engine. Clients leave
-// after 3.6 s without an event; usual intervals are far below 0.3 s.
+// stallLimit is the interval without events after which a resumable stream is moved to another engine. Clients
+// disconnect after 3.6 s without an event; usual intervals are far below 0.3 s.
 const stallLimit = 1500 * time.Millisecond
 
 // stallTimer closes an answer whose engine sends nothing for stallLimit, if the stream can be resumed elsewhere.
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -37,7 +37,7 @@
 	spec := j.table.Services[j.service].Engine
 	e := f.service(j.service).engines
 	if r.waiter == nil {
-		r.waiter = j.newWaiter(e.terms)
+		r.waiter = j.newWaiter(e.policy)
 		r.run, j.expected = e.newRun(j.route.Name, &j.meta, r.waiter.Need)
 		if r.waiter.Need > spec.KVTokens {
 			return nil, r.noServerLeft(outcome.PromptTooLong), false
@@ -96,10 +96,10 @@
 }
 
 // newWaiter returns the request's entry in the wait queue.
-func (j *job) newWaiter(terms waitqueue.Policy) *waitqueue.Waiter {
+func (j *job) newWaiter(policy waitqueue.Policy) *waitqueue.Waiter {
 	return &waitqueue.Waiter{
 		Need: j.memoryNeed(), Arrived: j.arrived, Late: j.retried, Priority: j.priority(),
-		GiveUpAt: terms.GiveUpAt(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.retried),
+		GiveUpAt: policy.GiveUpAt(j.arrived, j.route.Objective, j.left(j.arrived), j.meta.PromptTokens, j.retried),
 	}
 }
 
@@ -282,7 +282,7 @@
 }
 
 // retryAfter is the Retry-After of a rejected request. A quarantined request gets the true time, though no client
-// waits that long: an earlier retry would be in vain.
+// waits that long: an earlier retry would be rejected again.
 func (f *Forwarder) retryAfter(j *job, reason outcome.Reason) time.Duration {
 	if reason == outcome.Quarantined {
 		left, _ := f.quarantined(j)
@@ -291,11 +291,11 @@
 	if j.table == nil || j.route == nil {
 		return unconfiguredRetry
 	}
-	terms, left := f.service(j.service).engines.terms, j.left(time.Now())
+	policy, left := f.service(j.service).engines.policy, j.left(time.Now())
 	if cooldown := f.serviceCooldown(j.service); cooldown > 0 {
-		return terms.RetryAfterWait(cooldown, left, rand.Float64())
+		return policy.RetryAfterWait(cooldown, left, rand.Float64())
 	}
-	return terms.RetryAfter(left, rand.Float64())
+	return policy.RetryAfter(left, rand.Float64())
 }
 
 // serviceCooldown is how long all servers of a service that answer requests stay in a cooldown; zero if one is not.
--- a/forward/serverlimits.go
+++ b/forward/serverlimits.go
@@ -34,7 +34,7 @@
 
 func newServerLimits(router string) *ServerLimits {
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(router)) // A hash takes everything.
+	_, _ = seed.Write([]byte(router)) // Writing to a hash never fails.
 	return &ServerLimits{changed: make(chan struct{}, 1), limits: serverlimit.New(seed.Sum64(), time.Now()), updates: map[string]struct{}{}}
 }
 
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -61,8 +61,8 @@
 	}
 	final, again := r.afterAttempt(ctx, o)
 	if again {
-		terms := r.f.service(r.j.service).engines.terms
-		r.waiter.GiveUpAt = terms.GiveUpAfterFailure(r.waiter.GiveUpAt, time.Now(), r.j.deadline)
+		policy := r.f.service(r.j.service).engines.policy
+		r.waiter.GiveUpAt = policy.GiveUpAfterFailure(r.waiter.GiveUpAt, time.Now(), r.j.deadline)
 	}
 	return final, again
 }
--- a/forward/terminations.go
+++ b/forward/terminations.go
@@ -59,7 +59,7 @@
 }
 
 // cutByServer reports whether the server broke an attempt off, other than by shutting down: a server that leaves cuts
-// what is still running on it.
+// the requests still running on it.
 func (f *Forwarder) cutByServer(s registry.Server, err error) bool {
 	if errors.Is(err, errStalled) || errors.Is(err, upstream.ErrNotSent) {
 		return false
@@ -133,7 +133,7 @@
 }
 
 // recordSuccess records that a server answered a request successfully, so the request did not crash it. A failure
-// shows nothing, since the server may not have started to run the request.
+// is no evidence, since the server may not have started to run the request.
 func (f *Forwarder) recordSuccess(j *job) {
 	if f.Guard.Active() {
 		f.Guard.RequestSucceeded(j.digest())
--- a/gateway/access.go
+++ b/gateway/access.go
@@ -40,11 +40,11 @@
 	Unit  string  `json:"unit"`
 	Rate  float64 `json:"rate_per_s"`
 	Burst float64 `json:"burst"`
-	// Left is what remains of the quota for this gateway and those that report to it, Share the part of the quota
+	// Left is the remaining quota of this gateway and those that report to it, Share the part of the quota
 	// that these may use.
 	Left  float64 `json:"left"`
 	Share float64 `json:"share"`
-	// Used is what was admitted here since the start, DemandPerS the demand at this gateway.
+	// Used is the cost admitted here since the start, DemandPerS the demand at this gateway.
 	Used       float64 `json:"used_here"`
 	DemandPerS float64 `json:"demand_here_per_s"`
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -226,7 +226,7 @@
 	return server, err
 }
 
-// handleReady tells the load balancer whether to send new connections.
+// handleReady reports to the load balancer whether to send new connections.
 func (s *Service) handleReady(w http.ResponseWriter, _ *http.Request) {
 	ready := s.view.synced() && !s.draining.Load()
 	if s.ready.Swap(ready) != ready {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -20,8 +20,8 @@
 // maxReportedProofAge bounds the age of a reported proof: an older one lets no gateway serve.
 const maxReportedProofAge = time.Minute
 
-// exchangeReports runs the exchange with the other gateways. Without it the process continues with what it reads
-// itself.
+// exchangeReports runs the exchange with the other gateways. Without it the process continues with its own reads
+// from the store.
 func (s *Service) exchangeReports(ctx context.Context) {
 	if s.settings.ControlAddr == "" {
 		return
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -58,7 +58,7 @@
 	maps.DeleteFunc(q.lastLogged, func(customer string, _ time.Time) bool { return !names[customer] })
 }
 
-// Receive implements forward.Quota.
+// Take implements forward.Quota.
 func (q *quotas) Take(customer string, quota route.Quota, cost float64) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/gateway/quotas_test.go
+++ b/gateway/quotas_test.go
@@ -32,7 +32,7 @@
 			assert.Assert(t, take(cl.gateways[0]))
 		}
 		time.Sleep(cl.gateways[0].peers.ExchangeInterval())
-		// Most of what was used has been refilled in the interval; at most a burst is left.
+		// Most of the tokens used have been refilled in the interval; at most a burst is left.
 		for range 10 {
 			take(cl.gateways[1])
 		}
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -11,7 +11,7 @@
 const (
 	// minSuspectReportTime is the minimum time for which reports include terminations of servers and the decisions
 	// based on them; suspectReportExchanges is the same in exchanges of a pair, where these are rare: one may fail. A
-	// gateway that was cut off for some seconds reports what it observed meanwhile.
+	// gateway that was cut off for some seconds reports its observations from that time.
 	minSuspectReportTime   = 10 * time.Second
 	suspectReportExchanges = 2
 	// suspectRepeatInterval is the delay after which updates are sent a second time: of two datagrams one arrives
--- a/invariant/check.go
+++ b/invariant/check.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// checkShutdown reports a request that was in progress when a process on its path was told to shut down, and
+// checkShutdown reports a request that was in progress when a process on its path was asked to shut down, and
 // that was cut off, failed or ended as unknown, unless a fault of a process on its path explains it.
 func (c *checker) checkShutdown(r *requestState) {
 	failed := r.connectionLost || r.answers > 0 && (r.answer.Outcome == outcome.Failed || r.answer.Outcome == outcome.Unknown)
--- a/invariant/check_test.go
+++ b/invariant/check_test.go
@@ -12,7 +12,7 @@
 const second = time.Second
 
 func TestCheckFindsEachViolation(t *testing.T) {
-	ask := Event{At: 1, Kind: RequestSent, Request: "r", Node: "entry", Want: "ab", Unrepeatable: true}
+	sent := Event{At: 1, Kind: RequestSent, Request: "r", Node: "entry", Want: "ab", Unrepeatable: true}
 	whole := Event{At: second, Kind: ResponseReceived, Request: "r", Outcome: outcome.Completed, Text: "ab"}
 	begun := Event{At: 2, Kind: RunStarted, Request: "r", Node: "engine"}
 	for _, tc := range []struct {
@@ -20,26 +20,26 @@
 		want   []Point
 		events []Event
 	}{
-		{"nothing wrong", nil, []Event{ask, begun, whole, {At: 2 * second, Kind: MemoryHeld, Request: "r"}}},
-		{"memory after the caller left", []Point{MemoryFreed}, []Event{ask, {At: second, Kind: CallerGone, Request: "r"}, {At: 5 * second, Kind: MemoryHeld, Request: "r"}}},
-		{"answered twice", []Point{AnsweredOnce}, []Event{ask, whole, whole}},
-		{"token after the end", []Point{AnsweredOnce}, []Event{ask, whole, {At: 2 * second, Kind: Token, Request: "r"}}},
+		{"nothing wrong", nil, []Event{sent, begun, whole, {At: 2 * second, Kind: MemoryHeld, Request: "r"}}},
+		{"memory after the caller left", []Point{MemoryFreed}, []Event{sent, {At: second, Kind: CallerGone, Request: "r"}, {At: 5 * second, Kind: MemoryHeld, Request: "r"}}},
+		{"answered twice", []Point{AnsweredOnce}, []Event{sent, whole, whole}},
+		{"token after the end", []Point{AnsweredOnce}, []Event{sent, whole, {At: 2 * second, Kind: Token, Request: "r"}}},
 		{"token twice", []Point{WholeAnswer, WholeAnswer}, []Event{
-			ask, {Kind: Token, Request: "r", Text: "a"}, {Kind: Token, Request: "r", Text: "a"}, {Kind: ResponseReceived, Request: "r", Outcome: outcome.Completed, Text: "ab"},
+			sent, {Kind: Token, Request: "r", Text: "a"}, {Kind: Token, Request: "r", Text: "a"}, {Kind: ResponseReceived, Request: "r", Outcome: outcome.Completed, Text: "ab"},
 		}},
-		{"short answer", []Point{WholeAnswer}, []Event{ask, {Kind: ResponseReceived, Request: "r", Outcome: outcome.Completed, Text: "a"}}},
+		{"short answer", []Point{WholeAnswer}, []Event{sent, {Kind: ResponseReceived, Request: "r", Outcome: outcome.Completed, Text: "a"}}},
 		{"answer to another", []Point{WholeAnswer}, []Event{{Kind: ResponseReceived, Request: "x", Outcome: outcome.Completed}}},
-		{"not run, but run later", []Point{NotRunIsTrue}, []Event{ask, {At: second, Kind: ResponseReceived, Request: "r", Outcome: outcome.NotRun}, {At: 2 * second, Kind: RunStarted, Request: "r"}}},
-		{"run twice", []Point{RunsOnce}, []Event{ask, begun, begun, whole}},
+		{"not run, but run later", []Point{NotRunIsTrue}, []Event{sent, {At: second, Kind: ResponseReceived, Request: "r", Outcome: outcome.NotRun}, {At: 2 * second, Kind: RunStarted, Request: "r"}}},
+		{"run twice", []Point{RunsOnce}, []Event{sent, begun, begun, whole}},
 		{"run twice under one key", []Point{RunsOnce}, []Event{
 			{Kind: RequestSent, Request: "r", Key: "k", Unrepeatable: true}, {Kind: RunStarted, Request: "r"},
 			{Kind: RequestSent, Request: "s", Key: "k", Unrepeatable: true}, {Kind: RunStarted, Request: "s"},
 		}},
 		{"repeatable run twice", nil, []Event{{Kind: RequestSent, Request: "r"}, {Kind: RunStarted, Request: "r"}, {Kind: RunStarted, Request: "r"}}},
 		{"new work for a leaving server", []Point{LeavingGetsNothing}, []Event{{At: second, Kind: Leaving, Node: "n"}, {At: 2 * second, Kind: WorkAccepted, Node: "n"}, {At: 5 * second, Kind: WorkAccepted, Node: "n"}}},
-		{"shutdown cuts", []Point{ShutdownCutsNothing}, []Event{ask, {At: 2, Kind: Draining, Node: "entry"}, {At: 3, Kind: ConnectionLost, Request: "r"}}},
-		{"shutdown fails a run", []Point{ShutdownCutsNothing}, []Event{ask, begun, {At: 3, Kind: Draining, Node: "engine"}, {At: 4, Kind: ResponseReceived, Request: "r", Outcome: outcome.Unknown}}},
-		{"cut by a fault", nil, []Event{ask, {At: 2, Kind: Draining, Node: "entry"}, {At: 3, Kind: Fault, Node: "entry"}, {At: 4, Kind: ConnectionLost, Request: "r"}}},
+		{"shutdown cuts", []Point{ShutdownCutsNothing}, []Event{sent, {At: 2, Kind: Draining, Node: "entry"}, {At: 3, Kind: ConnectionLost, Request: "r"}}},
+		{"shutdown fails a run", []Point{ShutdownCutsNothing}, []Event{sent, begun, {At: 3, Kind: Draining, Node: "engine"}, {At: 4, Kind: ResponseReceived, Request: "r", Outcome: outcome.Unknown}}},
+		{"cut by a fault", nil, []Event{sent, {At: 2, Kind: Draining, Node: "entry"}, {At: 3, Kind: Fault, Node: "entry"}, {At: 4, Kind: ConnectionLost, Request: "r"}}},
 		{"revision falls", []Point{NewestRevision}, []Event{{Kind: RevisionUsed, Node: "n", Key: "c", Revision: 4}, {Kind: RevisionUsed, Node: "n", Key: "c", Revision: 3}}},
 		{"old revision decided under", []Point{NewestRevision}, []Event{
 			{Kind: RevisionCommitted, Key: "c", Revision: 4}, {At: second, Kind: RevisionUsed, Node: "n", Key: "c", Revision: 3}, {At: 4 * second, Kind: RevisionUsed, Node: "n", Key: "c", Revision: 3},
--- a/invariant/event.go
+++ b/invariant/event.go
@@ -32,9 +32,9 @@
 	// MemoryHeld: the engine Node lists memory held for Request: a run, a reserved decode slot or an exported
 	// KV cache.
 	MemoryHeld
-	// Leaving: the backend server Node was first told to leave.
+	// Leaving: the backend server Node was first asked to leave.
 	Leaving
-	// Draining: the process Node was told to shut down gracefully.
+	// Draining: the process Node was asked to shut down gracefully.
 	Draining
 	// Fault: a fault that may break requests in progress was injected into Node.
 	Fault
--- a/load/result.go
+++ b/load/result.go
@@ -39,7 +39,7 @@
 	Late time.Duration
 
 	Verdict Verdict
-	// Reason is the reason code of a rejection or failure, or describes what was wrong.
+	// Reason is the reason code of a rejection or failure, or describes the error.
 	Reason     string
 	RetryAfter time.Duration
 
--- a/operator/report.go
+++ b/operator/report.go
@@ -14,7 +14,7 @@
 	Result  string `json:"result"`
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Advice tells the operator what to do next.
+	// Advice is the recommended next step for the operator.
 	Advice string `json:"advice,omitempty"`
 	// Change is the reference of a change whose outcome is unknown.
 	Change string `json:"change,omitempty"`
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind is what is known about the run of a request.
+// Kind is the known state of the run of a request.
 type Kind uint8
 
 const (
--- a/peer/members.go
+++ b/peer/members.go
@@ -103,7 +103,7 @@
 
 // Reachable returns the addresses of the other gateways that still communicate: live ones and those that are
 // leaving. The latter finish the requests that they have begun, and serve ones that still arrive, based on
-// what they receive.
+// the reports they receive.
 func (m *Members) Reachable(now time.Time) []string {
 	out := m.Live(now)
 	for addr, d := range m.departures {
--- a/policy/admission/reject.go
+++ b/policy/admission/reject.go
@@ -73,7 +73,7 @@
 }
 
 // debtGrace is how long a slot stays reserved for a rejected customer after the time at which it
-// was told to retry.
+// was asked to retry.
 const debtGrace = 500 * time.Millisecond
 
 // shareDebts records the customers that were rejected while within their share. One slot for each
--- a/policy/admission/retryafter.go
+++ b/policy/admission/retryafter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Bounds of the time after which a rejected caller is told to retry.
+// Bounds of the time after which a rejected caller is to retry.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
--- a/policy/catchup/catchup.go
+++ b/policy/catchup/catchup.go
@@ -33,11 +33,11 @@
 	OfferTTL time.Duration
 }
 
-// Planner holds what was offered to one process, and how long its own version is outdated.
+// Planner holds the versions offered to one process, and how long its own version has been outdated.
 type Planner struct {
 	config  Config
 	sources map[string]source
-	// own is the version at the last decision, behindSince when a newer one became known.
+	// own is the version at the last decision, outdatedSince when a newer one became known.
 	own           int64
 	outdatedSince time.Time
 }
--- a/policy/kvmemory/forecast.go
+++ b/policy/kvmemory/forecast.go
@@ -101,7 +101,7 @@
 	Growth float64
 }
 
-// DefaultMargin returns the margin chosen by replay. With two deviations and no growth as many
+// DefaultMargin returns the default margin. In replays with two deviations and no growth, as many
 // requests are answered in time where answers are as long as prompts, but three times as many runs
 // are preempted (TestPeakOfGrowingRuns, 928 and 7 against 925 and 20). Where prompts take most of
 // the memory, 0.88 of the achievable value is reached instead of 0.90, and 0.064 of all requests
--- a/policy/kvmemory/simulation_test.go
+++ b/policy/kvmemory/simulation_test.go
@@ -22,7 +22,7 @@
 	pools   []*kvmemory.Pool
 	queues  []*waitqueue.Queue
 	lengths []map[string]*outputlength.Learner
-	terms   waitqueue.Policy
+	policy  waitqueue.Policy
 	// expectedFree is the memory that a router expects to become free for it during a run, in
 	// tokens. Nil disables immediate rejection; rejectedAtOnce counts the requests rejected that
 	// way.
@@ -49,7 +49,7 @@
 
 func newSimulation(d deployment, cfg kvmemory.Config) *simulation {
 	s := &simulation{
-		deployment: d, rng: rand.New(rand.NewPCG(d.seed, 7)), terms: waitqueue.DefaultPolicy(),
+		deployment: d, rng: rand.New(rand.NewPCG(d.seed, 7)), policy: waitqueue.DefaultPolicy(),
 		queued: map[*waitqueue.Waiter]*simRequest{}, arrivals: map[time.Time][]*simRequest{}, dueReports: map[time.Time][]string{},
 		used: map[string]float64{}, placements: map[string]int{}, rechecks: map[time.Time][]*simRequest{},
 	}
@@ -96,7 +96,7 @@
 	late, remaining := now != r.firstArrival, simClientTimeout-now.Sub(r.firstArrival)
 	r.waiter = &waitqueue.Waiter{
 		Need: r.prompt + r.hint, Arrived: now, Late: late,
-		GiveUpAt: s.terms.GiveUpAt(now, simObjective, remaining, r.prompt, late),
+		GiveUpAt: s.policy.GiveUpAt(now, simObjective, remaining, r.prompt, late),
 	}
 	learners := s.lengths[r.router]
 	if learners[r.kind.name] == nil {
@@ -111,14 +111,14 @@
 	s.queues[r.router].Add(r.waiter)
 }
 
-// hopeless reports whether a request is rejected without waitqueue.
+// hopeless reports whether a request is rejected without waiting.
 func (s *simulation) hopeless(r *simRequest, now time.Time) bool {
 	queue := s.queues[r.router]
 	if s.expectedFree == nil || queue.Len() == 0 {
 		return false
 	}
 	rate := s.expectedFree(s.pools[r.router], now) / simRunDuration.Seconds()
-	return s.terms.ShouldReject(queue.Ahead(r.waiter), rate, r.waiter.GiveUpAt.Sub(now))
+	return s.policy.ShouldReject(queue.Ahead(r.waiter), rate, r.waiter.GiveUpAt.Sub(now))
 }
 
 // dispatch places the queued requests of one router.
@@ -271,7 +271,7 @@
 			r.result = resultRejected
 			continue
 		}
-		delay := s.terms.RetryAfter(simClientTimeout-now.Sub(r.firstArrival), s.rng.Float64())
+		delay := s.policy.RetryAfter(simClientTimeout-now.Sub(r.firstArrival), s.rng.Float64())
 		r.router = s.rng.IntN(s.routers)
 		at := start.Add(now.Add(delay).Sub(start).Round(simTick))
 		s.arrivals[at] = append(s.arrivals[at], r)
--- a/policy/limit/shared.go
+++ b/policy/limit/shared.go
@@ -8,15 +8,15 @@
 )
 
 // SharedQuotas enforces customers' quotas across all processes with a replicated token bucket (global token bucket).
-// Each process holds a copy of every customer's bucket: it deducts what it admits itself at once, and what others admit
-// as soon as they report it.
+// Each process holds a copy of every customer's bucket: it deducts its own admissions at once, and those of others
+// as soon as they are reported.
 //
 // Load pattern: a customer sends several times its quota for some seconds, through many processes or a few, while its
 // clients move between them, processes start, and some are partitioned. Reports arrive within milliseconds, so all
-// copies are nearly the same and a quota can be used wherever its clients are. Nobody can tell whether an unresponsive
-// process has terminated or continues in isolation. So its share is reserved for it, and a process that receives no
-// reports uses no more than its own share: together they never exceed the quota. Shares follow the demand at the time
-// when all could reach each other.
+// copies are nearly the same and a quota can be used wherever its clients are. No process can tell whether an
+// unresponsive process has terminated or continues in isolation. So its share is reserved for it, and a process that
+// receives no reports uses no more than its own share: together they never exceed the quota. Shares follow the demand
+// at the time when all could reach each other.
 //
 // A request is admitted while anything remains, whatever it costs, and the excess is a debt. If a request had to wait
 // until its whole cost remained, small requests would starve larger ones.
@@ -31,7 +31,7 @@
 	started        time.Time
 	// lastReceived is when a report of any member was last received.
 	lastReceived time.Time
-	// informed is set once this process knows, after its start, what remains of quotas.
+	// informed is set once this process knows, after its start, the remaining tokens of quotas.
 	informed bool
 	// updatePending is set when a change is large enough to be reported at once.
 	updatePending bool
@@ -42,7 +42,7 @@
 // account is the quota of one customer.
 type account struct {
 	rate, burst float64
-	// remaining is what the bucket held at the time at, without what is reserved for unresponsive members.
+	// remaining is the level of the bucket at the time at, without the tokens reserved for unresponsive members.
 	remaining float64
 	at        time.Time
 	// reservedShare is the share of the quota that is reserved for unresponsive members.
@@ -96,18 +96,18 @@
 }
 
 const (
-	// initialBurstShare is the share of a burst that is available after a start until another process reports what
-	// remains: all processes may have just terminated, and what they used still counts.
+	// initialBurstShare is the share of a burst that is available after a start until another process reports the
+	// remaining tokens: all processes may have just terminated, and the tokens they used still count.
 	initialBurstShare = 0.5
 	// assumedProcesses is the number of processes assumed after a start, until the first report is received or for
 	// assumedProcessesFor at most.
 	assumedProcesses    = 8
 	assumedProcessesFor = 2 * time.Second
-	// selfInformedAfter is the time after which a process knows what remains without reports: what was used before its
-	// start is outside every window.
+	// selfInformedAfter is the time after which a process knows the remaining tokens without reports: tokens used before
+	// its start are outside every window.
 	selfInformedAfter = 8 * time.Second
 	// assumedDemandShare is the demand, as a share of the rate, that is assumed of all processes together on top of
-	// what they report. It leaves something to an unresponsive process whose clients arrive later, and keeps one large
+	// the reported demand. It leaves something to an unresponsive process whose clients arrive later, and keeps one large
 	// request from determining a share.
 	assumedDemandShare = 0.05
 	// A process that receives no report for isolatedIntervals mean intervals between reports, and at least
@@ -269,7 +269,7 @@
 	return rejected(outcome.RateLimited, wait+retryMargin)
 }
 
-// Return refunds what was charged for a request that did not run.
+// Return refunds the cost charged for a request that did not run.
 func (s *SharedQuotas) Return(customer string, cost float64, now time.Time) {
 	a := s.accounts[customer]
 	if a == nil {
@@ -312,10 +312,10 @@
 // State is the local state of one customer's quota.
 type State struct {
 	Rate, Burst float64
-	// Remaining is what remains for this process and the members that respond, ReservedShare the share reserved for
-	// those that don't.
+	// Remaining is the number of tokens left for this process and the members that respond, ReservedShare the share reserved
+	// for those that don't.
 	Remaining, ReservedShare float64
-	// Charged is the cost of what was admitted here and has run, Demand the demand here in units per second.
+	// Charged is the cost of the requests admitted here that have run, Demand the demand here in units per second.
 	Charged, Demand float64
 }
 
--- a/policy/limit/shared_sim_test.go
+++ b/policy/limit/shared_sim_test.go
@@ -8,7 +8,7 @@
 
 // The simulation: gateways report to each other what customers have used, over a network that loses datagrams, while
 // demand moves and gateways are partitioned, freeze, terminate, start and join. A checker applies the users' own rule
-// to what was admitted.
+// to the admitted cost.
 const (
 	simWindow        = 8 * time.Second
 	simOverage       = 0.1
--- a/policy/limit/shared_strategies_test.go
+++ b/policy/limit/shared_strategies_test.go
@@ -9,7 +9,7 @@
 // simStrategy is one way to enforce quotas.
 type simStrategy interface {
 	admit(customer string, t Terms, now time.Time) bool
-	// report returns what is sent to the others in a datagram or a report.
+	// report returns the message to the others, for a datagram or a report.
 	report(changes bool, now time.Time) any
 	receive(from int, incarnation uint64, message any, now time.Time)
 	checkMembers(now time.Time)
@@ -140,7 +140,8 @@
 	return s.buckets[customer].takeIntoDebt(t.Cost, t.Rate*share, t.Burst*share, now)
 }
 
-// share is an eighth by the number of gateways, the rest by demand; a gateway without reports of all keeps what it had.
+// share is an eighth by the number of gateways, the rest by demand; a gateway without reports of all keeps its last
+// share.
 func (s *leaseStrategy) share(customer string, now time.Time) float64 {
 	const even = 0.125
 	own := s.offered[customer].rate(now)
@@ -168,7 +169,7 @@
 	return s.shares[customer]
 }
 
-// level refills a bucket up to now and returns what it holds.
+// level refills a bucket up to now and returns its tokens.
 func (b *bucket) level(rate, burst float64, now time.Time) float64 {
 	if b.at.IsZero() {
 		b.tokens, b.at = burst, now
--- a/policy/limit/shared_test.go
+++ b/policy/limit/shared_test.go
@@ -73,7 +73,7 @@
 	assert.Equal(t, n, 1)
 }
 
-// TestRetryAfterIsAccurate: a client that retries after the stated time is admitted, though others were told to retry
+// TestRetryAfterIsAccurate: a client that retries after the stated time is admitted, though others were asked to retry
 // as well.
 func TestRetryAfterIsAccurate(t *testing.T) {
 	s := informedQuotas()
@@ -112,7 +112,7 @@
 }
 
 // TestNewProcessLearnsWhatRemains: a process that starts while a quota is exhausted doesn't grant another one, and does
-// not charge what was used long before.
+// not charge tokens that were used long before.
 func TestNewProcessLearnsWhatRemains(t *testing.T) {
 	old := informedQuotas()
 	admit(old, 10, start)
@@ -166,7 +166,7 @@
 }
 
 // TestShareOfUnresponsiveMemberIsReserved: of ten processes that use a quota alike, one becomes unresponsive. It may
-// continue with a tenth, so the others leave it that; once it reports again, what it really used counts.
+// continue with a tenth, so the others leave it that; once it reports again, its actual use counts.
 func TestShareOfUnresponsiveMemberIsReserved(t *testing.T) {
 	s := informedQuotas()
 	const members = 9
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -138,18 +138,18 @@
 	return max(rate-baseline, 0)
 }
 
-// Suspected reports whether a server should get no request that can't be retried: it
+// Ejected reports whether a server should get no request that can't be retried: it
 // failed suspectStreak requests in a row, the last one within suspectDuration.
-func (t *Tracker) Suspected(id string, now time.Time) bool {
+func (t *Tracker) Ejected(id string, now time.Time) bool {
 	r, ok := t.servers[id]
-	return ok && r.streak >= suspectStreak && now.Sub(r.lastFailure) < suspectDuration
+	return ok && r.streak >= ejectionStreak && now.Sub(r.lastFailure) < ejectionDuration
 }
 
 const (
-	// suspectStreak failures in a row have a probability of about one in a thousand at a
+	// ejectionStreak failures in a row have a probability of about one in a thousand at a
 	// failure rate of a seventh.
-	suspectStreak = 3
-	// suspectDuration is how long after its last failure a suspected server is tried
+	ejectionStreak = 3
+	// ejectionDuration is how long after its last failure an ejected server is tried
 	// again, with one request.
-	suspectDuration = 2 * time.Second
+	ejectionDuration = 2 * time.Second
 )
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -60,13 +60,13 @@
 func TestSuspect(t *testing.T) {
 	tr := outlier.New()
 	for i := range 3 {
-		assert.Assert(t, !tr.Suspected("a", start), "after %d", i)
+		assert.Assert(t, !tr.Ejected("a", start), "after %d", i)
 		tr.Observe("a", false, start)
 	}
-	assert.Assert(t, tr.Suspected("a", start.Add(time.Second)))
-	assert.Assert(t, !tr.Suspected("a", start.Add(3*time.Second)), "it is tried again")
+	assert.Assert(t, tr.Ejected("a", start.Add(time.Second)))
+	assert.Assert(t, !tr.Ejected("a", start.Add(3*time.Second)), "it is tried again")
 	tr.Observe("a", true, start.Add(3*time.Second))
-	assert.Assert(t, !tr.Suspected("a", start.Add(3*time.Second)))
+	assert.Assert(t, !tr.Ejected("a", start.Add(3*time.Second)))
 }
 
 func TestForget(t *testing.T) {
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -15,11 +15,11 @@
 var start = time.Unix(1000, 0)
 
 const (
-	objective = 150 * time.Millisecond
-	work      = 30 * time.Millisecond
-	slots     = 6
-	queue     = 24
-	routers   = 23
+	objective   = 150 * time.Millisecond
+	serviceTime = 30 * time.Millisecond
+	slots       = 6
+	queue       = 24
+	routers     = 23
 	// networkDelay is the delay between router and caller.
 	networkDelay = 10 * time.Millisecond
 )
@@ -89,7 +89,7 @@
 }
 
 func (s *simulation) begin(c call, now time.Time) {
-	c.end = now.Add(work/2 + time.Duration(s.rng.Int64N(int64(work))))
+	c.end = now.Add(serviceTime/2 + time.Duration(s.rng.Int64N(int64(serviceTime))))
 	heap.Push(&s.running, c)
 }
 
--- a/policy/prefillpool/prefillpool.go
+++ b/policy/prefillpool/prefillpool.go
@@ -174,7 +174,7 @@
 	if s.Zone != zone {
 		cost += p.cfg.CrossZone
 	}
-	if p.outliers.Suspected(s.ID, now) {
+	if p.outliers.Ejected(s.ID, now) {
 		cost += p.cfg.Failure
 	}
 	return cost
--- a/policy/quarantine/bench_test.go
+++ b/policy/quarantine/bench_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkQuarantined measures the check of each request while any is suspect.
+// BenchmarkQuarantined measures the check of each request while any is suspected.
 func BenchmarkQuarantined(b *testing.B) {
 	l := New()
 	observeAll(l, 0, "s", "one", "two")
--- a/policy/quarantine/ledger.go
+++ b/policy/quarantine/ledger.go
@@ -51,7 +51,7 @@
 // forgottenAt returns when the hold is forgotten: until then one termination starts the next hold.
 func (h Hold) forgottenAt() time.Time { return h.Until.Add(h.Duration) }
 
-// Ledger holds the observed terminations of servers, the suspect requests and the holds.
+// Ledger holds the observed terminations of servers, the suspected requests and the holds.
 type Ledger struct {
 	suspects map[fingerprint.Digest]*suspect
 	holds    map[fingerprint.Digest]Hold
@@ -91,7 +91,8 @@
 	}
 }
 
-// Active reports whether any request is suspect or quarantined. If none is, callers can skip the checks of each request.
+// Active reports whether any request is suspected or quarantined. If none is, callers can skip the checks of each
+// request.
 func (l *Ledger) Active() bool { return len(l.suspects)+len(l.holds) > 0 }
 
 // Quarantined returns how long a request remains quarantined; ok is false if it is not.
--- a/policy/retry/budget.go
+++ b/policy/retry/budget.go
@@ -12,7 +12,7 @@
 	// PerSecond is what every second adds, so that a customer with few requests can retry as
 	// well.
 	PerSecond float64
-	// Burst is the capacity of a budget, and what it starts with.
+	// Burst is the capacity of a budget and its initial level.
 	Burst float64
 	// HalfLife is the time in which the excess over Burst/2 halves, so that credit from an hour
 	// without failures doesn't pay for a retry storm; zero means never.
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -192,7 +192,7 @@
 	return "", 0
 }
 
-// finish combines all attempts into the final outcome. A caller that may retry is told when;
+// finish combines all attempts into the final outcome. A caller that may retry gets the delay;
 // the reason of the last attempt stays unless a budget is spent.
 func (p *Policy) finish(req *Request, d Denial, wait time.Duration) Decision {
 	o := req.Attempts[len(req.Attempts)-1].Outcome
--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -6,8 +6,8 @@
 // sliding window, over all routers together. This needs no shared store: each router applies
 // the share to its own requests, and has its part of the fixed slack.
 //
-// A process that has just started does not know what it, or the process that it replaces,
-// retried a moment ago. Its part of the slack grows over one window.
+// A process that has just started does not know the recent retries of its previous incarnation,
+// or of the process that it replaces. Its part of the slack grows over one window.
 //
 // A Budget takes the time from its caller and is not safe for concurrent use.
 package retrybudget
--- a/policy/serverlimit/serverlimit.go
+++ b/policy/serverlimit/serverlimit.go
@@ -5,8 +5,8 @@
 // they take one and three, for some seconds or for minutes, while dozens of routers send to them. The limit applies to
 // all routers together, as long as answers announce it, and ends with the first that does not.
 //
-// Every router holds a copy of one token bucket per server (policy/limit): it deducts what it sends itself at once, and
-// what others send as soon as they report it. Reports take some milliseconds, in which several routers may take the
+// Every router holds a copy of one token bucket per server (policy/limit): it deducts its own requests at once, and
+// those of others as soon as they are reported. Reports take some milliseconds, in which several routers may take the
 // same tokens; then the bucket is in debt and all wait longer. To keep this rare with hundreds of routers, each waits
 // for a random staggered delay of its own once the bucket has tokens again.
 //
--- a/policy/waitqueue/retrydetector.go
+++ b/policy/waitqueue/retrydetector.go
@@ -4,7 +4,7 @@
 
 // RetryDetector recognizes the retries of rejected requests, which can't be answered within their
 // latency objective any more, by the timeouts that clients state. The clients of one route start
-// with about the same timeout, and one that was told to retry after a third of it has that much
+// with about the same timeout, and one that was asked to retry after a third of it has that much
 // less left. A RetryDetector is not safe for concurrent use; the zero value has observed no client.
 type RetryDetector struct {
 	longest time.Duration
--- a/policy/waitqueue/waitqueue_test.go
+++ b/policy/waitqueue/waitqueue_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestRetryDetector: retries are told from first requests by the timeouts that clients state.
+// TestRetryDetector: retries are distinguished from first requests by the timeouts that clients state.
 func TestRetryDetector(t *testing.T) {
 	var d waitqueue.RetryDetector
 	for _, c := range []struct {
--- a/proofs/answer_test.go
+++ b/proofs/answer_test.go
@@ -38,7 +38,7 @@
 	fault string
 	model string
 	opts  options
-	// before is called before the request is sent, during at token breakAt.
+	// before is called before the request is sent, during at token faultToken.
 	before, during func(c *cluster)
 	want           expectation
 }
@@ -193,7 +193,7 @@
 	}
 }
 
-// injectDuring sends q and calls during once the answer has reached token breakAt.
+// injectDuring sends q and calls during once the answer has reached token faultToken.
 func (c *cluster) injectDuring(q modelRequest, during func(c *cluster)) answer {
 	c.t.Helper()
 	reached := make(chan struct{})
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -25,7 +25,7 @@
 const chaosCallers = 12
 
 // TestRandomFaults injects random faults, drawn from a seed, while callers send requests, and checks the
-// invariants on what was observed.
+// invariants on the observed events.
 func TestRandomFaults(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv(chaosVar))
 	if n == 0 {
--- a/proofs/gateway_observer_test.go
+++ b/proofs/gateway_observer_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// incarnationID identifies one incarnation of a server: what is recorded of it does not apply to the next
+// incarnationID identifies one incarnation of a server: records of it do not apply to the next
 // incarnation.
 func incarnationID(server string, born int64) string {
 	return registry.Incarnation{Instance: server, Born: born}.ID()
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -17,8 +17,8 @@
 // orderRetryInterval is the delay before a failed order is retried.
 const orderRetryInterval = time.Second
 
-// target is what the engine is to serve according to the backend record. The revision
-// of the record is the fencing number of the orders.
+// target is the role and models that the engine is to have by the backend record. The
+// revision of the record is the fencing number of the orders.
 type target struct {
 	revision uint64
 	models   []string
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -222,7 +222,7 @@
 	assert.Equal(t, conns(), 2)
 }
 
-// TestCancelClosesTheConnection: a closed connection tells the server that the client has cancelled.
+// TestCancelClosesTheConnection: a closed connection signals to the server that the client has cancelled.
 func TestCancelClosesTheConnection(t *testing.T) {
 	for name, text := range map[string]string{"before the response": "", "within the response": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
