--- a/dissemination/sweep.go
+++ b/dissemination/sweep.go
@@ -76,7 +76,7 @@
 	return s.sweepPrefix(ctx, ConfirmPrefix, &s.counts.Confirmations, confirmationsBefore(confirmedBefore))
 }
 
-// rowAction is what a rule decides for a row.
+// rowAction is the decision of a rule on a row.
 type rowAction int
 
 const (
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -149,7 +149,7 @@
 	return true
 }
 
-// reservedTokens is the memory to reserve at the engine, in tokens: what the run holds until its first event. An
+// reservedTokens is the memory to reserve at the engine, in tokens: that of the run until its first event. An
 // engine keeps memory reserved for the whole run, used or not: with the memory of the whole run reserved, engines
 // preempted 47 of 500 runs in half a minute of bursts although they had free memory, and none with this.
 func (j *job) reservedTokens() int {
--- a/gateway/crashing_test.go
+++ b/gateway/crashing_test.go
@@ -37,7 +37,7 @@
 	// allowedCrashes is how many servers the users allow one request to crash before it has to be recognized,
 	// allowedSends how many times it may be sent to servers after that.
 	allowedCrashes, allowedSends = 3, 3
-	// propagationTime is the time after which connected gateways have to share what one of them observed.
+	// propagationTime is the time after which connected gateways have to share an observation of one of them.
 	propagationTime = 3 * time.Second
 )
 
--- a/gateway/peerload.go
+++ b/gateway/peerload.go
@@ -37,7 +37,7 @@
 	incarnation, number uint64
 	loads               map[string]reportedLoad
 	prefill             []*peer.Reading
-	// listRead is when the server list was last read from the store, by what the gateway reports.
+	// listRead is when the server list was last read from the store, as reported by the gateway.
 	listRead time.Time
 }
 
--- a/gateway/quotas_test.go
+++ b/gateway/quotas_test.go
@@ -9,7 +9,7 @@
 	"github.com/hibiscusspur/hibiscusspur/route"
 )
 
-// TestQuotaIsSharedByGateways: what a customer has used through one gateway is deducted at all others, also by
+// TestQuotaIsSharedByGateways: the tokens a customer uses through one gateway are deducted at all others, also by
 // reports alone: no datagram reaches a gateway in this test.
 func TestQuotaIsSharedByGateways(t *testing.T) {
 	withCluster(t, func(t *testing.T, cl *cluster) {
--- a/policy/admission/decode.go
+++ b/policy/admission/decode.go
@@ -255,7 +255,7 @@
 	d.queue.Release(s.request.Customer)
 }
 
-// normalize fills in defaults and, for FIFO order, erases what the queue would order by.
+// normalize fills in defaults and, for FIFO order, erases the fields that the queue would order by.
 func (d *Decode) normalize(r DecodeRequest) DecodeRequest {
 	if r.MaxTokens <= 0 {
 		r.MaxTokens = DefaultMaxTokens
--- a/policy/drain/drain.go
+++ b/policy/drain/drain.go
@@ -34,7 +34,7 @@
 	Signal
 )
 
-// Tracker holds what the sources reported about one incarnation of a backend server.
+// Tracker holds the reports of the sources about one incarnation of a backend server.
 type Tracker struct {
 	reportTTL time.Duration
 	reported  Sources
--- a/policy/kvmemory/simulation_test.go
+++ b/policy/kvmemory/simulation_test.go
@@ -31,7 +31,7 @@
 	// leaveSaturated is set if runs leave engines that turn out to be saturated; rechecks are the
 	// times at which routers check the engines of runs that they have just placed.
 	leaveSaturated bool
-	// reports is nil if routers know exactly what the others hold, after a delay.
+	// reports is nil if routers know the exact load of the others, after a delay.
 	reports    *periodicReports
 	rechecks   map[time.Time][]*simRequest
 	all        []*simRequest
@@ -43,7 +43,7 @@
 	ids        []string
 	used       map[string]float64
 	placements map[string]int
-	// refusals counts refused reservations, preempted preempted runs.
+	// refusals counts refused reservations, preempted the runs that were preempted.
 	refusals, preempted int
 }
 
@@ -103,7 +103,7 @@
 		learners[r.kind.name] = outputlength.New()
 	}
 	r.run = &kvmemory.Run{Need: r.waiter.Need, Prompt: r.prompt, Length: learners[r.kind.name].Begin(r.hint, simMaxTokens)}
-	if s.hopeless(r, now) {
+	if s.rejectsEarly(r, now) {
 		s.rejectedAtOnce++
 		r.waiter.GiveUpAt = now
 	}
@@ -111,8 +111,8 @@
 	s.queues[r.router].Add(r.waiter)
 }
 
-// hopeless reports whether a request is rejected without waiting.
-func (s *simulation) hopeless(r *simRequest, now time.Time) bool {
+// rejectsEarly reports whether a request is rejected without waiting.
+func (s *simulation) rejectsEarly(r *simRequest, now time.Time) bool {
 	queue := s.queues[r.router]
 	if s.expectedFree == nil || queue.Len() == 0 {
 		return false
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -1,6 +1,6 @@
 // Package limit enforces a customer's limits over all entries together without a store on the request path.
 //
-// An entry decides on its own, from its own demand and from what sidecars report of the demand of all: each sidecar
+// An entry decides on its own, from its own demand and from the demand of all that sidecars report: each sidecar
 // meters the requests that it grants to each customer, and reports the rate to the entries on messages that are sent
 // anyway. Limits that hold on average may be exceeded for some seconds when demand jumps. Limiters and meters are not
 // safe for concurrent use; the caller locks them. Time and randomness are passed in.
@@ -18,7 +18,7 @@
 type Terms struct {
 	// Rate is in units per second, Burst in units: requests, or tokens.
 	Rate, Burst float64
-	// Cost is what the request counts, in units; zero means one.
+	// Cost is the cost of the request, in units; zero means one.
 	Cost float64
 	// Concurrent counts requests in progress.
 	Concurrent int
--- a/policy/limit/report.go
+++ b/policy/limit/report.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Report returns the usages to report, and whether this process is informed of what remains. With changes set they are
+// Report returns the usages to report, and whether this process knows the remaining tokens. With changes set they are
 // those that have changed since the last such report, for all other processes; otherwise they are those of all recently
 // active customers, for one of them.
 func (s *SharedQuotas) Report(changes bool, now time.Time) (usages []ReportedUsage, informed bool) {
@@ -46,8 +46,8 @@
 	}
 	m.lastReceived, m.unresponsive, s.lastReceived = now, false, now
 	learn := informed && !s.isInformed(now)
-	// What a member used before this process began to receive reports may be long past, and is accounted for in what
-	// others report as remaining.
+	// Tokens that a member used before this process began to receive reports may be long past, and are accounted for
+	// in the remaining tokens that others report.
 	recentlyStarted := now.Sub(s.started) < selfInformedAfter
 	for _, r := range usages {
 		if a := s.accounts[r.Customer]; a != nil {
@@ -88,7 +88,7 @@
 	a.refill(now)
 }
 
-// usageOf returns what a member has reported of the customer.
+// usageOf returns the usage that a member has reported of the customer.
 func (a *account) usageOf(source string) *usage {
 	u := a.members[source]
 	if u == nil {
@@ -154,7 +154,7 @@
 }
 
 // release returns the share reserved for a member to the bucket. It is called when the member reports again, together
-// with the deduction of what the member really used.
+// with the deduction of the member's actual use.
 func (a *account) release(source string, now time.Time) {
 	u := a.members[source]
 	if u == nil || u.reservedShare == 0 {
@@ -162,12 +162,13 @@
 	}
 	a.refill(now)
 	a.reservedShare = max(a.reservedShare-u.reservedShare, 0)
-	// What exceeds the bucket's capacity is cut off only after the member's usage has been deducted.
+	// Tokens above the bucket's capacity are dropped only after the member's usage has been deducted.
 	a.remaining += u.reservedAmount + u.reservedShare*a.rate*now.Sub(u.reservedSince).Seconds()
 	u.reservedShare, u.reservedAmount = 0, 0
 }
 
-// removeMember removes a member. From now on all may use the share reserved for it, but not what had accumulated in it.
+// removeMember removes a member. From now on all may use the share reserved for it, but not the tokens accumulated in
+// it.
 func (s *SharedQuotas) removeMember(source string) {
 	delete(s.members, source)
 	for _, a := range s.accounts {
--- a/policy/limit/shared.go
+++ b/policy/limit/shared.go
@@ -47,10 +47,10 @@
 	at        time.Time
 	// reservedShare is the share of the quota that is reserved for unresponsive members.
 	reservedShare float64
-	// learned is set once, after a start, another process has reported what remains.
+	// learned is set once, after a start, another process has reported the remaining tokens.
 	learned bool
 	// offered is the demand at this process, reportedDemand its value in the last report, and peerDemand the demand
-	// that the other processes reported of theirs.
+	// reported by the other processes.
 	offered                    rateMeter
 	reportedDemand, peerDemand float64
 	// charged is the cost of the requests admitted here, and returned the part of it whose requests did not run.
@@ -64,7 +64,7 @@
 	members         map[string]*usage
 }
 
-// usage is what one member reported of one customer.
+// usage is one member's reported use of one customer's quota.
 type usage struct {
 	charged, returned, demand float64
 	// known is set once the member has reported the customer, nearlyExhausted if its last report showed the quota as
@@ -72,7 +72,7 @@
 	known, nearlyExhausted bool
 	lastUsed               time.Time
 	// reservedShare is the share reserved for the member since reservedSince, when it became unresponsive.
-	// reservedAmount is the part of what then remained in the bucket.
+	// reservedAmount is its part of the tokens that then remained in the bucket.
 	reservedShare, reservedAmount float64
 	reservedSince                 time.Time
 }
@@ -86,12 +86,12 @@
 	hasReservation bool
 }
 
-// ReportedUsage is what one process reports of one customer. Charged and Returned are sums since its start, which only
+// ReportedUsage is one process's report of one customer. Charged and Returned are sums since its start, which only
 // grow.
 type ReportedUsage struct {
 	Customer          string
 	Charged, Returned float64
-	// Demand is in units per second, Remaining what remains of the quota for all processes.
+	// Demand is in units per second, Remaining the remaining tokens of the quota for all processes.
 	Demand, Remaining float64
 }
 
@@ -146,8 +146,8 @@
 }
 
 // WithoutHeartbeats turns heartbeats off, so that unresponsive members are found only by missing regular reports. It is
-// for quotas that are always nearly exhausted and where what a member takes in the meantime does little harm: only
-// changes are reported.
+// for quotas that are always nearly exhausted and where the tokens that a member takes in the meantime do little harm:
+// only changes are reported.
 func (s *SharedQuotas) WithoutHeartbeats() *SharedQuotas {
 	s.withoutHeartbeats = true
 	return s
@@ -174,7 +174,8 @@
 	s.account(customer, t, now)
 }
 
-// account returns the account of a customer, refilled up to now. When the burst is raised, what remains grows with it.
+// account returns the account of a customer, refilled up to now. When the burst is raised, the remaining
+// tokens grow with it.
 func (s *SharedQuotas) account(customer string, t Terms, now time.Time) *account {
 	a := s.accounts[customer]
 	if a == nil {
@@ -196,7 +197,7 @@
 // usableShare is the share of the quota for this process and the members that respond.
 func (a *account) usableShare() float64 { return 1 - a.reservedShare }
 
-// refill adds what the bucket has gained by now.
+// refill adds the tokens that the bucket has gained by now.
 func (a *account) refill(now time.Time) {
 	if elapsed := now.Sub(a.at).Seconds(); elapsed > 0 {
 		a.remaining += a.rate * a.usableShare() * elapsed
--- a/policy/limit/shared_checker_test.go
+++ b/policy/limit/shared_checker_test.go
@@ -22,8 +22,8 @@
 	return worst / simSlack
 }
 
-// allowed returns what may be admitted in a window without the slack. A lowered quota is binding from one window after
-// it is in force.
+// allowed returns the cost that may be admitted in a window without the slack. A lowered quota is binding from one
+// window after it is in force.
 func (c *simChecker) allowed(at time.Duration) float64 {
 	maxAllowed := 0.0
 	for i, l := range c.limits {
--- a/policy/limit/shared_sim_test.go
+++ b/policy/limit/shared_sim_test.go
@@ -97,13 +97,13 @@
 	trace     func(time.Duration, time.Time)
 }
 
-// simChecker checks the users' rule for one customer. actual is the bucket less what all gateways together have really
-// admitted.
+// simChecker checks the users' rule for one customer. actual is the bucket less the cost that all gateways together have
+// really admitted.
 type simChecker struct {
 	admitted []simAdmission
 	actual   bucket
 	// admittedCost is the cost of the requests admitted in each second, rejectedCost that of the requests rejected
-	// although half of the bucket remained. Below that, buckets that start half full don't know what remains.
+	// although half of the bucket remained. Below that, buckets that start half full don't know the remaining tokens.
 	admittedCost, rejectedCost [int(simDuration/time.Second) + 1]float64
 	// limits are the quotas in force, over time.
 	limits []simLimit
--- a/policy/limit/shared_test.go
+++ b/policy/limit/shared_test.go
@@ -17,7 +17,7 @@
 
 var quota = Terms{Rate: 1000, Burst: 1000, Cost: 100}
 
-// informedQuotas returns the quotas of a process that has run long enough to know what remains.
+// informedQuotas returns the quotas of a process that has run long enough to know the remaining tokens.
 func informedQuotas() *SharedQuotas {
 	s := NewSharedQuotas(start.Add(-selfInformedAfter))
 	s.Configure(customer, quota, start)
@@ -129,8 +129,8 @@
 
 // TestNewProcessLearnsEachCustomer: gateways were restarted one after the other while a customer sent eight times its
 // usual load, and 1,499,070 of its tokens ran in eight seconds where 1,486,732 are allowed. The first message that a
-// new gateway received named another customer; the gateway took itself for informed of all, and granted half a burst of
-// the exhausted quota.
+// new gateway received named another customer; the gateway assumed that it was informed of all, and granted half a
+// burst of the exhausted quota.
 func TestNewProcessLearnsEachCustomer(t *testing.T) {
 	old := informedQuotas()
 	old.Configure("other", quota, start)
@@ -145,9 +145,9 @@
 	assert.Equal(t, n, 0)
 }
 
-// TestReportsBeforeConfiguration: a starting gateway receives reports before it has read its configuration. What
-// remained of quotas that it did not know yet was lost, and it took itself for informed, so that each such gateway
-// granted a whole burst.
+// TestReportsBeforeConfiguration: a starting gateway receives reports before it has read its configuration. The
+// remaining tokens of quotas that it did not know yet were lost, and it assumed that it was informed, so that each such
+// gateway granted a whole burst.
 func TestReportsBeforeConfiguration(t *testing.T) {
 	old := informedQuotas()
 	admit(old, 10, start)
@@ -213,7 +213,7 @@
 	assert.Equal(t, n, 10, "the other members are removed")
 }
 
-// TestQuotaChanges: what remains follows a quota that is raised or lowered, and a removed customer is dropped.
+// TestQuotaChanges: the remaining tokens follow a quota that is raised or lowered, and a removed customer is dropped.
 func TestQuotaChanges(t *testing.T) {
 	s := informedQuotas()
 	admit(s, 10, start)
--- a/policy/outputlength/outputlength.go
+++ b/policy/outputlength/outputlength.go
@@ -111,7 +111,7 @@
 	// scale is the length that positions are relative to, maxTokens the maximum length, both in
 	// tokens.
 	scale, maxTokens float64
-	// tokens is what the run has generated so far, bucket the bucket of that length.
+	// tokens is the number of tokens generated so far, bucket the bucket of that length.
 	tokens float64
 	bucket int
 }
@@ -155,7 +155,7 @@
 	r.curve.stale = true
 }
 
-// Tokens returns what the run has generated so far, in tokens.
+// Tokens returns the number of tokens that the run has generated so far.
 func (r *Run) Tokens() int { return int(r.tokens) }
 
 // MaxTokens returns the maximum length of the run, in tokens.
--- a/policy/quarantine/ledger.go
+++ b/policy/quarantine/ledger.go
@@ -17,8 +17,8 @@
 	SettleDelay = 300 * time.Millisecond
 	// ObservationTTL is how long a termination counts against the requests that ran at the server.
 	ObservationTTL = 10 * time.Minute
-	// FirstHold is the duration of a request's first hold. It bounds what a wrong decision costs the caller. After a right
-	// one, a server with its requests, a dozen streams, is lost once in that time.
+	// FirstHold is the duration of a request's first hold. It bounds the cost of a wrong decision to the caller. After a
+	// right one, a server with its requests, a dozen streams, is lost once in that time.
 	FirstHold = 10 * time.Minute
 	// MaxHold bounds the duration of a hold: each one that proves right lasts twice as long as the one before.
 	MaxHold = 24 * time.Hour
--- a/policy/retry/budget.go
+++ b/policy/retry/budget.go
@@ -7,7 +7,7 @@
 
 // Budget configures a retry budget, which is a token bucket.
 type Budget struct {
-	// Ratio is what one success adds; it is the share of retries in the long run.
+	// Ratio is the amount that one success adds; it is the share of retries in the long run.
 	Ratio float64
 	// PerSecond is what every second adds, so that a customer with few requests can retry as
 	// well.
--- a/policy/serverlimit/serverlimit.go
+++ b/policy/serverlimit/serverlimit.go
@@ -58,7 +58,7 @@
 	At time.Time
 }
 
-// Limits is one router's local state of the limits of servers, and of what all routers sent there.
+// Limits is one router's local state of the limits of servers, and of the requests that all routers sent there.
 type Limits struct {
 	servers map[string]*server
 	usage   *limit.SharedQuotas
@@ -177,7 +177,7 @@
 	l.usage.Retain(known)
 }
 
-// ReportedLimit is what one router reports of one server.
+// ReportedLimit is one router's report of one server.
 type ReportedLimit struct {
 	ID string
 	Statement
--- a/policy/serverlimit/serverlimit_test.go
+++ b/policy/serverlimit/serverlimit_test.go
@@ -16,7 +16,7 @@
 	return Statement{Limit: Limit{Limited: true, PerSecond: perSecond}, At: now}
 }
 
-// newInformed returns the limits of a process that has run long enough to know what remains of them.
+// newInformed returns the limits of a process that has run long enough to know the remaining tokens.
 func newInformed() *Limits { return New(1, start.Add(-time.Hour)) }
 
 // take returns how many of a number of requests may be sent, one after the other.
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -2,8 +2,9 @@
 // that all routers observed there.
 //
 // Load pattern: a server loses power, is partitioned, or fails two requests of five, and stays listed for the seconds
-// until its lease lapses or its health check fails. Dozens of routers each send it a request and learn from a failed
-// attempt of their own what the first one knew. Every such attempt takes a retry from the budget and delays its request.
+// until its lease lapses or its health check fails. Dozens of routers each send it a request and detect the failure
+// only by a failed attempt of their own, although the first one knew of it. Every such attempt takes a retry from the
+// budget and delays its request.
 //
 // So routers report failures to each other. A suspicion decays within seconds and only makes a router prefer other
 // engines: when none of them has free capacity, a suspected engine is used as usual. A router that is itself partitioned
@@ -25,7 +26,7 @@
 	halfLife = 1500 * time.Millisecond
 	// maxSuspicion bounds the suspicion of one engine, in failures: many routers report the same outage.
 	maxSuspicion = 4.0
-	// successFactor is what remains of a suspicion after a request of this router succeeded.
+	// successFactor is the factor applied to a suspicion after a request of this router succeeded.
 	successFactor = 0.5
 	// reportInterval is the time in which several reports of one router about an engine count once: when an engine
 	// terminates, all requests in progress there fail together.
--- a/proofs/answer_test.go
+++ b/proofs/answer_test.go
@@ -111,7 +111,7 @@
 	}, resumed},
 }
 
-// delayStart delays what the entry sends to the decode sidecars once a decode slot is reserved, and lets it
+// delayStart delays the frames that the entry sends to the decode sidecars once a decode slot is reserved, and lets them
 // arrive after the entry has a new link.
 func delayStart(c *cluster) {
 	c.fault(c.backend("p1"), fault.Rule{Kind: fault.Delay, Op: "prefill", DelayMillis: 200, Count: 1})
--- a/route/tenants.go
+++ b/route/tenants.go
@@ -6,7 +6,7 @@
 	"github.com/hibiscusspur/hibiscusspur/apikey"
 )
 
-// Unit is what a tenant's quota counts.
+// Unit is the unit that a tenant's quota counts.
 type Unit uint8
 
 const (
